--- a/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
@@ -20,12 +20,12 @@
 import org.curranthaven.internal.ledger.LedgerState;
 import org.curranthaven.internal.membership.BackendAnnouncement;
 import org.curranthaven.internal.membership.BackendView;
+import org.curranthaven.internal.routing.BackendReport;
 import org.curranthaven.internal.routing.ForecastOptions;
 import org.curranthaven.internal.routing.Policy;
-import org.curranthaven.internal.routing.RequestFacts;
+import org.curranthaven.internal.routing.RequestAttributes;
 import org.curranthaven.internal.routing.RoutingCore;
 import org.curranthaven.internal.routing.RoutingEvent;
-import org.curranthaven.internal.routing.ServerReport;
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.standin.LocalFleet;
 import org.curranthaven.internal.transport.PeerListener;
@@ -112,7 +112,7 @@
             "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(1));
     int used = queued > 0 ? 2_000 : 200;
     for (int i = 0; i < servers; i++) {
-      core.handle(new RoutingEvent.ServerReported(report("engine-" + i, used)), 0);
+      core.handle(new RoutingEvent.BackendReported(report("engine-" + i, used)), 0);
     }
     long id = 1;
     for (int i = 0; i < queued; i++) {
@@ -125,7 +125,7 @@
       core.handle(arrival, 2);
       nanos[i % DECISIONS] = System.nanoTime() - start;
       core.handle(new RoutingEvent.Abandoned(id), 2);
-      core.handle(new RoutingEvent.Finished(id++, 20, RoutingEvent.Ending.CANCELLED), 2);
+      core.handle(new RoutingEvent.Finished(id++, 20, RoutingEvent.RequestOutcome.CANCELLED), 2);
     }
     Arrays.sort(nanos);
     return nanos[(int) (DECISIONS * 0.99)] / NANOS_PER_MICRO;
@@ -137,14 +137,14 @@
         new RoutingCore(
             "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(1));
     for (int i = 0; i < servers; i++) {
-      core.handle(new RoutingEvent.ServerReported(report("engine-" + i, 200)), 0);
+      core.handle(new RoutingEvent.BackendReported(report("engine-" + i, 200)), 0);
     }
     long id = 1;
     for (int i = 0; i < TARGET_STREAMS; i++) {
       core.handle(new RoutingEvent.Arrived(request(id++)), 1);
     }
     for (int i = 0; i < servers; i++) {
-      core.handle(new RoutingEvent.ServerReported(report("engine-" + i, 2_000)), 1);
+      core.handle(new RoutingEvent.BackendReported(report("engine-" + i, 2_000)), 1);
     }
     for (int i = 0; i < 500; i++) {
       core.handle(new RoutingEvent.Arrived(request(id++)), 1);
@@ -158,13 +158,13 @@
     return best;
   }
 
-  private static ServerReport report(String name, int used) {
-    return new ServerReport(
+  private static BackendReport report(String name, int used) {
+    return new BackendReport(
         name, "a", Set.of("story"), 2_000, used, used / 50, 0, 64, 0, Long.MIN_VALUE / 2);
   }
 
-  private static RequestFacts request(long id) {
-    return new RequestFacts(
+  private static RequestAttributes request(long id) {
+    return new RequestAttributes(
         id,
         "w",
         "draft",
--- a/src/main/java/org/curranthaven/internal/catalog/Catalog.java
+++ b/src/main/java/org/curranthaven/internal/catalog/Catalog.java
@@ -19,7 +19,7 @@
  */
 public final class Catalog {
   private final long revision;
-  private final CallLimits limits;
+  private final RequestLimits limits;
   private final boolean keysRequired;
   private final Map<String, List<Route>> routesByHost = new HashMap<>();
   private final Map<String, ServiceSpec> services = new HashMap<>();
@@ -36,7 +36,7 @@
       long revision,
       List<Route> routes,
       List<ServiceSpec> services,
-      CallLimits limits,
+      RequestLimits limits,
       @Nullable Map<String, CatalogWorkspace> workspaceByKey) {
     this.revision = revision;
     this.limits = limits;
@@ -58,7 +58,7 @@
   }
 
   private void checkServices(Route route) {
-    for (ServiceShare share : route.services()) {
+    for (ServiceWeight share : route.services()) {
       if (!services.containsKey(share.service())) {
         throw new IllegalArgumentException(
             "route '" + route.name() + "' names the unknown service '" + share.service() + "'");
@@ -68,7 +68,7 @@
 
   /** Returns a catalog without routes, of revision 0. */
   public static Catalog empty() {
-    return new Catalog(0, List.of(), List.of(), CallLimits.standard(), Map.of());
+    return new Catalog(0, List.of(), List.of(), RequestLimits.standard(), Map.of());
   }
 
   /** Returns the revision. */
@@ -77,7 +77,7 @@
   }
 
   /** Returns the bounds on what callers may send. */
-  public CallLimits limits() {
+  public RequestLimits limits() {
     return limits;
   }
 
--- a/src/main/java/org/curranthaven/internal/catalog/EngineSpec.java
+++ b/src/main/java/org/curranthaven/internal/catalog/EngineCapabilities.java
@@ -9,5 +9,5 @@
  * @param moves whether a running request can be moved to another engine
  * @param backups whether an engine can keep another one supplied with a copy of a running request
  */
-public record EngineSpec(
+public record EngineCapabilities(
     int slots, int memoryTokens, int tokensPerEvent, boolean moves, boolean backups) {}
--- a/src/main/java/org/curranthaven/internal/catalog/CallKind.java
+++ b/src/main/java/org/curranthaven/internal/catalog/Repeatability.java
@@ -1,7 +1,7 @@
 package org.curranthaven.internal.catalog;
 
 /** What may be repeated about the calls of a route. */
-public enum CallKind {
+public enum Repeatability {
   /** May run more than once. */
   IDEMPOTENT,
   /** Runs at most once. */
--- a/src/main/java/org/curranthaven/internal/catalog/CallLimits.java
+++ b/src/main/java/org/curranthaven/internal/catalog/RequestLimits.java
@@ -9,10 +9,10 @@
  *     headers
  * @param idleTimeoutMillis longest time that a connection may stay without a request
  */
-public record CallLimits(
+public record RequestLimits(
     int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
   /** Returns the bounds in force before a catalog sets them. */
-  public static CallLimits standard() {
-    return new CallLimits(16_384, 4_194_304, 3_000, 15_000);
+  public static RequestLimits standard() {
+    return new RequestLimits(16_384, 4_194_304, 3_000, 15_000);
   }
 }
--- a/src/main/java/org/curranthaven/internal/catalog/Route.java
+++ b/src/main/java/org/curranthaven/internal/catalog/Route.java
@@ -22,7 +22,7 @@
     String name,
     String host,
     String pathPrefix,
-    CallKind kind,
+    Repeatability kind,
     long timeoutMillis,
     long targetMillis,
     long gapTargetMillis,
@@ -30,20 +30,20 @@
     int attempts,
     boolean anonymous,
     boolean resumable,
-    List<ServiceShare> services) {
+    List<ServiceWeight> services) {
   public Route {
     services = List.copyOf(services);
     if (timeoutMillis <= 0) {
       throw new IllegalArgumentException("route '" + name + "' has no time limit above 0");
     }
-    if (services.stream().mapToDouble(ServiceShare::weight).sum() <= 0) {
+    if (services.stream().mapToDouble(ServiceWeight::weight).sum() <= 0) {
       throw new IllegalArgumentException("route '" + name + "' sends calls to no service");
     }
   }
 
   /** Returns whether a call may run more than once. */
   public boolean isRepeatable() {
-    return kind == CallKind.IDEMPOTENT || (kind == CallKind.STREAM && resumable);
+    return kind == Repeatability.IDEMPOTENT || (kind == Repeatability.STREAM && resumable);
   }
 
   /**
@@ -52,8 +52,8 @@
    * @param draw number from 0 to 1, drawn for the call
    */
   public String serviceFor(double draw) {
-    double left = draw * services.stream().mapToDouble(ServiceShare::weight).sum();
-    for (ServiceShare share : services) {
+    double left = draw * services.stream().mapToDouble(ServiceWeight::weight).sum();
+    for (ServiceWeight share : services) {
       left -= share.weight();
       if (left < 0) {
         return share.service();
--- a/src/main/java/org/curranthaven/internal/catalog/ServiceSpec.java
+++ b/src/main/java/org/curranthaven/internal/catalog/ServiceSpec.java
@@ -9,4 +9,4 @@
  * @param maxConnections connections that one backend server accepts from all callers together
  * @param engine what its engines can do; null for a plain service
  */
-public record ServiceSpec(String name, int maxConnections, @Nullable EngineSpec engine) {}
+public record ServiceSpec(String name, int maxConnections, @Nullable EngineCapabilities engine) {}
--- a/src/main/java/org/curranthaven/internal/catalog/ServiceShare.java
+++ b/src/main/java/org/curranthaven/internal/catalog/ServiceWeight.java
@@ -6,8 +6,8 @@
  * @param service name of the service
  * @param weight share, relative to the other services of the route
  */
-public record ServiceShare(String service, double weight) {
-  public ServiceShare {
+public record ServiceWeight(String service, double weight) {
+  public ServiceWeight {
     if (weight < 0) {
       throw new IllegalArgumentException("weight must not be negative");
     }
--- a/src/main/java/org/curranthaven/internal/check/Actions.java
+++ b/src/main/java/org/curranthaven/internal/check/Actions.java
@@ -65,7 +65,7 @@
 
   /** Returns the violation that the actions bring about, or null. */
   public static @Nullable Violation violation(
-      long seed, int replicas, List<Action> actions, Breakage breakage) {
+      long seed, int replicas, List<Action> actions, InjectedFault breakage) {
     try {
       GroupRun.run(seed, replicas, actions, breakage);
       return null;
@@ -76,7 +76,7 @@
 
   /** Leaves out what is not needed to bring about a violation, as far as that is quickly found. */
   public static List<Action> shorten(
-      long seed, int replicas, List<Action> actions, Breakage breakage) {
+      long seed, int replicas, List<Action> actions, InjectedFault breakage) {
     List<Action> shortest = new ArrayList<>(actions);
     for (int chunk = shortest.size() / 2; chunk >= SHORTEST_CHUNK; chunk /= 2) {
       for (int from = 0; from < shortest.size(); ) {
--- a/src/main/java/org/curranthaven/internal/check/GroupRun.java
+++ b/src/main/java/org/curranthaven/internal/check/GroupRun.java
@@ -39,7 +39,7 @@
   private static final long QUIET_MILLIS = 60_000;
   private static final int QUIET_STEP_MILLIS = 5;
 
-  private final Breakage breakage;
+  private final InjectedFault injectedFault;
   private final long seed;
   private final List<Node> nodes = new ArrayList<>();
   private final List<UnderWay> underWay = new ArrayList<>();
@@ -69,7 +69,7 @@
     Node(int place, SplittableRandom random) {
       this.place = place;
       this.identity = "disk-" + place + "-0";
-      double spread = breakage == Breakage.CLOCKS_BEYOND_BOUND ? 0.6 : 0.02;
+      double spread = injectedFault == InjectedFault.CLOCKS_BEYOND_BOUND ? 0.6 : 0.02;
       this.clockRate = 1 + spread * (2 * random.nextDouble() - 1);
       this.clockOffsetMillis = random.nextInt(1_000_000);
     }
@@ -98,9 +98,9 @@
     }
   }
 
-  private GroupRun(long seed, int replicas, Breakage breakage) {
+  private GroupRun(long seed, int replicas, InjectedFault breakage) {
     this.seed = seed;
-    this.breakage = breakage;
+    this.injectedFault = breakage;
     SplittableRandom random = new SplittableRandom(seed);
     for (int i = 0; i < replicas; i++) {
       nodes.add(new Node(i, random));
@@ -132,7 +132,7 @@
    *
    * @throws Violation if an invariant does not hold
    */
-  public static Summary run(long seed, int replicas, List<Action> actions, Breakage breakage) {
+  public static Summary run(long seed, int replicas, List<Action> actions, InjectedFault breakage) {
     GroupRun run = new GroupRun(seed, replicas, breakage);
     for (Action action : actions) {
       run.act(action);
@@ -215,7 +215,7 @@
 
   private void restart(Node node) {
     if (node.core == null) {
-      if (breakage == Breakage.FORGET_VOTE_ON_RESTART) {
+      if (injectedFault == InjectedFault.FORGET_VOTE_ON_RESTART) {
         node.disk.forgetVote();
       }
       node.start();
@@ -233,7 +233,7 @@
       }
     }
     node.disk = new MemoryDisk();
-    if (breakage != Breakage.VOTE_ON_WIPED_DISK) {
+    if (injectedFault != InjectedFault.VOTE_ON_WIPED_DISK) {
       node.identity = "disk-" + node.place + "-" + node.starts;
     }
     node.start();
@@ -275,7 +275,7 @@
     if (lost) {
       node.loseNextBatch = false;
       node.core = null;
-      if (breakage != Breakage.ACKNOWLEDGE_BEFORE_SYNC) {
+      if (injectedFault != InjectedFault.ACKNOWLEDGE_BEFORE_SYNC) {
         return;
       }
     }
@@ -308,7 +308,7 @@
 
   private void send(Node node, RaftDecision.Send send) {
     GroupMessage message = send.message();
-    if (breakage == Breakage.NO_PRE_VOTE && isPreVoteRequest(message)) {
+    if (injectedFault == InjectedFault.NO_PRE_VOTE && isPreVoteRequest(message)) {
       GroupMessage granted =
           GroupMessage.newBuilder()
               .setTerm(message.getTerm())
--- a/src/main/java/org/curranthaven/internal/check/Breakage.java
+++ b/src/main/java/org/curranthaven/internal/check/InjectedFault.java
@@ -1,7 +1,7 @@
 package org.curranthaven.internal.check;
 
 /** Deliberate faults of the system itself, by which a check is shown to be able to fail. */
-public enum Breakage {
+public enum InjectedFault {
   /** None: the system as it is. */
   NONE,
   /** Messages leave before what they rest on is synced. */
--- a/src/main/java/org/curranthaven/internal/cli/ApplyCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ApplyCommand.java
@@ -76,7 +76,7 @@
       System.out.println(edits.size() + " changes against revision " + current.revision());
       return 0;
     }
-    return Changes.report(
+    return ChangeReporter.report(
         client.change(
             java.util.UUID.randomUUID().toString(),
             current.revision(),
--- a/src/main/java/org/curranthaven/internal/cli/Changes.java
+++ b/src/main/java/org/curranthaven/internal/cli/ChangeReporter.java
@@ -4,8 +4,8 @@
 import org.curranthaven.api.Outcome;
 
 /** Tells an operator what became of a change. */
-final class Changes {
-  private Changes() {}
+final class ChangeReporter {
+  private ChangeReporter() {}
 
   static int report(Outcome<JsonNode> outcome, boolean json) {
     return switch (outcome) {
--- a/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
@@ -8,7 +8,7 @@
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.check.Action;
 import org.curranthaven.internal.check.Actions;
-import org.curranthaven.internal.check.Breakage;
+import org.curranthaven.internal.check.InjectedFault;
 import org.curranthaven.internal.check.Violation;
 import org.jspecify.annotations.Nullable;
 
@@ -47,8 +47,8 @@
         .help("replicas of the group");
     parser
         .addArgument("--breakage")
-        .type(Breakage.class)
-        .setDefault(Breakage.NONE)
+        .type(InjectedFault.class)
+        .setDefault(InjectedFault.NONE)
         .help("deliberate fault, to see that the check can fail");
     parser.setDefault(Main.COMMAND, this);
   }
@@ -58,7 +58,7 @@
     long first = arguments.getLong("first_seed");
     int seeds = arguments.getInt("seeds");
     int replicas = arguments.getInt("replicas");
-    Breakage breakage = arguments.get("breakage");
+    InjectedFault breakage = arguments.get("breakage");
     long deadline = System.nanoTime() + arguments.getInt("minutes") * NANOS_PER_MINUTE;
     long seed = first;
     for (; seed < first + seeds && System.nanoTime() < deadline; seed++) {
@@ -75,7 +75,7 @@
   }
 
   private static int report(
-      long seed, int replicas, List<Action> actions, Breakage breakage, Violation violation) {
+      long seed, int replicas, List<Action> actions, InjectedFault breakage, Violation violation) {
     List<Action> shortest = Actions.shorten(seed, replicas, actions, breakage);
     System.out.println("seed " + seed + ": " + violation.getMessage());
     System.out.println("shortest trace found, " + shortest.size() + " actions:");
--- a/src/main/java/org/curranthaven/internal/cli/ItemCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ItemCommand.java
@@ -153,6 +153,6 @@
             base == null ? client.configuration().revision() : base,
             HostOption.operator(),
             List.of(edit));
-    return Changes.report(outcome, arguments.getBoolean("json"));
+    return ChangeReporter.report(outcome, arguments.getBoolean("json"));
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
@@ -46,7 +46,7 @@
     List<String> hosts = arguments.getList("hosts");
     if (arguments.getBoolean("configure")) {
       int exit =
-          Changes.report(
+          ChangeReporter.report(
               new AdminClient(hosts.getFirst())
                   .change(HostOption.operator(), Workloads.configuration()),
               false);
--- a/src/main/java/org/curranthaven/internal/cli/Main.java
+++ b/src/main/java/org/curranthaven/internal/cli/Main.java
@@ -84,7 +84,7 @@
   private static List<Command> commands() {
     return List.of(
         new ServeCommand(),
-        new RoutedCommand(),
+        new ServeRoutedCommand(),
         new RehearseCommand(),
         new SettingsCommand(),
         new ItemCommand(Edit.Kind.CLASS),
--- a/src/main/java/org/curranthaven/internal/cli/RehearseCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/RehearseCommand.java
@@ -44,7 +44,7 @@
   @Override
   public int run(Namespace arguments) throws InterruptedException, IOException {
     Logging.configure(true);
-    WireProtocol protocol = RoutedCommand.protocol(arguments.getString("protocol"));
+    WireProtocol protocol = ServeRoutedCommand.protocol(arguments.getString("protocol"));
     if (protocol == null) {
       return Main.fail(Failure.of(ResultCode.USAGE, "there is no such protocol"));
     }
--- a/src/main/java/org/curranthaven/internal/cli/RoutedCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ServeRoutedCommand.java
@@ -19,7 +19,7 @@
 import org.tinylog.Logger;
 
 /** {@code serve-routed}: runs one host that serves routed calls in the words of a platform. */
-final class RoutedCommand implements Command {
+final class ServeRoutedCommand implements Command {
   @Override
   public void register(Subparsers parsers) {
     Subparser parser =
--- a/src/main/java/org/curranthaven/internal/dispatch/BackendTable.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/BackendRegistry.java
@@ -13,7 +13,7 @@
  * The backend servers that registered, as the scheduler knows them: each by its own name, in the
  * order of its sequence numbers. One that is gone never comes back under its name. Not thread-safe.
  */
-public final class BackendTable {
+public final class BackendRegistry {
   /** Time for which the name of one that is gone is kept: longer than a late message takes. */
   static final long GONE_KEPT_MILLIS = 120_000;
 
@@ -23,7 +23,7 @@
   private long firstSeenCounter;
 
   /** Takes in a registration; returns what changed for those who send, or null for nothing. */
-  public @Nullable BackendRecord registered(BackendRecord news, long nowMillis) {
+  public @Nullable BackendRecord register(BackendRecord news, long nowMillis) {
     if (goneAtMillis.containsKey(news.getId())) {
       return null;
     }
@@ -52,20 +52,20 @@
   }
 
   /** Notes that a backend server said that it is gone; returns whether it was known. */
-  public boolean gone(String id, long nowMillis) {
+  public boolean remove(String id, long nowMillis) {
     goneAtMillis.put(id, nowMillis);
     heardAtMillis.remove(id);
     return known.remove(id) != null;
   }
 
   /** Takes in what a gateway held; what is heard directly goes before it. */
-  public @Nullable BackendRecord restored(BackendRecord record, long nowMillis) {
+  public @Nullable BackendRecord restore(BackendRecord record, long nowMillis) {
     firstSeenCounter = Math.max(firstSeenCounter, record.getFirstSeen());
-    return registered(record, nowMillis);
+    return register(record, nowMillis);
   }
 
   /** Returns and removes those not heard of for the given time; their names may come back. */
-  public List<String> takeSilent(long silenceMillis, long nowMillis) {
+  public List<String> removeExpired(long silenceMillis, long nowMillis) {
     List<String> silent = new ArrayList<>();
     heardAtMillis.forEach(
         (id, heard) -> {
@@ -92,7 +92,7 @@
   }
 
   /** Returns the names of those that are gone and may still be heard of late. */
-  public Collection<String> goneIds() {
+  public Collection<String> removedIds() {
     return goneAtMillis.keySet();
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
@@ -9,12 +9,12 @@
   private BackendRecord registration;
   private long warmAtMillis;
   private long fullUntilMillis;
-  final Map<CallKey, OpenCall> calls = new LinkedHashMap<>();
+  final Map<RequestId, RunningRequest> calls = new LinkedHashMap<>();
 
   /** Calls that run elsewhere and of which a copy is kept here. */
-  final Map<CallKey, OpenCall> copies = new LinkedHashMap<>();
+  final Map<RequestId, RunningRequest> copies = new LinkedHashMap<>();
 
-  final PromptParts parts = new PromptParts();
+  final PromptPartCache parts = new PromptPartCache();
 
   BackendState(BackendRecord registration, long nowMillis) {
     this.registration = registration;
@@ -70,10 +70,10 @@
 
   double memoryTokens() {
     double sum = 0;
-    for (OpenCall call : calls.values()) {
+    for (RunningRequest call : calls.values()) {
       sum += call.memoryTokens();
     }
-    for (OpenCall copy : copies.values()) {
+    for (RunningRequest copy : copies.values()) {
       sum += copy.memoryTokens();
     }
     return sum;
@@ -81,7 +81,7 @@
 
   int unreadTokens() {
     int sum = 0;
-    for (OpenCall call : calls.values()) {
+    for (RunningRequest call : calls.values()) {
       sum += call.unreadTokens();
     }
     return sum;
--- a/src/main/java/org/curranthaven/internal/dispatch/Backends.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/Backends.java
@@ -10,7 +10,7 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
 import org.curranthaven.internal.catalog.Catalog;
-import org.curranthaven.internal.catalog.EngineSpec;
+import org.curranthaven.internal.catalog.EngineCapabilities;
 import org.curranthaven.internal.catalog.ServiceSpec;
 import org.curranthaven.internal.routing.OutlierEjector;
 import org.curranthaven.internal.transport.wire.BackendRecord;
@@ -20,9 +20,9 @@
 /** The backend servers, what runs on each, and which of them may take a call. Not thread-safe. */
 final class Backends {
   private final Map<String, BackendState> byId = new LinkedHashMap<>();
-  private final Map<CallKey, BackendState> placements = new HashMap<>();
+  private final Map<RequestId, BackendState> placements = new HashMap<>();
   private final OutlierEjector ejector = new OutlierEjector();
-  private final FailureRates failureRates = new FailureRates();
+  private final FailureRateEjector failureRateEjector = new FailureRateEjector();
   private Catalog catalog = Catalog.empty();
 
   void setCatalog(Catalog newer) {
@@ -30,7 +30,7 @@
   }
 
   /** Returns what is known of the service's engines; null if it has none. */
-  @Nullable EngineSpec engineOf(String service) {
+  @Nullable EngineCapabilities engineOf(String service) {
     ServiceSpec spec = catalog.service(service);
     return spec == null ? null : spec.engine();
   }
@@ -61,7 +61,8 @@
   Stream<BackendState> usable(DispatchAsk ask, long nowMillis) {
     Predicate<BackendState> trusted =
         state ->
-            !ejector.isEjected(state.id(), nowMillis) && !failureRates.isOut(state.id(), nowMillis);
+            !ejector.isEjected(state.id(), nowMillis)
+                && !failureRateEjector.isOut(state.id(), nowMillis);
     return stayingOf(ask.getService())
         .filter(state -> !ask.getExcludedList().contains(state.id()))
         .filter(trusted);
@@ -89,25 +90,25 @@
     return placements.size();
   }
 
-  Collection<CallKey> openKeys() {
+  Collection<RequestId> openKeys() {
     return placements.keySet();
   }
 
-  @Nullable BackendState runningAt(CallKey key) {
+  @Nullable BackendState runningAt(RequestId key) {
     return placements.get(key);
   }
 
-  void placed(OpenCall call, BackendState backend) {
+  void placed(RunningRequest call, BackendState backend) {
     backend.calls.put(call.key, call);
     placements.put(call.key, backend);
   }
 
   /** Notes that the call runs at the backend server, which counts it already. */
-  void nowAt(CallKey key, BackendState backend) {
+  void nowAt(RequestId key, BackendState backend) {
     placements.put(key, backend);
   }
 
-  void unplaced(CallKey key) {
+  void unplaced(RequestId key) {
     placements.remove(key);
   }
 
@@ -115,7 +116,7 @@
     if (state.isLeaving() && state.calls.isEmpty()) {
       byId.remove(state.id());
       ejector.forget(state.id());
-      failureRates.forget(state.id());
+      failureRateEjector.forget(state.id());
     }
   }
 
@@ -127,7 +128,7 @@
 
   void answered(BackendState backend) {
     ejector.succeeded(backend.id());
-    failureRates.succeeded(backend.id());
+    failureRateEjector.succeeded(backend.id());
   }
 
   void failed(BackendState backend, long nowMillis) {
@@ -137,6 +138,6 @@
             .map(BackendState::id)
             .toList();
     ejector.failed(backend.id(), peers, nowMillis);
-    failureRates.failed(backend.id(), peers, nowMillis);
+    failureRateEjector.failed(backend.id(), peers, nowMillis);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/RoomRules.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
@@ -1,6 +1,6 @@
 package org.curranthaven.internal.dispatch;
 
-import org.curranthaven.internal.catalog.EngineSpec;
+import org.curranthaven.internal.catalog.EngineCapabilities;
 import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.jspecify.annotations.Nullable;
 
@@ -8,7 +8,7 @@
  * Tells whether a backend server has room for a call: answers the load under which memory that
  * outputs have yet to fill is promised twice. Stateless.
  */
-final class RoomRules {
+final class CapacityRules {
   /** Share of an engine's memory that forecasts may fill for the most urgent calls. */
   static final double MEMORY_SHARE = 0.95;
 
@@ -31,7 +31,7 @@
    *
    * @param capacityShares number of hosts that decide alone on the same backend servers
    */
-  RoomRules(int capacityShares) {
+  CapacityRules(int capacityShares) {
     this.capacityShares = Math.max(1, capacityShares);
   }
 
@@ -53,7 +53,7 @@
    */
   boolean hasRoom(
       BackendState backend,
-      @Nullable EngineSpec engine,
+      @Nullable EngineCapabilities engine,
       double tokens,
       double memoryShare,
       long nowMillis) {
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
@@ -9,7 +9,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 import org.curranthaven.internal.catalog.Catalog;
-import org.curranthaven.internal.catalog.EngineSpec;
+import org.curranthaven.internal.catalog.EngineCapabilities;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
@@ -17,12 +17,12 @@
 
 /**
  * Places routed calls on backend servers. It owns no clock, thread or socket: events go in, and
- * {@link #takeDecisions} tells what to do.
+ * {@link #drainDecisions} tells what to do.
  *
  * <pre>{@code
- * core.backendChanged(registration, now);
- * core.ask(key, ask, now);
- * core.takeDecisions().forEach(this::carryOut);
+ * core.updateBackend(registration, now);
+ * core.submit(key, ask, now);
+ * core.drainDecisions().forEach(this::carryOut);
  * }</pre>
  *
  * <p>Not thread-safe.
@@ -48,14 +48,14 @@
 
   private static final int MAX_URGENCY = 9;
 
-  private final RetryAllowance retryAllowance;
+  private final RetryLimits retryLimits;
   private final RandomGenerator random;
   private final Backends backends = new Backends();
-  private final WaitingCalls waiting = new WaitingCalls();
-  private final Map<String, RetryWindow> retries = new HashMap<>();
-  private final RoomRules rooms;
-  private final WaitForecast forecast;
-  private final CallMoves moves;
+  private final DispatchQueue waiting = new DispatchQueue();
+  private final Map<String, ServiceRetryBudget> retries = new HashMap<>();
+  private final CapacityRules rooms;
+  private final QueueTimeForecast forecast;
+  private final MigrationPlanner moves;
   private List<DispatchDecision> decisions = new ArrayList<>();
 
   /**
@@ -64,16 +64,16 @@
    * @param capacityShares number of hosts that decide alone on the same backend servers; 1 for the
    *     one scheduler
    */
-  public DispatchCore(RetryAllowance retryAllowance, int capacityShares, RandomGenerator random) {
-    this.retryAllowance = retryAllowance.sharedBy(capacityShares);
+  public DispatchCore(RetryLimits retryLimits, int capacityShares, RandomGenerator random) {
+    this.retryLimits = retryLimits.sharedBy(capacityShares);
     this.random = random;
-    this.rooms = new RoomRules(capacityShares);
-    this.forecast = new WaitForecast(backends, rooms.capacityShares(), random);
-    this.moves = new CallMoves(backends, rooms, decision -> decisions.add(decision));
+    this.rooms = new CapacityRules(capacityShares);
+    this.forecast = new QueueTimeForecast(backends, rooms.capacityShares(), random);
+    this.moves = new MigrationPlanner(backends, rooms, decision -> decisions.add(decision));
   }
 
   /** Returns and forgets what was decided since the last call, in order. */
-  public List<DispatchDecision> takeDecisions() {
+  public List<DispatchDecision> drainDecisions() {
     if (decisions.isEmpty()) {
       return List.of();
     }
@@ -83,17 +83,17 @@
   }
 
   /** Returns the number of calls that wait. */
-  public int waitingCalls() {
+  public int queuedRequests() {
     return waiting.size();
   }
 
   /** Returns whether the call was taken in and waits for room. */
-  public boolean isWaiting(CallKey key) {
+  public boolean isQueued(RequestId key) {
     return waiting.contains(key);
   }
 
   /** Returns the number of calls that run. */
-  public int openCalls() {
+  public int runningRequests() {
     return backends.openCalls();
   }
 
@@ -105,14 +105,14 @@
   }
 
   /** Notes a new backend server, or news of one. */
-  public void backendChanged(BackendRecord registration, long nowMillis) {
+  public void updateBackend(BackendRecord registration, long nowMillis) {
     backends.registered(registration, nowMillis);
     moveAwayFrom(registration.getId(), nowMillis);
     serveQueue(registration.getService(), nowMillis);
   }
 
   /** Notes that a backend server takes no more calls; those that run on it may go on. */
-  public void backendGone(String id, long nowMillis) {
+  public void removeBackend(String id, long nowMillis) {
     BackendState state = backends.get(id);
     if (state == null) {
       return;
@@ -132,17 +132,17 @@
   // ---- calls ------------------------------------------------------------------------------------
 
   /** Takes in a call that is to be placed. */
-  public void ask(CallKey key, DispatchAsk ask, long nowMillis) {
-    ended(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis);
-    RetryWindow window =
-        retries.computeIfAbsent(ask.getService(), name -> new RetryWindow(retryAllowance));
+  public void submit(RequestId key, DispatchAsk ask, long nowMillis) {
+    requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis);
+    ServiceRetryBudget window =
+        retries.computeIfAbsent(ask.getService(), name -> new ServiceRetryBudget(retryLimits));
     if (!ask.getRepeat()) {
       window.called(nowMillis);
     } else if (!window.tryRetry(nowMillis)) {
-      refuse(key, WaitForecast.MIN_RETRY_AFTER_MILLIS, RefusalReason.RETRIES_USED_UP);
+      refuse(key, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.RETRIES_USED_UP);
       return;
     }
-    SortedSet<WaitingCall> queue = waiting.of(ask.getService());
+    SortedSet<QueuedRequest> queue = waiting.of(ask.getService());
     boolean overtakes = queue.isEmpty() || ask.getPriority() < queue.first().ask().getPriority();
     Placing placing =
         overtakes ? place(key, ask, ask.getTargetLeftMillis(), nowMillis) : Placing.NO_ROOM;
@@ -151,15 +151,15 @@
     }
   }
 
-  private void waitOrRefuse(CallKey key, DispatchAsk ask, Placing placing, long nowMillis) {
+  private void waitOrRefuse(RequestId key, DispatchAsk ask, Placing placing, long nowMillis) {
     long targetLeft = Math.min(ask.getTargetLeftMillis(), ask.getDeadlineLeftMillis());
     boolean served = hasCandidates(ask, nowMillis);
     if (!served && ask.getExcludedCount() > 0) {
-      refuse(key, WaitForecast.MIN_RETRY_AFTER_MILLIS, RefusalReason.ALL_TRIED);
+      refuse(key, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.ALL_TRIED);
       return;
     }
     double expected =
-        served ? expectedWaitMillis(ask, placing) : WaitForecast.UNKNOWN_SERVICE_WAIT_MILLIS;
+        served ? expectedWaitMillis(ask, placing) : QueueTimeForecast.UNKNOWN_SERVICE_WAIT_MILLIS;
     long readMillis = forecast.readMillis(ask);
     boolean inTime = served ? expected + readMillis <= targetLeft : targetLeft > expected;
     if (!inTime || waiting.isFull()) {
@@ -169,10 +169,10 @@
       return;
     }
     long mostWait = ask.getEngine() ? targetLeft - readMillis : targetLeft + PLAIN_LATE_MILLIS;
-    long wait = served ? mostWait : WaitForecast.UNKNOWN_SERVICE_WAIT_MILLIS;
+    long wait = served ? mostWait : QueueTimeForecast.UNKNOWN_SERVICE_WAIT_MILLIS;
     long giveUpAt = nowMillis + Math.min(wait, ask.getDeadlineLeftMillis());
     long dueAt = nowMillis + ask.getTargetLeftMillis();
-    waiting.add(new WaitingCall(key, ask, waiting.takeOrder(), dueAt, giveUpAt));
+    waiting.add(new QueuedRequest(key, ask, waiting.takeOrder(), dueAt, giveUpAt));
   }
 
   private double expectedWaitMillis(DispatchAsk ask, Placing placing) {
@@ -183,9 +183,9 @@
   }
 
   /** Notes how far a call's output has come. */
-  public void progressed(CallKey key, int outputTokens, long nowMillis) {
+  public void outputProgressed(RequestId key, int outputTokens, long nowMillis) {
     BackendState backend = backends.runningAt(key);
-    OpenCall call = backend == null ? null : backend.calls.get(key);
+    RunningRequest call = backend == null ? null : backend.calls.get(key);
     if (backend == null || call == null) {
       return;
     }
@@ -200,7 +200,8 @@
   }
 
   /** Notes that a call no longer runs where it was placed, or no longer waits. */
-  public void ended(CallKey key, DispatchOutcome outcome, int outputTokens, long nowMillis) {
+  public void requestEnded(
+      RequestId key, DispatchOutcome outcome, int outputTokens, long nowMillis) {
     if (waiting.remove(key) != null) {
       return;
     }
@@ -218,9 +219,9 @@
   }
 
   private void closed(
-      CallKey key, BackendState backend, DispatchOutcome outcome, int tokens, long nowMillis) {
+      RequestId key, BackendState backend, DispatchOutcome outcome, int tokens, long nowMillis) {
     backends.unplaced(key);
-    OpenCall call = backend.calls.remove(key);
+    RunningRequest call = backend.calls.remove(key);
     if (call == null) {
       return;
     }
@@ -242,29 +243,30 @@
   }
 
   /** Takes in a call that another scheduler placed. */
-  public void restore(
-      CallKey key, DispatchAsk ask, String backendId, int outputTokens, long nowMillis) {
+  public void restoreRunning(
+      RequestId key, DispatchAsk ask, String backendId, int outputTokens, long nowMillis) {
     BackendState backend = backends.get(backendId);
     if (backend == null) {
       return;
     }
-    OpenCall call = new OpenCall(key, ask, forecast.outputTokens(ask), nowMillis);
+    RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
     call.progressed(outputTokens);
     backends.placed(call, backend);
     moves.moveAwayFrom(backend, nowMillis);
   }
 
   /** Notes that a gateway is gone with all its calls. */
-  public void gatewayGone(String gateway, long nowMillis) {
-    List<CallKey> keys = new ArrayList<>(waiting.keys());
+  public void removeGateway(String gateway, long nowMillis) {
+    List<RequestId> keys = new ArrayList<>(waiting.keys());
     keys.addAll(backends.openKeys());
     keys.removeIf(key -> !key.gateway().equals(gateway));
-    keys.forEach(key -> ended(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis));
+    keys.forEach(
+        key -> requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis));
   }
 
   /** Turns away calls whose time to wait is up, and tries the others again. */
   public void tick(long nowMillis) {
-    for (WaitingCall call : waiting.due(nowMillis)) {
+    for (QueuedRequest call : waiting.due(nowMillis)) {
       waiting.remove(call.key());
       if (!placeLate(call.key(), call.ask(), nowMillis)) {
         double expected = expectedWaitMillis(call.ask(), Placing.NO_ROOM);
@@ -280,8 +282,8 @@
   // ---- placing ----------------------------------------------------------------------------------
 
   private void serveQueue(String service, long nowMillis) {
-    NavigableSet<WaitingCall> queue = waiting.of(service);
-    WaitingCall call = queue.isEmpty() ? null : queue.first();
+    NavigableSet<QueuedRequest> queue = waiting.of(service);
+    QueuedRequest call = queue.isEmpty() ? null : queue.first();
     while (call != null) {
       Placing placing = place(call.key(), call.ask(), call.dueAtMillis() - nowMillis, nowMillis);
       if (placing == Placing.PLACED) {
@@ -304,9 +306,9 @@
   }
 
   /** Places a call where it can be in time. */
-  private Placing place(CallKey key, DispatchAsk ask, long targetLeftMillis, long nowMillis) {
-    double share = RoomRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
-    OpenCall call = new OpenCall(key, ask, forecast.outputTokens(ask), nowMillis);
+  private Placing place(RequestId key, DispatchAsk ask, long targetLeftMillis, long nowMillis) {
+    double share = CapacityRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
+    RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
     List<BackendState> withRoom = withRoom(call, share, nowMillis).toList();
     BackendState best =
         cheapest(
@@ -326,13 +328,13 @@
   }
 
   /** Places a call that cannot be in time any more, where that takes no room from others. */
-  private boolean placeLate(CallKey key, DispatchAsk ask, long nowMillis) {
-    OpenCall call = new OpenCall(key, ask, forecast.outputTokens(ask), nowMillis);
+  private boolean placeLate(RequestId key, DispatchAsk ask, long nowMillis) {
+    RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
     boolean othersWait = !waiting.of(ask.getService()).isEmpty();
     double share =
         othersWait
-            ? RoomRules.LATE_MEMORY_SHARE
-            : RoomRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
+            ? CapacityRules.LATE_MEMORY_SHARE
+            : CapacityRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
     Stream<BackendState> withRoom = withRoom(call, share, nowMillis);
     BackendState best = cheapest(withRoom, ask, nowMillis);
     if (best != null) {
@@ -341,8 +343,8 @@
     return best != null;
   }
 
-  private Stream<BackendState> withRoom(OpenCall call, double share, long nowMillis) {
-    EngineSpec engine = backends.engineOf(call.ask.getService());
+  private Stream<BackendState> withRoom(RunningRequest call, double share, long nowMillis) {
+    EngineCapabilities engine = backends.engineOf(call.ask.getService());
     double tokens = call.memoryTokens();
     return backends
         .usable(call.ask, nowMillis)
@@ -351,11 +353,11 @@
 
   private @Nullable BackendState cheapest(
       Stream<BackendState> among, DispatchAsk ask, long nowMillis) {
-    EngineSpec engine = backends.engineOf(ask.getService());
+    EngineCapabilities engine = backends.engineOf(ask.getService());
     return Backends.cheapest(among, backend -> cost(backend, engine, ask, nowMillis));
   }
 
-  private void run(OpenCall call, BackendState best, long nowMillis) {
+  private void run(RunningRequest call, BackendState best, long nowMillis) {
     call.tokensAhead = best.unreadTokens() + call.ask.getPromptTokens();
     backends.placed(call, best);
     best.parts.read(call.ask.getPartsList());
@@ -372,7 +374,7 @@
     int most = Integer.MAX_VALUE;
     for (BackendState backend : backends.all()) {
       if (backend.serves(service)) {
-        for (OpenCall call : backend.calls.values()) {
+        for (RunningRequest call : backend.calls.values()) {
           most = Math.min(most, call.ask.getPriority());
         }
       }
@@ -381,7 +383,7 @@
   }
 
   private double cost(
-      BackendState backend, @Nullable EngineSpec engine, DispatchAsk ask, long nowMillis) {
+      BackendState backend, @Nullable EngineCapabilities engine, DispatchAsk ask, long nowMillis) {
     double far = ask.getDataCentre().equals(backend.registration().getDataCentre()) ? 0 : 1;
     double cold = backend.isCold(nowMillis) ? COLD_WEIGHT_TOKENS : 0;
     if (engine == null) {
@@ -400,14 +402,14 @@
 
   // ---- turning away -----------------------------------------------------------------------------
 
-  private void refuseForRoom(CallKey key, boolean served, double expectedMillis) {
+  private void refuseForRoom(RequestId key, boolean served, double expectedMillis) {
     refuse(
         key,
         forecast.retryAfterMillis(expectedMillis),
-        served ? RefusalReason.NO_ROOM_IN_TIME : RefusalReason.NO_BACKEND);
+        served ? RejectionReason.NO_ROOM_IN_TIME : RejectionReason.NO_BACKEND);
   }
 
-  private void refuse(CallKey key, long retryAfterMillis, RefusalReason reason) {
-    decisions.add(new DispatchDecision.Refuse(key, retryAfterMillis, reason));
+  private void refuse(RequestId key, long retryAfterMillis, RejectionReason reason) {
+    decisions.add(new DispatchDecision.Reject(key, retryAfterMillis, reason));
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/WaitingCalls.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchQueue.java
@@ -9,18 +9,18 @@
 import org.jspecify.annotations.Nullable;
 
 /** The calls that wait for room, by service and rank. Not thread-safe. */
-final class WaitingCalls {
+final class DispatchQueue {
   private static final int MAX_WAITING = 20_000;
 
-  private final Map<String, NavigableSet<WaitingCall>> byService = new HashMap<>();
-  private final Map<CallKey, WaitingCall> byKey = new HashMap<>();
+  private final Map<String, NavigableSet<QueuedRequest>> byService = new HashMap<>();
+  private final Map<RequestId, QueuedRequest> byKey = new HashMap<>();
   private long nextOrder;
 
   int size() {
     return byKey.size();
   }
 
-  boolean contains(CallKey key) {
+  boolean contains(RequestId key) {
     return byKey.containsKey(key);
   }
 
@@ -33,26 +33,26 @@
   }
 
   /** Returns the service's calls, the first to be served first. */
-  NavigableSet<WaitingCall> of(String service) {
-    return byService.computeIfAbsent(service, name -> new TreeSet<>(WaitingCall.BY_RANK));
+  NavigableSet<QueuedRequest> of(String service) {
+    return byService.computeIfAbsent(service, name -> new TreeSet<>(QueuedRequest.BY_RANK));
   }
 
   List<String> services() {
     return List.copyOf(byService.keySet());
   }
 
-  List<CallKey> keys() {
+  List<RequestId> keys() {
     return List.copyOf(byKey.keySet());
   }
 
-  void add(WaitingCall call) {
+  void add(QueuedRequest call) {
     of(call.ask().getService()).add(call);
     byKey.put(call.key(), call);
   }
 
   /** Removes a call; returns it, or null if it does not wait. */
-  @Nullable WaitingCall remove(CallKey key) {
-    WaitingCall call = byKey.remove(key);
+  @Nullable QueuedRequest remove(RequestId key) {
+    QueuedRequest call = byKey.remove(key);
     if (call != null) {
       of(call.ask().getService()).remove(call);
     }
@@ -60,9 +60,9 @@
   }
 
   /** Returns the calls whose time to wait is up. */
-  List<WaitingCall> due(long nowMillis) {
-    List<WaitingCall> due = new ArrayList<>();
-    for (WaitingCall call : byKey.values()) {
+  List<QueuedRequest> due(long nowMillis) {
+    List<QueuedRequest> due = new ArrayList<>();
+    for (QueuedRequest call : byKey.values()) {
       if (nowMillis >= call.giveUpAtMillis()) {
         due.add(call);
       }
--- a/src/main/java/org/curranthaven/internal/dispatch/FailureRates.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
@@ -8,7 +8,7 @@
  * Takes backend servers out of use that fail a part of their calls while their peers do not: a
  * bounded share of them at once, for a time that doubles each time. Not thread-safe.
  */
-final class FailureRates {
+final class FailureRateEjector {
   /** Failures among recent calls above which a backend server is an outlier. */
   private static final double OUTLIER_RATE = 0.25;
 
--- a/src/main/java/org/curranthaven/internal/dispatch/CallMoves.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/MigrationPlanner.java
@@ -3,14 +3,14 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.Consumer;
-import org.curranthaven.internal.catalog.EngineSpec;
+import org.curranthaven.internal.catalog.EngineCapabilities;
 import org.jspecify.annotations.Nullable;
 
 /**
  * Moves running calls off engines that leave, and has copies of irreplaceable ones kept. Answers
  * the load under which engines are taken away while their calls run. Not thread-safe.
  */
-final class CallMoves {
+final class MigrationPlanner {
   /** Output still to come below which a call on a leaving backend server is not moved, in ms. */
   private static final double MIN_MOVE_REST_MILLIS = 1_000;
 
@@ -23,10 +23,10 @@
   private static final int MAX_MOVE_ATTEMPTS = 3;
 
   private final Backends backends;
-  private final RoomRules rooms;
+  private final CapacityRules rooms;
   private final Consumer<DispatchDecision> decisions;
 
-  CallMoves(Backends backends, RoomRules rooms, Consumer<DispatchDecision> decisions) {
+  MigrationPlanner(Backends backends, CapacityRules rooms, Consumer<DispatchDecision> decisions) {
     this.backends = backends;
     this.rooms = rooms;
     this.decisions = decisions;
@@ -37,53 +37,59 @@
    * that is whole saves a call, while several that are half made save none. The smallest go first.
    */
   void moveAwayFrom(BackendState source, long nowMillis) {
-    EngineSpec engine = backends.engineOf(source.service());
+    EngineCapabilities engine = backends.engineOf(source.service());
     if (!source.isLeaving() || engine == null || !engine.moves()) {
       return;
     }
     if (source.calls.values().stream().anyMatch(call -> call.moving)) {
       return;
     }
-    List<OpenCall> smallestFirst =
+    List<RunningRequest> smallestFirst =
         source.calls.values().stream()
-            .filter(CallMoves::isWorthMoving)
-            .sorted(Comparator.comparingDouble(OpenCall::memoryTokens))
+            .filter(MigrationPlanner::isWorthMoving)
+            .sorted(Comparator.comparingDouble(RunningRequest::memoryTokens))
             .toList();
-    for (OpenCall call : smallestFirst) {
+    for (RunningRequest call : smallestFirst) {
       if (moveAway(source, call, engine, nowMillis)) {
         return;
       }
     }
   }
 
-  private static boolean isWorthMoving(OpenCall call) {
-    boolean endsSoon = call.remainingTokens() * WaitForecast.TOKEN_MILLIS < MIN_MOVE_REST_MILLIS;
+  private static boolean isWorthMoving(RunningRequest call) {
+    boolean endsSoon =
+        call.remainingTokens() * QueueTimeForecast.TOKEN_MILLIS < MIN_MOVE_REST_MILLIS;
     return call.outputTokens() > 0 && !endsSoon && call.moveAttempts < MAX_MOVE_ATTEMPTS;
   }
 
   /**
    * Orders the move of a call to the engine to which it takes the least; returns whether it did.
    */
-  private boolean moveAway(BackendState source, OpenCall call, EngineSpec engine, long nowMillis) {
-    BackendState target = cheapest(source, call, engine, RoomRules.MEMORY_SHARE, nowMillis);
+  private boolean moveAway(
+      BackendState source, RunningRequest call, EngineCapabilities engine, long nowMillis) {
+    BackendState target = cheapest(source, call, engine, CapacityRules.MEMORY_SHARE, nowMillis);
     if (target == null) {
       return false;
     }
     call.moving = true;
     call.moveAttempts++;
     // Counted at the target from now on, and at the source until the move has ended.
-    OpenCall copy = new OpenCall(call.key, call.ask, call.remainingTokens(), nowMillis);
+    RunningRequest copy = new RunningRequest(call.key, call.ask, call.remainingTokens(), nowMillis);
     copy.progressed(call.outputTokens());
     copy.arriving = true;
     target.calls.put(call.key, copy);
     keepCopy(target, copy, nowMillis);
-    decisions.accept(new DispatchDecision.MoveTo(call.key, target.id(), copy.backup));
+    decisions.accept(new DispatchDecision.Migrate(call.key, target.id(), copy.backup));
     return true;
   }
 
   /** Returns the engine with room to which the call's memory takes the least; null for none. */
   private @Nullable BackendState cheapest(
-      BackendState source, OpenCall call, EngineSpec engine, double memoryShare, long nowMillis) {
+      BackendState source,
+      RunningRequest call,
+      EngineCapabilities engine,
+      double memoryShare,
+      long nowMillis) {
     double tokens = call.memoryTokens();
     return Backends.cheapest(
         backends
@@ -93,7 +99,8 @@
         other -> moveCost(source, other, engine));
   }
 
-  private static double moveCost(BackendState source, BackendState target, EngineSpec engine) {
+  private static double moveCost(
+      BackendState source, BackendState target, EngineCapabilities engine) {
     boolean near =
         source.registration().getDataCentre().equals(target.registration().getDataCentre());
     double memory = target.memoryTokens() / Math.max(1, engine.memoryTokens());
@@ -102,8 +109,8 @@
   }
 
   /** Notes that the call left the source: for the target of its move, or for its copy. */
-  void moved(CallKey key, BackendState source) {
-    OpenCall call = source.calls.remove(key);
+  void moved(RequestId key, BackendState source) {
+    RunningRequest call = source.calls.remove(key);
     backends.forgetIfGone(source);
     BackendState keeper = call == null ? null : backends.get(call.backup);
     if (call != null) {
@@ -113,7 +120,7 @@
       keeper.calls.put(key, call);
     }
     for (BackendState target : backends.all()) {
-      OpenCall arrived = target.calls.get(key);
+      RunningRequest arrived = target.calls.get(key);
       if (arrived != null) {
         arrived.arriving = false;
         backends.nowAt(key, target);
@@ -124,13 +131,13 @@
   }
 
   /** Notes that the call goes on at the source, or has ended there. */
-  void moveFailed(CallKey key, BackendState source) {
-    OpenCall call = source.calls.get(key);
+  void moveFailed(RequestId key, BackendState source) {
+    RunningRequest call = source.calls.get(key);
     if (call != null) {
       call.moving = false;
     }
     for (BackendState other : backends.all()) {
-      OpenCall copy = other == source ? null : other.calls.remove(key);
+      RunningRequest copy = other == source ? null : other.calls.remove(key);
       if (copy != null) {
         dropCopy(copy);
       }
@@ -141,15 +148,16 @@
    * Has a copy of an irreplaceable call kept where memory is left over: at the engine that keeps it
    * and at the service's engines together, so that copies do not take what calls need.
    */
-  void keepCopy(BackendState runsAt, OpenCall call, long nowMillis) {
-    EngineSpec engine = backends.engineOf(runsAt.service());
+  void keepCopy(BackendState runsAt, RunningRequest call, long nowMillis) {
+    EngineCapabilities engine = backends.engineOf(runsAt.service());
     if (engine == null || !engine.backups() || !call.ask.getIrreplaceable()) {
       return;
     }
-    if (memoryFill(runsAt.service(), engine) >= RoomRules.COPY_MEMORY_SHARE) {
+    if (memoryFill(runsAt.service(), engine) >= CapacityRules.COPY_MEMORY_SHARE) {
       return;
     }
-    BackendState keeper = cheapest(runsAt, call, engine, RoomRules.COPY_MEMORY_SHARE, nowMillis);
+    BackendState keeper =
+        cheapest(runsAt, call, engine, CapacityRules.COPY_MEMORY_SHARE, nowMillis);
     if (keeper != null) {
       call.backup = keeper.id();
       keeper.copies.put(call.key, call);
@@ -157,7 +165,7 @@
   }
 
   /** Returns the share of the memory of all the service's engines that is in use. */
-  private double memoryFill(String service, EngineSpec engine) {
+  private double memoryFill(String service, EngineCapabilities engine) {
     double used = 0;
     double all = 0;
     for (BackendState backend : backends.all()) {
@@ -169,7 +177,7 @@
     return all == 0 ? 1 : used / all;
   }
 
-  void dropCopy(OpenCall call) {
+  void dropCopy(RunningRequest call) {
     BackendState keeper = backends.get(call.backup);
     call.backup = "";
     if (keeper != null) {
--- a/src/main/java/org/curranthaven/internal/dispatch/RouteLengths.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
@@ -3,7 +3,7 @@
 import org.curranthaven.internal.transport.wire.DispatchAsk;
 
 /** Forecasts the output of a route's calls from their hints and from earlier outputs. */
-final class RouteLengths {
+final class OutputLengthForecast {
   private static final double NEW_WEIGHT = 0.05;
   private static final double PRIOR_SHARE_OF_MOST = 0.4;
 
--- a/src/main/java/org/curranthaven/internal/dispatch/PromptParts.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
@@ -9,7 +9,7 @@
  * Prompt parts that a backend server read lately and so may hold in its cache; the least recently
  * used are forgotten. Not thread-safe.
  */
-final class PromptParts {
+final class PromptPartCache {
   private static final int MAX_PARTS = 512;
 
   private final Map<String, Integer> tokensById =
--- a/src/main/java/org/curranthaven/internal/dispatch/WaitForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
@@ -13,7 +13,7 @@
  * Forecasts when there is room for a call that none has room for now. Answers the load under which
  * a call that waits in vain costs its caller the time to try elsewhere. Not thread-safe.
  */
-final class WaitForecast {
+final class QueueTimeForecast {
   /** Time that an engine takes for one output token. */
   static final double TOKEN_MILLIS = 10;
 
@@ -48,11 +48,11 @@
   private final Backends backends;
   private final int capacityShares;
   private final RandomGenerator random;
-  private final Map<String, RouteLengths> lengths = new HashMap<>();
+  private final Map<String, OutputLengthForecast> lengths = new HashMap<>();
   private final Map<String, Double> plainMillis = new HashMap<>();
   private final Map<String, Double> readMillisPerToken = new HashMap<>();
 
-  WaitForecast(Backends backends, int capacityShares, RandomGenerator random) {
+  QueueTimeForecast(Backends backends, int capacityShares, RandomGenerator random) {
     this.backends = backends;
     this.capacityShares = capacityShares;
     this.random = random;
@@ -63,12 +63,12 @@
     return lengthsOf(ask).forecast(ask);
   }
 
-  private RouteLengths lengthsOf(DispatchAsk ask) {
-    return lengths.computeIfAbsent(ask.getRoute(), name -> new RouteLengths());
+  private OutputLengthForecast lengthsOf(DispatchAsk ask) {
+    return lengths.computeIfAbsent(ask.getRoute(), name -> new OutputLengthForecast());
   }
 
   /** Learns from a call that was answered. */
-  void answered(OpenCall call, int tokens, long nowMillis) {
+  void answered(RunningRequest call, int tokens, long nowMillis) {
     if (call.ask.getEngine()) {
       lengthsOf(call.ask).finished(tokens);
     } else {
@@ -79,7 +79,7 @@
   }
 
   /** Learns from a call whose first output came. */
-  void replied(OpenCall call, long nowMillis) {
+  void replied(RunningRequest call, long nowMillis) {
     if (call.tokensAhead > 0) {
       double each = (double) (nowMillis - call.placedAtMillis) / call.tokensAhead;
       double bounded = Math.clamp(each, LEAST_READ_MILLIS_PER_TOKEN, MOST_READ_MILLIS_PER_TOKEN);
@@ -114,11 +114,11 @@
   }
 
   /** Returns the time until room is expected for a call behind those that wait. */
-  double expectedWaitMillis(DispatchAsk ask, Collection<WaitingCall> queue) {
+  double expectedWaitMillis(DispatchAsk ask, Collection<QueuedRequest> queue) {
     return ask.getEngine() ? engineWaitMillis(ask, queue) : plainWaitMillis(ask, queue);
   }
 
-  private double plainWaitMillis(DispatchAsk ask, Collection<WaitingCall> queue) {
+  private double plainWaitMillis(DispatchAsk ask, Collection<QueuedRequest> queue) {
     int slots = backends.stayingOf(ask.getService()).mapToInt(BackendState::slots).sum();
     double each = plainMillis.getOrDefault(ask.getService(), FIRST_PLAIN_MILLIS);
     return slots == 0
@@ -126,9 +126,9 @@
         : (queue.size() + 1) * each * capacityShares / slots;
   }
 
-  private double engineWaitMillis(DispatchAsk ask, Collection<WaitingCall> queue) {
+  private double engineWaitMillis(DispatchAsk ask, Collection<QueuedRequest> queue) {
     double needed = needOf(ask);
-    for (WaitingCall ahead : queue) {
+    for (QueuedRequest ahead : queue) {
       if (ahead.ask().getPriority() <= ask.getPriority()) {
         needed += needOf(ahead.ask());
       }
@@ -157,7 +157,7 @@
     return releases;
   }
 
-  private static double restMillis(OpenCall call, double readMillisPerToken) {
+  private static double restMillis(RunningRequest call, double readMillisPerToken) {
     return call.remainingTokens() * TOKEN_MILLIS + call.unreadTokens() * readMillisPerToken;
   }
 
--- a/src/main/java/org/curranthaven/internal/dispatch/WaitingCall.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueuedRequest.java
@@ -10,10 +10,10 @@
  * @param dueAtMillis when its first reply is due
  * @param giveUpAtMillis when it is turned away
  */
-record WaitingCall(
-    CallKey key, DispatchAsk ask, long order, long dueAtMillis, long giveUpAtMillis) {
-  static final Comparator<WaitingCall> BY_RANK =
-      Comparator.comparingInt((WaitingCall call) -> call.ask().getPriority())
-          .thenComparingLong(WaitingCall::dueAtMillis)
-          .thenComparingLong(WaitingCall::order);
+record QueuedRequest(
+    RequestId key, DispatchAsk ask, long order, long dueAtMillis, long giveUpAtMillis) {
+  static final Comparator<QueuedRequest> BY_RANK =
+      Comparator.comparingInt((QueuedRequest call) -> call.ask().getPriority())
+          .thenComparingLong(QueuedRequest::dueAtMillis)
+          .thenComparingLong(QueuedRequest::order);
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/RefusalReason.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RejectionReason.java
@@ -1,7 +1,7 @@
 package org.curranthaven.internal.dispatch;
 
 /** Why a call was turned away. */
-public enum RefusalReason {
+public enum RejectionReason {
   /** No backend server of the service is known. */
   NO_BACKEND,
   /** Room comes too late for the call's target. */
--- a/src/main/java/org/curranthaven/internal/dispatch/CallKey.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RequestId.java
@@ -6,4 +6,4 @@
  * @param gateway name of the gateway
  * @param id number of the call there
  */
-public record CallKey(String gateway, long id) {}
+public record RequestId(String gateway, long id) {}
--- a/src/main/java/org/curranthaven/internal/dispatch/RetryAllowance.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RetryLimits.java
@@ -7,9 +7,9 @@
  * @param slack retries allowed besides, in each window
  * @param windowMillis length of the window
  */
-public record RetryAllowance(double ratio, double slack, long windowMillis) {
+public record RetryLimits(double ratio, double slack, long windowMillis) {
   /** Returns the part of the allowance for one of several hosts that decide alone. */
-  public RetryAllowance sharedBy(int hosts) {
-    return new RetryAllowance(ratio, slack / Math.max(1, hosts), windowMillis);
+  public RetryLimits sharedBy(int hosts) {
+    return new RetryLimits(ratio, slack / Math.max(1, hosts), windowMillis);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/OpenCall.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
@@ -3,7 +3,7 @@
 import org.curranthaven.internal.transport.wire.DispatchAsk;
 
 /** A call that runs on a backend server, as the scheduler sees it. Not thread-safe. */
-final class OpenCall {
+final class RunningRequest {
   /** Part of an output's forecast rest that counts as used: outputs end at different times. */
   private static final double GROWTH_SHARE = 0.6;
 
@@ -12,7 +12,7 @@
 
   private static final int OUTGROWN_TOKENS = 32;
 
-  final CallKey key;
+  final RequestId key;
   final DispatchAsk ask;
   final long placedAtMillis;
   private final int forecastTokens;
@@ -32,7 +32,7 @@
   /** Backend server that keeps a copy; empty for none. */
   String backup = "";
 
-  OpenCall(CallKey key, DispatchAsk ask, int forecastTokens, long placedAtMillis) {
+  RunningRequest(RequestId key, DispatchAsk ask, int forecastTokens, long placedAtMillis) {
     this.key = key;
     this.ask = ask;
     this.forecastTokens = forecastTokens;
--- a/src/main/java/org/curranthaven/internal/dispatch/RetryWindow.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
@@ -4,19 +4,19 @@
  * Bounds the retries of one service over all callers: in any window they stay below a share of the
  * calls plus a fixed number. Not thread-safe.
  */
-final class RetryWindow {
+final class ServiceRetryBudget {
   private static final int BUCKETS = 20;
 
   /** Part of the allowance that is used, since calls are counted where they are placed. */
   private static final double USED_SHARE = 0.8;
 
-  private final RetryAllowance allowance;
+  private final RetryLimits allowance;
   private final long bucketMillis;
   private final long[] bucketNumber = new long[BUCKETS];
   private final int[] calls = new int[BUCKETS];
   private final int[] retries = new int[BUCKETS];
 
-  RetryWindow(RetryAllowance allowance) {
+  ServiceRetryBudget(RetryLimits allowance) {
     this.allowance = allowance;
     this.bucketMillis = Math.max(1, allowance.windowMillis() / BUCKETS);
   }
--- a/src/main/java/org/curranthaven/internal/experiment/PolicyRun.java
+++ b/src/main/java/org/curranthaven/internal/experiment/PolicyRun.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.curranthaven.api.ServiceClass;
+import org.curranthaven.internal.routing.BackendReport;
 import org.curranthaven.internal.routing.OutputLengths;
 import org.curranthaven.internal.routing.Policy;
-import org.curranthaven.internal.routing.RequestFacts;
+import org.curranthaven.internal.routing.RequestAttributes;
 import org.curranthaven.internal.routing.RoutingCore;
 import org.curranthaven.internal.routing.RoutingDecision;
 import org.curranthaven.internal.routing.RoutingEvent;
-import org.curranthaven.internal.routing.ServerReport;
 import org.curranthaven.internal.standin.EngineEvent;
 import org.curranthaven.internal.standin.EngineModel;
 import org.curranthaven.internal.standin.Workloads;
@@ -68,7 +68,7 @@
     final EngineModel model;
     boolean alive = true;
     boolean ready = true;
-    @Nullable ServerReport frozen;
+    @Nullable BackendReport frozen;
     Set<Long> cached = Set.of();
 
     Engine(String name, EngineModel model) {
@@ -198,7 +198,7 @@
 
   private void withdraw(Engine engine) {
     for (int host = 0; host < HOSTS; host++) {
-      handle(host, new RoutingEvent.ServerGone(engine.name));
+      handle(host, new RoutingEvent.BackendRemoved(engine.name));
     }
   }
 
@@ -222,7 +222,9 @@
   private void continueElsewhere(Call call, Engine lost) {
     callByGeneration.remove(call.generation);
     long before = call.id;
-    handle(call.host, new RoutingEvent.Finished(before, call.produced, RoutingEvent.Ending.FAILED));
+    handle(
+        call.host,
+        new RoutingEvent.Finished(before, call.produced, RoutingEvent.RequestOutcome.FAILED));
     calls.remove(before);
     call.excluded.add(lost.name);
     request(call);
@@ -230,10 +232,10 @@
 
   private void report(Engine engine) {
     boolean frozen = scenario.kind() == Scenario.Kind.REPORTS_FROZEN && scenario.inEvent(nowMillis);
-    ServerReport current = engine.frozen;
+    BackendReport current = engine.frozen;
     if (!frozen || current == null) {
       current =
-          new ServerReport(
+          new BackendReport(
               engine.name,
               "a",
               Set.of(scenario.kinds().getFirst().target()),
@@ -246,13 +248,13 @@
               Long.MIN_VALUE / 2);
     }
     engine.frozen = frozen ? current : null;
-    ServerReport sent = current;
+    BackendReport sent = current;
     later(
         freshState || nowMillis == 0 ? 0 : REPORT_LAG_MILLIS,
         () -> {
           if (engine.ready) {
             for (int host = 0; host < HOSTS; host++) {
-              handle(host, new RoutingEvent.ServerReported(sent));
+              handle(host, new RoutingEvent.BackendReported(sent));
             }
           }
         });
@@ -322,7 +324,7 @@
     callByGeneration.remove(call.generation);
     handle(
         call.host,
-        new RoutingEvent.Finished(call.id, call.produced, RoutingEvent.Ending.COMPLETED));
+        new RoutingEvent.Finished(call.id, call.produced, RoutingEvent.RequestOutcome.COMPLETED));
     calls.remove(call.id);
     open--;
     long answer = atMillis - call.arrival.atMillis();
@@ -350,7 +352,7 @@
     handle(
         call.host,
         new RoutingEvent.Arrived(
-            new RequestFacts(
+            new RequestAttributes(
                 call.id,
                 call.arrival.workspace(),
                 call.serviceClass.name(),
@@ -382,12 +384,12 @@
     long offset = clockOffsetMillis[host];
     return switch (event) {
       case RoutingEvent.Arrived arrived -> {
-        RequestFacts request = arrived.request();
+        RequestAttributes request = arrived.request();
         yield new RoutingEvent.Arrived(request.arrivedAt(request.arrivedAtMillis() + offset));
       }
-      case RoutingEvent.ServerReported reported -> {
-        ServerReport report = reported.report();
-        yield new RoutingEvent.ServerReported(report.sentAt(report.sentAtMillis() + offset));
+      case RoutingEvent.BackendReported reported -> {
+        BackendReport report = reported.report();
+        yield new RoutingEvent.BackendReported(report.sentAt(report.sentAtMillis() + offset));
       }
       default -> event;
     };
--- a/src/main/java/org/curranthaven/internal/experiment/TraceReplay.java
+++ b/src/main/java/org/curranthaven/internal/experiment/TraceReplay.java
@@ -13,7 +13,7 @@
 import org.curranthaven.internal.observe.RoutingRecorder;
 import org.curranthaven.internal.routing.ForecastOptions;
 import org.curranthaven.internal.routing.Policy;
-import org.curranthaven.internal.routing.RequestFacts;
+import org.curranthaven.internal.routing.RequestAttributes;
 import org.curranthaven.internal.routing.RoutingCore;
 import org.curranthaven.internal.routing.RoutingDecision;
 import org.curranthaven.internal.routing.RoutingEvent;
@@ -79,7 +79,7 @@
 
   private static final class Tally {
     private final List<String> decisions = new ArrayList<>();
-    private final Map<Long, RequestFacts> requests = new HashMap<>();
+    private final Map<Long, RequestAttributes> requests = new HashMap<>();
     private final Set<Long> open = new HashSet<>();
     private final Set<String> gone = new HashSet<>();
     private final Map<String, Integer> late = new TreeMap<>();
@@ -96,8 +96,8 @@
           requests.put(arrival.request().id(), arrival.request());
         }
         case RoutingEvent.Finished finished -> open.remove(finished.requestId());
-        case RoutingEvent.ServerGone server -> gone.add(server.server());
-        case RoutingEvent.ServerReported reported -> gone.remove(reported.report().name());
+        case RoutingEvent.BackendRemoved server -> gone.add(server.server());
+        case RoutingEvent.BackendReported reported -> gone.remove(reported.report().name());
         default -> {}
       }
     }
@@ -118,7 +118,7 @@
       if (!open.add(dispatch.requestId())) {
         sentTwice++;
       }
-      RequestFacts request = requests.get(dispatch.requestId());
+      RequestAttributes request = requests.get(dispatch.requestId());
       if (request != null && dispatch.reason().slackMillis() < 0) {
         late.merge(request.className(), 1, Integer::sum);
       }
--- a/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
@@ -16,7 +16,7 @@
 import org.curranthaven.api.ServiceClass;
 import org.curranthaven.api.Workspace;
 import org.curranthaven.internal.ledger.Ledger;
-import org.curranthaven.internal.routing.RequestFacts;
+import org.curranthaven.internal.routing.RequestAttributes;
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
@@ -33,13 +33,13 @@
   private static final int MILLIS_PER_SECOND = 1_000;
   private static final Set<String> REPEATED_BY_CLIENTS = Set.of("GET", "HEAD");
 
-  private final CallContext context;
+  private final RequestContext context;
   private final Ledger ledger;
   private final ServiceClient services = new ServiceClient();
   private final int maxBodyBytes;
   private final BooleanSupplier draining;
   private final RandomGenerator random;
-  private final WorkspaceKeys keys = new WorkspaceKeys();
+  private final WorkspaceKeyIndex keys = new WorkspaceKeyIndex();
 
   /** Creates the callers' part of a host. */
   public CallerApi(
@@ -50,7 +50,7 @@
       int maxBodyBytes,
       BooleanSupplier draining,
       RandomGenerator random) {
-    this.context = new CallContext(router, new EngineClient(), clock, metrics);
+    this.context = new RequestContext(router, new EngineClient(), clock, metrics);
     this.ledger = ledger;
     this.maxBodyBytes = maxBodyBytes;
     this.draining = draining;
@@ -59,10 +59,10 @@
 
   /** A request whose caller, class and key are known. */
   private record Admitted(
-      Workspace workspace, ServiceClass serviceClass, RequestKey key, long arrivedAtMillis) {}
+      Workspace workspace, ServiceClass serviceClass, IdempotencyKey key, long arrivedAtMillis) {}
 
   /** Answers one request. */
-  void handle(Exchange exchange) throws IOException, InterruptedException {
+  void handle(HttpRequestContext exchange) throws IOException, InterruptedException {
     long arrivedAtMillis = context.clock().nowMillis();
     String path = exchange.path();
     if (path.equals("/v1/chat/completions")) {
@@ -81,7 +81,7 @@
 
   // ---- completions ------------------------------------------------------------------------------
 
-  private void completion(Exchange exchange, boolean chat, long arrivedAtMillis)
+  private void completion(HttpRequestContext exchange, boolean chat, long arrivedAtMillis)
       throws IOException, InterruptedException {
     if (!exchange.method().equals("POST")) {
       exchange.failure(
@@ -115,7 +115,7 @@
     }
     Admitted admitted = ((Outcome.Success<Admitted>) admission).value();
     context.metrics().requested(admitted.serviceClass().name());
-    RequestFacts facts = facts(admitted, request, model);
+    RequestAttributes facts = facts(admitted, request, model);
     exchange.setHeader("X-Request-Id", admitted.key().key());
     if (admitted.serviceClass().repeatable()) {
       runCompletion(exchange, admitted, request, facts);
@@ -124,12 +124,13 @@
     }
   }
 
-  private static RequestFacts facts(Admitted admitted, CompletionRequest request, Model model) {
+  private static RequestAttributes facts(
+      Admitted admitted, CompletionRequest request, Model model) {
     int limit =
         request.maxTokens() == 0
             ? model.maxOutputTokens()
             : Math.min(request.maxTokens(), model.maxOutputTokens());
-    return new RequestFacts(
+    return new RequestAttributes(
         0,
         admitted.workspace().name(),
         admitted.serviceClass().name(),
@@ -147,7 +148,10 @@
   }
 
   private void runCompletion(
-      Exchange exchange, Admitted admitted, CompletionRequest request, RequestFacts facts)
+      HttpRequestContext exchange,
+      Admitted admitted,
+      CompletionRequest request,
+      RequestAttributes facts)
       throws IOException, InterruptedException {
     CompletionForm form = form(request);
     if (!request.stream()) {
@@ -168,7 +172,7 @@
   }
 
   private void streamed(
-      Exchange exchange,
+      HttpRequestContext exchange,
       Admitted admitted,
       CompletionRequest request,
       StreamingSink sink,
@@ -189,15 +193,15 @@
   }
 
   private Outcome<Completion> run(
-      Admitted admitted, CompletionRequest request, RequestFacts facts, TokenSink sink)
+      Admitted admitted, CompletionRequest request, RequestAttributes facts, TokenSink sink)
       throws InterruptedException, TokenSink.CallerGoneException {
-    return new GenerationCall(
+    return new GenerationHandler(
             context, admitted.key().key(), request, facts, admitted.serviceClass(), sink)
         .run();
   }
 
   private Outcome<Completion> generate(
-      Admitted admitted, CompletionRequest request, RequestFacts facts, CollectingSink sink)
+      Admitted admitted, CompletionRequest request, RequestAttributes facts, CollectingSink sink)
       throws InterruptedException {
     try {
       return run(admitted, request, facts, sink);
@@ -211,10 +215,10 @@
    * asked for a stream gets it as one.
    */
   private void runKeyedCompletion(
-      Exchange exchange,
+      HttpRequestContext exchange,
       Admitted admitted,
       CompletionRequest request,
-      RequestFacts facts,
+      RequestAttributes facts,
       byte[] body)
       throws IOException, InterruptedException {
     CompletionForm form = form(request);
@@ -242,9 +246,12 @@
   }
 
   private static void sendAsStream(
-      Exchange exchange, CompletionForm form, CompletionRequest request, StoredAnswer answer)
+      HttpRequestContext exchange,
+      CompletionForm form,
+      CompletionRequest request,
+      StoredAnswer answer)
       throws IOException {
-    Completion completion = KeptCompletion.parse(answer.getBody());
+    Completion completion = StoredCompletion.parse(answer.getBody());
     StreamingSink sink = new StreamingSink(exchange, form);
     try {
       sink.token(
@@ -264,7 +271,7 @@
         .build();
   }
 
-  private void models(Exchange exchange) throws IOException {
+  private void models(HttpRequestContext exchange) throws IOException {
     exchange.json(
         STATUS_OK,
         Map.of(
@@ -278,7 +285,7 @@
 
   // ---- plain services ---------------------------------------------------------------------------
 
-  private void service(Exchange exchange, long arrivedAtMillis)
+  private void service(HttpRequestContext exchange, long arrivedAtMillis)
       throws IOException, InterruptedException {
     String[] parts = exchange.path().substring(SERVICES_PREFIX.length()).split("/", 2);
     Configuration configuration = context.router().configuration();
@@ -305,7 +312,8 @@
     runService(exchange, admitted, service, bytes);
   }
 
-  private void runService(Exchange exchange, Admitted admitted, PlainService service, byte[] body)
+  private void runService(
+      HttpRequestContext exchange, Admitted admitted, PlainService service, byte[] body)
       throws IOException, InterruptedException {
     String path = exchange.rawPath().substring(SERVICES_PREFIX.length() + service.name().length());
     String contentType = exchange.header("Content-Type");
@@ -317,8 +325,9 @@
             contentType == null ? "" : contentType,
             ByteString.copyFrom(body),
             repeatable ? "" : admitted.key().key());
-    RequestFacts facts = serviceFacts(admitted, service);
-    ServiceCall call = new ServiceCall(context, services, admitted.serviceClass());
+    RequestAttributes facts = serviceFacts(admitted, service);
+    ServiceRequestHandler call =
+        new ServiceRequestHandler(context, services, admitted.serviceClass());
     exchange.setHeader("X-Request-Id", admitted.key().key());
     if (!repeatable && REPEATED_BY_CLIENTS.contains(exchange.method())) {
       exchange.failure(
@@ -344,8 +353,8 @@
     }
   }
 
-  private static RequestFacts serviceFacts(Admitted admitted, PlainService service) {
-    return new RequestFacts(
+  private static RequestAttributes serviceFacts(Admitted admitted, PlainService service) {
+    return new RequestAttributes(
         0,
         admitted.workspace().name(),
         admitted.serviceClass().name(),
@@ -361,22 +370,25 @@
   // ---- shared -----------------------------------------------------------------------------------
 
   private Outcome<StoredAnswer> keyed(
-      Admitted admitted, ByteString hash, KeyedCall.Execution execution)
+      Admitted admitted, ByteString hash, IdempotentRequestHandler.Execution execution)
       throws InterruptedException {
-    RequestKey key = admitted.key();
+    IdempotencyKey key = admitted.key();
     Ledger.ClaimRequest claim =
         new Ledger.ClaimRequest(
             admitted.workspace().name(),
             key.key(),
             key.issuedAtMillis(),
             hash,
-            RequestKey.uuidWithTime(key.issuedAtMillis(), random).toString());
-    return new KeyedCall(ledger, context.router(), context.clock())
+            IdempotencyKey.uuidWithTime(key.issuedAtMillis(), random).toString());
+    return new IdempotentRequestHandler(ledger, context.router(), context.clock())
         .run(claim, admitted.serviceClass().targets().answerMillis(), execution);
   }
 
   private Outcome<Admitted> admit(
-      Exchange exchange, Configuration configuration, String defaultClass, long arrivedAtMillis) {
+      HttpRequestContext exchange,
+      Configuration configuration,
+      String defaultClass,
+      long arrivedAtMillis) {
     if (draining.getAsBoolean()) {
       return Outcome.failed(
           Failure.retryLater(ResultCode.HOST_DRAINING, "this host is stopping", 1));
@@ -408,26 +420,27 @@
       return Outcome.failed(
           ResultCode.UNKNOWN_CLASS, "class '" + className + "' is not configured");
     }
-    Outcome<RequestKey> key =
-        RequestKey.of(
+    Outcome<IdempotencyKey> key =
+        IdempotencyKey.of(
             serviceClass.repeatable() ? null : exchange.header(KEY_HEADER),
             exchange.header(ISSUED_AT_HEADER),
             context.clock().epochMillis(),
             random);
     return switch (key) {
-      case Outcome.Success<RequestKey> success ->
+      case Outcome.Success<IdempotencyKey> success ->
           Outcome.success(new Admitted(workspace, serviceClass, success.value(), arrivedAtMillis));
-      case Outcome.Failed<RequestKey> failed -> Outcome.failed(failed.failure());
+      case Outcome.Failed<IdempotencyKey> failed -> Outcome.failed(failed.failure());
     };
   }
 
   /** Refuses a request that was not admitted; a resent one may have run before. */
-  private void refuse(Exchange exchange, Failure failure) throws IOException {
+  private void refuse(HttpRequestContext exchange, Failure failure) throws IOException {
     boolean resent = exchange.header(KEY_HEADER) != null;
-    exchange.failure(resent ? KeyedErrors.earlierAttemptMayHaveRun(failure) : failure);
+    exchange.failure(resent ? IdempotencyErrors.earlierAttemptMayHaveRun(failure) : failure);
   }
 
-  private void fail(Exchange exchange, Admitted admitted, Failure failure) throws IOException {
+  private void fail(HttpRequestContext exchange, Admitted admitted, Failure failure)
+      throws IOException {
     context.metrics().failed(admitted.serviceClass().name(), failure.code());
     exchange.failure(failure);
   }
--- a/src/main/java/org/curranthaven/internal/gateway/CallerServer.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerServer.java
@@ -24,7 +24,7 @@
   /** Handles the requests of operators and backend servers. */
   public interface Handler {
     /** Answers the request; returns false if the path is not its own. */
-    boolean handle(Exchange exchange) throws IOException, InterruptedException;
+    boolean handle(HttpRequestContext exchange) throws IOException, InterruptedException;
   }
 
   /** Creates the server; it listens while {@link #run} runs. */
@@ -56,7 +56,7 @@
   }
 
   private void handle(HttpExchange http) {
-    try (Exchange exchange = new Exchange(http)) {
+    try (HttpRequestContext exchange = new HttpRequestContext(http)) {
       try {
         dispatch(exchange);
       } catch (InterruptedException e) {
@@ -71,13 +71,14 @@
     }
   }
 
-  private static void failIfUnanswered(Exchange exchange, Failure failure) throws IOException {
+  private static void failIfUnanswered(HttpRequestContext exchange, Failure failure)
+      throws IOException {
     if (!exchange.answered()) {
       exchange.failure(failure);
     }
   }
 
-  private void dispatch(Exchange exchange) throws IOException, InterruptedException {
+  private void dispatch(HttpRequestContext exchange) throws IOException, InterruptedException {
     if (operators.handle(exchange)) {
       return;
     }
--- a/src/main/java/org/curranthaven/internal/gateway/GenerationCall.java
+++ b/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
@@ -10,8 +10,8 @@
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.api.ServiceClass;
 import org.curranthaven.internal.membership.BackendAnnouncement;
-import org.curranthaven.internal.routing.RequestFacts;
-import org.curranthaven.internal.routing.RoutingEvent.Ending;
+import org.curranthaven.internal.routing.RequestAttributes;
+import org.curranthaven.internal.routing.RoutingEvent.RequestOutcome;
 import org.curranthaven.internal.supervision.Clock;
 import org.jspecify.annotations.Nullable;
 
@@ -19,7 +19,7 @@
  * One completion from choice of an engine to its last token: carries out what {@link StreamRelay}
  * decides. Runs on the caller's virtual thread.
  */
-final class GenerationCall {
+final class GenerationHandler {
   /** Shortest silence after which a stream is asked again, in milliseconds. */
   static final long MIN_SILENCE_MILLIS = 400;
 
@@ -43,7 +43,7 @@
   private final Metrics metrics;
   private final String requestName;
   private final CompletionRequest request;
-  private final RequestFacts facts;
+  private final RequestAttributes facts;
   private final ServiceClass serviceClass;
   private final TokenSink sink;
   private final StreamRelay relay;
@@ -65,11 +65,11 @@
     record Failed(Failure failure) implements AttemptEnd {}
   }
 
-  GenerationCall(
-      CallContext context,
+  GenerationHandler(
+      RequestContext context,
       String requestName,
       CompletionRequest request,
-      RequestFacts facts,
+      RequestAttributes facts,
       ServiceClass serviceClass,
       TokenSink sink) {
     this.router = context.router();
@@ -96,7 +96,7 @@
       }
       Assignment assignment = ((Outcome.Success<Assignment>) routed).value();
       if (takeOver && assignment.server().resume() != BackendAnnouncement.Resume.TAKEOVER) {
-        router.finished(assignment.requestId(), 0, Ending.CANCELLED);
+        router.finished(assignment.requestId(), 0, RequestOutcome.CANCELLED);
         return Outcome.failed(lost("no other engine can continue it"));
       }
       AttemptEnd end = attempt(assignment, takeOver);
@@ -127,7 +127,7 @@
     }
   }
 
-  private RequestFacts factsFor(boolean takeOver) {
+  private RequestAttributes factsFor(boolean takeOver) {
     Set<String> without = new HashSet<>(excluded);
     if (takeOver) {
       without.addAll(router.serversWithoutTakeover());
@@ -177,7 +177,7 @@
       return attempt.run();
     } catch (TokenSink.CallerGoneException e) {
       client.cancel(engine.address(), generation);
-      attempt.ending = Ending.CANCELLED;
+      attempt.ending = RequestOutcome.CANCELLED;
       throw e;
     } finally {
       attempt.stream.close();
@@ -215,7 +215,7 @@
     private final Assignment assignment;
     private final BackendAnnouncement engine;
     private EngineStream stream;
-    private Ending ending = Ending.FAILED;
+    private RequestOutcome ending = RequestOutcome.FAILED;
     private boolean resumed;
     private long quietSinceMillis = clock.nowMillis();
     private long probedAtMillis = quietSinceMillis;
@@ -282,7 +282,7 @@
     }
 
     private AttemptEnd completed(String finishReason) {
-      ending = Ending.COMPLETED;
+      ending = RequestOutcome.COMPLETED;
       return new AttemptEnd.Completed(
           new Completion(
               relay.generation(),
@@ -325,11 +325,11 @@
       }
       int status = rejected.status();
       if (status == STATUS_TOO_MANY || status == STATUS_UNAVAILABLE) {
-        ending = Ending.REFUSED;
+        ending = RequestOutcome.REFUSED;
         return act(relay.handle(new StreamRelay.Event.Refused()));
       }
       if (status >= STATUS_CLIENT_ERROR && status < STATUS_SERVER_ERROR) {
-        ending = Ending.CANCELLED;
+        ending = RequestOutcome.CANCELLED;
         return new AttemptEnd.Failed(
             Failure.of(
                 ResultCode.BACKEND_REFUSED,
@@ -341,7 +341,7 @@
     private @Nullable AttemptEnd notConnected() throws TokenSink.CallerGoneException {
       boolean nothingSent = !resumed && relay.nextIndex() == 0;
       if (nothingSent) {
-        ending = Ending.REFUSED;
+        ending = RequestOutcome.REFUSED;
         return act(relay.handle(new StreamRelay.Event.Refused()));
       }
       return act(relay.handle(new StreamRelay.Event.EngineLost()));
@@ -359,7 +359,7 @@
           yield new AttemptEnd.TakeOver(engine);
         }
         case START_AGAIN -> {
-          boolean refused = ending == Ending.REFUSED;
+          boolean refused = ending == RequestOutcome.REFUSED;
           if (!refused) {
             client.cancel(engine.address(), relay.generation());
           }
--- a/src/main/java/org/curranthaven/internal/gateway/Exchange.java
+++ b/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** One HTTP request and its answer. */
-public final class Exchange implements AutoCloseable {
+public final class HttpRequestContext implements AutoCloseable {
   private static final int STATUS_OK = 200;
   private static final int STATUS_NO_CONTENT = 204;
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -21,7 +21,7 @@
   private boolean answered;
 
   /** Wraps the server's exchange. */
-  public Exchange(HttpExchange http) {
+  public HttpRequestContext(HttpExchange http) {
     this.http = http;
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/KeyedErrors.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotencyErrors.java
@@ -4,8 +4,8 @@
 import org.curranthaven.api.Ran;
 
 /** Errors of calls that carry a caller's own Idempotency-Key. */
-final class KeyedErrors {
-  private KeyedErrors() {}
+final class IdempotencyErrors {
+  private IdempotencyErrors() {}
 
   /**
    * Returns the failure for a call whose key was not looked up: this attempt did not run, but an
--- a/src/main/java/org/curranthaven/internal/gateway/RequestKey.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotencyKey.java
@@ -13,7 +13,7 @@
  * @param issuedAtMillis when it was issued, in epoch milliseconds
  * @param fromCaller whether the caller sent it
  */
-record RequestKey(String key, long issuedAtMillis, boolean fromCaller) {
+record IdempotencyKey(String key, long issuedAtMillis, boolean fromCaller) {
   private static final int MAX_KEY_CHARS = 128;
   private static final int UUID_VERSION_WITH_TIME = 7;
 
@@ -23,14 +23,14 @@
    * @param header value of Idempotency-Key
    * @param issuedAtHeader value of Curranthaven-Issued-At, in epoch milliseconds
    */
-  static Outcome<RequestKey> of(
+  static Outcome<IdempotencyKey> of(
       @Nullable String header,
       @Nullable String issuedAtHeader,
       long epochMillis,
       RandomGenerator random) {
     if (header == null || header.isBlank()) {
       return Outcome.success(
-          new RequestKey(uuidWithTime(epochMillis, random).toString(), epochMillis, false));
+          new IdempotencyKey(uuidWithTime(epochMillis, random).toString(), epochMillis, false));
     }
     if (header.length() > MAX_KEY_CHARS) {
       return Outcome.failed(
@@ -43,20 +43,22 @@
     return withTimeInside(header);
   }
 
-  private static Outcome<RequestKey> withIssueTime(String header, String issuedAtHeader) {
+  private static Outcome<IdempotencyKey> withIssueTime(String header, String issuedAtHeader) {
     try {
-      return Outcome.success(new RequestKey(header, Long.parseLong(issuedAtHeader.strip()), true));
+      return Outcome.success(
+          new IdempotencyKey(header, Long.parseLong(issuedAtHeader.strip()), true));
     } catch (NumberFormatException e) {
       return Outcome.failed(
           ResultCode.INVALID_PARAMETER, "Curranthaven-Issued-At is not a number of milliseconds");
     }
   }
 
-  private static Outcome<RequestKey> withTimeInside(String header) {
+  private static Outcome<IdempotencyKey> withTimeInside(String header) {
     try {
       UUID uuid = UUID.fromString(header);
       if (uuid.version() == UUID_VERSION_WITH_TIME) {
-        return Outcome.success(new RequestKey(header, uuid.getMostSignificantBits() >>> 16, true));
+        return Outcome.success(
+            new IdempotencyKey(header, uuid.getMostSignificantBits() >>> 16, true));
       }
     } catch (IllegalArgumentException e) {
       // Answered below, as a UUID of another version is.
--- a/src/main/java/org/curranthaven/internal/gateway/KeyedCall.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
@@ -13,7 +13,7 @@
  * Runs a call that may not be repeated at most once: claims its key first, keeps its answer, and
  * gives every later caller with the same key that answer.
  */
-final class KeyedCall {
+final class IdempotentRequestHandler {
   /** Largest answer that is kept, in bytes; a longer one is kept as an error that says so. */
   static final int MAX_KEPT_BYTES = 256 * 1024;
 
@@ -23,7 +23,7 @@
   private final Router router;
   private final Clock clock;
 
-  KeyedCall(Ledger ledger, Router router, Clock clock) {
+  IdempotentRequestHandler(Ledger ledger, Router router, Clock clock) {
     this.ledger = ledger;
     this.router = router;
     this.clock = clock;
@@ -82,7 +82,7 @@
           new Failure(failure.code(), Ran.UNKNOWN, failure.message(), failure.retryAfterMillis()));
     }
     if (failure.code() == ResultCode.LEDGER_UNAVAILABLE) {
-      return Outcome.failed(KeyedErrors.earlierAttemptMayHaveRun(failure));
+      return Outcome.failed(IdempotencyErrors.earlierAttemptMayHaveRun(failure));
     }
     return Outcome.failed(failure);
   }
--- a/src/main/java/org/curranthaven/internal/gateway/CallContext.java
+++ b/src/main/java/org/curranthaven/internal/gateway/RequestContext.java
@@ -3,4 +3,4 @@
 import org.curranthaven.internal.supervision.Clock;
 
 /** What calls share on one host. */
-record CallContext(Router router, EngineClient engines, Clock clock, Metrics metrics) {}
+record RequestContext(Router router, EngineClient engines, Clock clock, Metrics metrics) {}
--- a/src/main/java/org/curranthaven/internal/gateway/Router.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Router.java
@@ -5,7 +5,7 @@
 import org.curranthaven.api.Outcome;
 import org.curranthaven.api.Workspace;
 import org.curranthaven.internal.membership.BackendAnnouncement;
-import org.curranthaven.internal.routing.RequestFacts;
+import org.curranthaven.internal.routing.RequestAttributes;
 import org.curranthaven.internal.routing.RoutingEvent;
 import org.jspecify.annotations.Nullable;
 
@@ -25,13 +25,14 @@
    *
    * @param requestName name by which the decision can be explained later
    */
-  Outcome<Assignment> route(RequestFacts request, String requestName) throws InterruptedException;
+  Outcome<Assignment> route(RequestAttributes request, String requestName)
+      throws InterruptedException;
 
   /** Notes that a request has produced {@code tokens} tokens so far. */
   void progressed(long requestId, int tokens);
 
   /** Notes that a request has ended on its server. */
-  void finished(long requestId, int tokens, RoutingEvent.Ending ending);
+  void finished(long requestId, int tokens, RoutingEvent.RequestOutcome ending);
 
   /** Returns the server's latest announcement while its lease lasts, in any state. */
   @Nullable BackendAnnouncement alive(String server);
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceCall.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
@@ -7,23 +7,23 @@
 import org.curranthaven.api.Ran;
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.api.ServiceClass;
-import org.curranthaven.internal.routing.RequestFacts;
-import org.curranthaven.internal.routing.RoutingEvent.Ending;
+import org.curranthaven.internal.routing.RequestAttributes;
+import org.curranthaven.internal.routing.RoutingEvent.RequestOutcome;
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
 /** One call of a plain service, with retries where the class and the attempts allow them. */
-final class ServiceCall {
+final class ServiceRequestHandler {
   /** Shortest time that an attempt of a repeatable call gets, in milliseconds. */
   private static final long MIN_ATTEMPT_MILLIS = 250;
 
   private static final int MAX_ATTEMPTS = 4;
 
-  private final CallContext context;
+  private final RequestContext context;
   private final ServiceClient client;
   private final ServiceClass serviceClass;
 
-  ServiceCall(CallContext context, ServiceClient client, ServiceClass serviceClass) {
+  ServiceRequestHandler(RequestContext context, ServiceClient client, ServiceClass serviceClass) {
     this.context = context;
     this.client = client;
     this.serviceClass = serviceClass;
@@ -31,7 +31,7 @@
 
   /** Runs the call to its end. */
   Outcome<StoredAnswer> run(
-      String requestName, RequestFacts first, ServiceClient.ServiceRequest request)
+      String requestName, RequestAttributes first, ServiceClient.ServiceRequest request)
       throws InterruptedException {
     Router router = context.router();
     Set<String> excluded = new HashSet<>();
@@ -82,7 +82,7 @@
 
   private ServiceClient.Attempt attempt(
       Assignment assignment,
-      RequestFacts first,
+      RequestAttributes first,
       ServiceClient.ServiceRequest request,
       boolean fresh)
       throws InterruptedException {
@@ -92,15 +92,15 @@
         serviceClass.repeatable()
             ? Math.min(left, Math.max(MIN_ATTEMPT_MILLIS, first.targets().firstReplyMillis()))
             : left;
-    Ending ending = Ending.FAILED;
+    RequestOutcome ending = RequestOutcome.FAILED;
     try {
       ServiceClient.Attempt attempt =
           client.call(assignment.server().address(), request, timeout, fresh);
       ending =
           switch (attempt) {
-            case ServiceClient.Attempt.Answered answered -> Ending.COMPLETED;
-            case ServiceClient.Attempt.Refused refused -> Ending.REFUSED;
-            case ServiceClient.Attempt.Unknown unknown -> Ending.FAILED;
+            case ServiceClient.Attempt.Answered answered -> RequestOutcome.COMPLETED;
+            case ServiceClient.Attempt.Refused refused -> RequestOutcome.REFUSED;
+            case ServiceClient.Attempt.Unknown unknown -> RequestOutcome.FAILED;
           };
       return attempt;
     } finally {
--- a/src/main/java/org/curranthaven/internal/gateway/KeptCompletion.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StoredCompletion.java
@@ -7,8 +7,8 @@
 import org.curranthaven.internal.settings.Json;
 
 /** Reads a kept whole answer back. */
-final class KeptCompletion {
-  private KeptCompletion() {}
+final class StoredCompletion {
+  private StoredCompletion() {}
 
   /** Parses an answer that {@link CompletionForm#whole} wrote. */
   static Completion parse(ByteString body) {
--- a/src/main/java/org/curranthaven/internal/gateway/StreamingSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StreamingSink.java
@@ -12,12 +12,12 @@
  * an error before it has a status of its own.
  */
 final class StreamingSink implements TokenSink {
-  private final Exchange exchange;
+  private final HttpRequestContext context;
   private final CompletionForm form;
   private @Nullable OutputStream out;
 
-  StreamingSink(Exchange exchange, CompletionForm form) {
-    this.exchange = exchange;
+  StreamingSink(HttpRequestContext context, CompletionForm form) {
+    this.context = context;
     this.form = form;
   }
 
@@ -61,8 +61,8 @@
   private void send(String event) throws CallerGoneException {
     try {
       if (out == null) {
-        exchange.setHeader("Cache-Control", "no-cache");
-        out = exchange.begin("text/event-stream");
+        context.setHeader("Cache-Control", "no-cache");
+        out = context.begin("text/event-stream");
       }
       out.write(event.getBytes(StandardCharsets.UTF_8));
       out.flush();
--- a/src/main/java/org/curranthaven/internal/gateway/WorkspaceKeys.java
+++ b/src/main/java/org/curranthaven/internal/gateway/WorkspaceKeyIndex.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Finds the workspace of a bearer key. Thread-safe. */
-final class WorkspaceKeys {
+final class WorkspaceKeyIndex {
   private static final String BEARER = "Bearer ";
 
   private volatile Index index = new Index(-1, Map.of());
--- a/src/main/java/org/curranthaven/internal/host/AdminApi.java
+++ b/src/main/java/org/curranthaven/internal/host/AdminApi.java
@@ -16,7 +16,7 @@
 import org.curranthaven.internal.configuration.ChangeResult;
 import org.curranthaven.internal.configuration.ConfigurationChange;
 import org.curranthaven.internal.gateway.CallerServer;
-import org.curranthaven.internal.gateway.Exchange;
+import org.curranthaven.internal.gateway.HttpRequestContext;
 import org.curranthaven.internal.gateway.Metrics;
 import org.curranthaven.internal.membership.BackendAnnouncement;
 import org.curranthaven.internal.observe.ExplainLog;
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public boolean handle(Exchange exchange) throws IOException, InterruptedException {
+  public boolean handle(HttpRequestContext exchange) throws IOException, InterruptedException {
     String path = exchange.path();
     switch (path) {
       case "/healthz" -> exchange.json(STATUS_OK, Map.of("alive", true));
@@ -82,7 +82,7 @@
     return true;
   }
 
-  private void ready(Exchange exchange) throws IOException {
+  private void ready(HttpRequestContext exchange) throws IOException {
     boolean fresh = decisions.mayServe();
     boolean ready = fresh && !draining.getAsBoolean();
     exchange.json(
@@ -90,7 +90,7 @@
         Map.of("ready", ready, "draining", draining.getAsBoolean(), "fresh", fresh));
   }
 
-  private void announce(Exchange exchange) throws IOException {
+  private void announce(HttpRequestContext exchange) throws IOException {
     Outcome<byte[]> body = exchange.body(MAX_BODY_BYTES);
     switch (body) {
       case Outcome.Failed<byte[]> failed -> exchange.failure(failed.failure());
@@ -113,7 +113,7 @@
   /** A prefix that came into the cache, or left it. */
   record CacheEvent(long prefixHash, boolean present) {}
 
-  private void cacheEvents(Exchange exchange) throws IOException {
+  private void cacheEvents(HttpRequestContext exchange) throws IOException {
     Outcome<byte[]> body = exchange.body(MAX_BODY_BYTES);
     switch (body) {
       case Outcome.Failed<byte[]> failed -> exchange.failure(failed.failure());
@@ -132,7 +132,7 @@
     }
   }
 
-  private void change(Exchange exchange) throws IOException, InterruptedException {
+  private void change(HttpRequestContext exchange) throws IOException, InterruptedException {
     Outcome<byte[]> body = exchange.body(MAX_BODY_BYTES);
     switch (body) {
       case Outcome.Failed<byte[]> failed -> exchange.failure(failed.failure());
@@ -140,7 +140,8 @@
     }
   }
 
-  private void change(Exchange exchange, byte[] body) throws IOException, InterruptedException {
+  private void change(HttpRequestContext exchange, byte[] body)
+      throws IOException, InterruptedException {
     ConfigurationChange change;
     try {
       change = Json.MAPPER.readValue(body, ConfigurationChange.class);
@@ -155,7 +156,7 @@
     }
   }
 
-  private static void answer(Exchange exchange, ChangeResult result) throws IOException {
+  private static void answer(HttpRequestContext exchange, ChangeResult result) throws IOException {
     switch (result) {
       case ChangeResult.Committed committed -> exchange.json(STATUS_OK, committed);
       case ChangeResult.Conflict conflict ->
@@ -171,14 +172,15 @@
     }
   }
 
-  private static void reply(Exchange exchange, Outcome<ObjectNode> outcome) throws IOException {
+  private static void reply(HttpRequestContext exchange, Outcome<ObjectNode> outcome)
+      throws IOException {
     switch (outcome) {
       case Outcome.Failed<ObjectNode> failed -> exchange.failure(failed.failure());
       case Outcome.Success<ObjectNode> success -> exchange.json(STATUS_OK, success.value());
     }
   }
 
-  private void backends(Exchange exchange) throws IOException, InterruptedException {
+  private void backends(HttpRequestContext exchange) throws IOException, InterruptedException {
     try {
       exchange.json(STATUS_OK, decisions.view().get(DUMP_MILLIS, TimeUnit.MILLISECONDS).servers());
     } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/org/curranthaven/internal/host/ServerReports.java
+++ b/src/main/java/org/curranthaven/internal/host/BackendReports.java
@@ -3,23 +3,23 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.curranthaven.internal.membership.BackendAnnouncement;
-import org.curranthaven.internal.routing.ServerReport;
+import org.curranthaven.internal.routing.BackendReport;
 
 /** Turns announcements into reports for the routing core. */
-final class ServerReports {
-  private ServerReports() {}
+final class BackendReports {
+  private BackendReports() {}
 
   /**
    * Returns the report.
    *
    * @param readyAtMillis since when the server has been ready
    */
-  static ServerReport of(BackendAnnouncement server, long sentAtMillis, long readyAtMillis) {
+  static BackendReport of(BackendAnnouncement server, long sentAtMillis, long readyAtMillis) {
     Set<String> models = new HashSet<>(server.models());
     if (!server.service().isEmpty()) {
       models.add("service:" + server.service());
     }
-    return new ServerReport(
+    return new BackendReport(
         server.name(),
         server.dataCentre(),
         models,
--- a/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
+++ b/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
@@ -21,14 +21,14 @@
 import org.curranthaven.internal.configuration.Deltas;
 import org.curranthaven.internal.configuration.FreshnessCore;
 import org.curranthaven.internal.gateway.Assignment;
-import org.curranthaven.internal.gateway.RequestNumbers;
+import org.curranthaven.internal.gateway.RequestIdSequence;
 import org.curranthaven.internal.gateway.RetryBudget;
 import org.curranthaven.internal.gateway.Router;
 import org.curranthaven.internal.membership.BackendAnnouncement;
 import org.curranthaven.internal.membership.BackendView;
 import org.curranthaven.internal.observe.ExplainLog;
 import org.curranthaven.internal.observe.RoutingRecorder;
-import org.curranthaven.internal.routing.RequestFacts;
+import org.curranthaven.internal.routing.RequestAttributes;
 import org.curranthaven.internal.routing.RoutingCore;
 import org.curranthaven.internal.routing.RoutingDecision;
 import org.curranthaven.internal.routing.RoutingEvent;
@@ -62,7 +62,7 @@
   private final BackendView backends = new BackendView();
   private final RetryBudget retryBudget;
   private final WorkspaceLimiter limiter = new WorkspaceLimiter();
-  private final RequestNumbers numbers = new RequestNumbers();
+  private final RequestIdSequence requestIds = new RequestIdSequence();
   private final Map<String, BackendAnnouncement> aliveBackends = new ConcurrentHashMap<>();
   private RoutingCore routing;
   private volatile Configuration configuration = Configuration.empty();
@@ -71,7 +71,7 @@
   private long nextForgetMillis;
 
   private record Pending(
-      RequestFacts request, String name, CompletableFuture<Outcome<Assignment>> future) {}
+      RequestAttributes request, String name, CompletableFuture<Outcome<Assignment>> future) {}
 
   /** Tells which hosts' processes are alive. */
   public interface LivePeers {
@@ -236,7 +236,7 @@
 
   /** Notes that another host has gone. */
   public void hostGone(String host) {
-    execute(() -> handle(new RoutingEvent.HostGone(host)));
+    execute(() -> handle(new RoutingEvent.HostRemoved(host)));
   }
 
   /** What this host tells the others. */
@@ -266,13 +266,13 @@
     long sentAt = backends.sentAtMillis(name);
     routable.add(name);
     long readyAt = readySinceMillis.computeIfAbsent(name, n -> nowMillis);
-    handle(new RoutingEvent.ServerReported(ServerReports.of(usable, sentAt, readyAt)));
+    handle(new RoutingEvent.BackendReported(BackendReports.of(usable, sentAt, readyAt)));
   }
 
   private void withdraw(String name) {
     readySinceMillis.remove(name);
     if (routable.remove(name)) {
-      handle(new RoutingEvent.ServerGone(name));
+      handle(new RoutingEvent.BackendRemoved(name));
     }
   }
 
@@ -280,11 +280,11 @@
 
   @Override
   public long nextRequestId() {
-    return numbers.next();
+    return requestIds.next();
   }
 
   @Override
-  public Outcome<Assignment> route(RequestFacts request, String requestName)
+  public Outcome<Assignment> route(RequestAttributes request, String requestName)
       throws InterruptedException {
     CompletableFuture<Outcome<Assignment>> future = new CompletableFuture<>();
     execute(
@@ -313,7 +313,7 @@
   }
 
   @Override
-  public void finished(long requestId, int tokens, RoutingEvent.Ending ending) {
+  public void finished(long requestId, int tokens, RoutingEvent.RequestOutcome ending) {
     execute(() -> handle(new RoutingEvent.Finished(requestId, tokens, ending)));
   }
 
@@ -377,7 +377,7 @@
         Pending request = pending.remove(shed.requestId());
         if (request != null) {
           explain(request.name(), "given up: " + shed.reason(), shed);
-          request.future().complete(Outcome.failed(Sheds.failure(shed)));
+          request.future().complete(Outcome.failed(ShedMessages.failure(shed)));
         }
       }
     }
@@ -407,7 +407,7 @@
   }
 
   private void cancelPlacement(long requestId) {
-    handle(new RoutingEvent.Finished(requestId, 0, RoutingEvent.Ending.CANCELLED));
+    handle(new RoutingEvent.Finished(requestId, 0, RoutingEvent.RequestOutcome.CANCELLED));
   }
 
   private void explain(String requestName, String decision, Object figures) {
--- a/src/main/java/org/curranthaven/internal/host/Sheds.java
+++ b/src/main/java/org/curranthaven/internal/host/ShedMessages.java
@@ -5,8 +5,8 @@
 import org.curranthaven.internal.routing.RoutingDecision;
 
 /** Words the reasons for which a request is given up. */
-final class Sheds {
-  private Sheds() {}
+final class ShedMessages {
+  private ShedMessages() {}
 
   static Failure failure(RoutingDecision.Shed shed) {
     return switch (shed.reason()) {
--- a/src/main/java/org/curranthaven/internal/relay/Attempt.java
+++ b/src/main/java/org/curranthaven/internal/relay/Attempt.java
@@ -19,7 +19,7 @@
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private final EventSplitter splitter = new EventSplitter();
   private @Nullable BackendConnection connection;
-  private @Nullable AnswerHead head;
+  private @Nullable ResponseHead head;
   private @Nullable HttpResponse response;
   private boolean streaming;
   private boolean cancelled;
@@ -107,7 +107,7 @@
   }
 
   @Override
-  public void head(AnswerHead answerHead, HttpResponse answer) {
+  public void head(ResponseHead answerHead, HttpResponse answer) {
     head = answerHead;
     response = answer;
     heard = true;
@@ -146,7 +146,7 @@
 
   @Override
   public void whole() {
-    AnswerHead answer = head;
+    ResponseHead answer = head;
     HttpResponse whole = response;
     if (answer == null || whole == null) {
       end(new AttemptResult.Broken("an answer without a status"));
--- a/src/main/java/org/curranthaven/internal/relay/AttemptResult.java
+++ b/src/main/java/org/curranthaven/internal/relay/AttemptResult.java
@@ -8,11 +8,11 @@
   record Unreachable(String reason) implements AttemptResult {}
 
   /** The backend server stated that the request did not run. */
-  record NotRun(AnswerHead head) implements AttemptResult {}
+  record NotRun(ResponseHead head) implements AttemptResult {}
 
   /** A whole answer; of a stream that ended as complete, what follows its last event. */
   @SuppressWarnings("ArrayRecordComponent")
-  record Answered(AnswerHead head, HttpResponse response, byte[] body) implements AttemptResult {}
+  record Answered(ResponseHead head, HttpResponse response, byte[] body) implements AttemptResult {}
 
   /** The request may have run; no whole answer came. */
   record Broken(String reason) implements AttemptResult {}
--- a/src/main/java/org/curranthaven/internal/relay/BackendConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendConnection.java
@@ -23,7 +23,7 @@
   private @Nullable ChannelHandlerContext context;
   private @Nullable AnswerListener listener;
   private String expectedId = "";
-  private @Nullable AnswerHead head;
+  private @Nullable ResponseHead head;
   private boolean skipping;
   private boolean unsound;
   private boolean broken;
@@ -34,7 +34,7 @@
   /** Is told the answer to a call. */
   interface AnswerListener {
     /** Status and headers arrived. */
-    void head(AnswerHead head, HttpResponse response);
+    void head(ResponseHead head, HttpResponse response);
 
     /** A part of the body arrived. */
     void content(byte[] bytes);
@@ -128,7 +128,7 @@
       skipping = true;
       return;
     }
-    AnswerHead decoded = pool.protocol().readAnswer(response);
+    ResponseHead decoded = pool.protocol().readAnswer(response);
     if (!decoded.requestId().isEmpty() && !decoded.requestId().equals(expectedId)) {
       skipping = true;
       unsound = true;
@@ -161,7 +161,7 @@
       return;
     }
     listener = null;
-    AnswerHead answer = head;
+    ResponseHead answer = head;
     if (answer == null || answer.closes() || unsound || !isOpen()) {
       close();
     } else {
--- a/src/main/java/org/curranthaven/internal/relay/BackendPool.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendPool.java
@@ -89,7 +89,7 @@
         .addListener(future -> consumer.accept(future.isSuccess() ? connection : null));
   }
 
-  long idleUntilMillis(AnswerHead answer) {
+  long idleUntilMillis(ResponseHead answer) {
     long limit = answer.keepAliveMillis();
     long idleMillis =
         limit == 0 ? UNKNOWN_IDLE_MILLIS : Math.max(limit / 2, limit - IDLE_MARGIN_MILLIS);
--- a/src/main/java/org/curranthaven/internal/relay/BackendCall.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendRequest.java
@@ -11,14 +11,14 @@
  * @param resumeAfter event after which a stream goes on; empty for all of it
  * @param takeOverFrom where an engine takes the state of the running request from; empty for a new
  *     run
- * @param backupAt address of the engine that is to keep a copy; empty for none
+ * @param backupAddress address of the engine that is to keep a copy; empty for none
  */
-public record BackendCall(
-    InboundCall call,
+public record BackendRequest(
+    InboundRequest request,
     BackendRecord backend,
     String workspace,
     long deadlineLeftMillis,
     int urgency,
     String resumeAfter,
     String takeOverFrom,
-    String backupAt) {}
+    String backupAddress) {}
--- a/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
@@ -42,8 +42,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection of a caller: reads whole requests, one after the other, starts an {@link Exchange}
- * for each, and writes its answer. Used on the event loop only.
+ * One connection of a caller: reads whole requests, one after the other, starts an {@link
+ * RoutedRequest} for each, and writes its answer. Used on the event loop only.
  */
 final class CallerConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final int MAX_WAITING_REQUESTS = 32;
@@ -62,7 +62,7 @@
   private @Nullable ChannelHandlerContext channel;
   private @Nullable HttpRequest collecting;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private @Nullable Exchange exchange;
+  private @Nullable RoutedRequest exchange;
   private boolean keepAlive;
   private boolean headRequest;
   private boolean answering;
@@ -206,13 +206,13 @@
     keepAlive = HttpUtil.isKeepAlive(request);
     headRequest = request.method().equals(HttpMethod.HEAD);
     switch (context.protocol().readCall(request)) {
-      case Outcome.Failed<InboundCall> failed -> fail(failed.failure());
-      case Outcome.Success<InboundCall> success -> routeWhenInformed(success.value());
+      case Outcome.Failed<InboundRequest> failed -> fail(failed.failure());
+      case Outcome.Success<InboundRequest> success -> routeWhenInformed(success.value());
     }
   }
 
   /** Routes a call; one that comes before the catalog waits for it if it has the time. */
-  private void routeWhenInformed(InboundCall call) {
+  private void routeWhenInformed(InboundRequest call) {
     long nowMillis = context.clock().nowMillis();
     boolean mayWait =
         call.deadlineMillis() <= 0 || call.deadlineMillis() >= MIN_TIME_TO_WAIT_MILLIS;
@@ -225,7 +225,7 @@
     }
   }
 
-  private void routeHeld(InboundCall call, long arrivedAtMillis) {
+  private void routeHeld(InboundRequest call, long arrivedAtMillis) {
     if (gone) {
       return;
     }
@@ -244,7 +244,7 @@
             NOT_INFORMED_RETRY_MILLIS));
   }
 
-  private void route(InboundCall call, long arrivedAtMillis) {
+  private void route(InboundRequest call, long arrivedAtMillis) {
     Catalog catalog = context.catalog();
     Optional<Route> found = catalog.routeFor(call.host(), call.path());
     if (found.isEmpty()) {
@@ -273,8 +273,8 @@
       return;
     }
     boolean ranked = workspace != null && workspace.priority() >= 0 && catalog.needsKey(route);
-    Exchange next =
-        new Exchange(
+    RoutedRequest next =
+        new RoutedRequest(
             context,
             this,
             call,
@@ -296,7 +296,8 @@
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, answer.status(), Unpooled.wrappedBuffer(content));
-    HopHeaders.copy(answer.headers(), response.headers(), HopHeaders.of(answer.headers()));
+    HopByHopHeaders.copy(
+        answer.headers(), response.headers(), HopByHopHeaders.of(answer.headers()));
     write(response);
   }
 
@@ -343,7 +344,8 @@
   /** Starts to pass a stream on. */
   void startStream(HttpResponse answer) {
     HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status());
-    HopHeaders.copy(answer.headers(), response.headers(), HopHeaders.of(answer.headers()));
+    HopByHopHeaders.copy(
+        answer.headers(), response.headers(), HopByHopHeaders.of(answer.headers()));
     response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     if (!staysOpen()) {
       keepAlive = false;
@@ -417,7 +419,7 @@
   public void channelInactive(ChannelHandlerContext inactive) {
     gone = true;
     closing = true;
-    Exchange open = exchange;
+    RoutedRequest open = exchange;
     exchange = null;
     if (open != null) {
       open.callerGone();
--- a/src/main/java/org/curranthaven/internal/relay/ControlCall.java
+++ b/src/main/java/org/curranthaven/internal/relay/ControlRequest.java
@@ -3,20 +3,20 @@
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
 /** A call to the control interface, decoded. */
-public sealed interface ControlCall {
+public sealed interface ControlRequest {
   /** A backend server registers, or renews its registration. */
-  record Register(BackendRecord backend) implements ControlCall {}
+  record Register(BackendRecord backend) implements ControlRequest {}
 
   /** A backend server is gone. */
-  record Withdraw(String id) implements ControlCall {}
+  record Withdraw(String id) implements ControlRequest {}
 
   /** An operator replaces the catalog. */
   @SuppressWarnings("ArrayRecordComponent")
-  record ReplaceCatalog(byte[] document) implements ControlCall {}
+  record ReplaceCatalog(byte[] document) implements ControlRequest {}
 
   /** An operator reads the catalog in force. */
-  record ReadCatalog() implements ControlCall {}
+  record ReadCatalog() implements ControlRequest {}
 
   /** The call is not understood. */
-  record Invalid(int status, String message) implements ControlCall {}
+  record Invalid(int status, String message) implements ControlRequest {}
 }
--- a/src/main/java/org/curranthaven/internal/relay/HeldActions.java
+++ b/src/main/java/org/curranthaven/internal/relay/DeferredActions.java
@@ -10,11 +10,11 @@
  * Actions that wait until they are released or their time is up, whichever comes first; each runs
  * once and is forgotten then. Used on the event loop only.
  */
-final class HeldActions {
+final class DeferredActions {
   private final EventLoop loop;
   private final Set<Runnable> held = new LinkedHashSet<>();
 
-  HeldActions(EventLoop loop) {
+  DeferredActions(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/org/curranthaven/internal/relay/Gateway.java
+++ b/src/main/java/org/curranthaven/internal/relay/Gateway.java
@@ -17,7 +17,7 @@
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.catalog.Catalog;
 import org.curranthaven.internal.catalog.Route;
-import org.curranthaven.internal.dispatch.RetryAllowance;
+import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.observe.RoutedMetrics;
 import org.curranthaven.internal.observe.StatusServer;
 import org.curranthaven.internal.settings.Addresses;
@@ -61,8 +61,8 @@
   private final RandomGenerator random;
   private final HostRecord self;
   private final @Nullable RoutedMetrics metrics;
-  private final Set<Exchange> open = new HashSet<>();
-  private final HeldActions awaitingInformation;
+  private final Set<RoutedRequest> open = new HashSet<>();
+  private final DeferredActions awaitingInformation;
   private Catalog catalog = Catalog.empty();
   private volatile long stopBeganMillis;
   private volatile long stopEndsMillis;
@@ -97,11 +97,11 @@
             loop,
             clock,
             random,
-            new RetryAllowance(
+            new RetryLimits(
                 settings.retryRatio(), settings.retrySlack(), settings.retryWindowMillis()),
             network::send,
             new Views());
-    this.awaitingInformation = new HeldActions(loop);
+    this.awaitingInformation = new DeferredActions(loop);
     this.pool = new BackendPool(loop, clock, protocol);
     this.server = new RelayServer(group, this);
   }
@@ -243,7 +243,7 @@
   }
 
   @Override
-  public CallPlacer placer() {
+  public RequestPlacer placer() {
     return link;
   }
 
@@ -296,13 +296,13 @@
   }
 
   @Override
-  public void opened(Exchange exchange) {
+  public void opened(RoutedRequest exchange) {
     open.add(exchange);
     openCalls = open.size();
   }
 
   @Override
-  public void closed(Exchange exchange) {
+  public void closed(RoutedRequest exchange) {
     open.remove(exchange);
     openCalls = open.size();
   }
--- a/src/main/java/org/curranthaven/internal/relay/HopHeaders.java
+++ b/src/main/java/org/curranthaven/internal/relay/HopByHopHeaders.java
@@ -11,10 +11,10 @@
  * section 7.6.1).
  *
  * <pre>{@code
- * Set<String> dropped = HopHeaders.of(request.headers());
+ * Set<String> dropped = HopByHopHeaders.of(request.headers());
  * }</pre>
  */
-public final class HopHeaders {
+public final class HopByHopHeaders {
   private static final Set<String> ALWAYS =
       Set.of(
           "connection",
@@ -29,7 +29,7 @@
           "expect",
           "content-length");
 
-  private HopHeaders() {}
+  private HopByHopHeaders() {}
 
   /** Returns the names in lower case, those that the message's own Connection header lists too. */
   public static Set<String> of(HttpHeaders headers) {
--- a/src/main/java/org/curranthaven/internal/relay/InboundCall.java
+++ b/src/main/java/org/curranthaven/internal/relay/InboundRequest.java
@@ -25,7 +25,7 @@
  * @param keepsConnection whether the caller's connection may be used again
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record InboundCall(
+public record InboundRequest(
     String id,
     String host,
     HttpMethod method,
--- a/src/main/java/org/curranthaven/internal/relay/RunMoves.java
+++ b/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
@@ -1,6 +1,6 @@
 package org.curranthaven.internal.relay;
 
-import org.curranthaven.internal.catalog.EngineSpec;
+import org.curranthaven.internal.catalog.EngineCapabilities;
 import org.curranthaven.internal.catalog.Route;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.jspecify.annotations.Nullable;
@@ -10,13 +10,13 @@
  * Moves one call's run to another engine, and goes on from a copy where the run broke off. Used on
  * the event loop only.
  */
-final class RunMoves {
+final class MigrationCoordinator {
   private final RelayContext context;
-  private final InboundCall call;
+  private final InboundRequest call;
   private final Route route;
-  private final @Nullable EngineSpec engine;
+  private final @Nullable EngineCapabilities engine;
   private final Owner owner;
-  private @Nullable Handover handover;
+  private @Nullable StateTransfer handover;
   private boolean takingOver;
   private String copyName = "";
 
@@ -45,11 +45,11 @@
     void lost(String reason);
   }
 
-  RunMoves(
+  MigrationCoordinator(
       RelayContext context,
-      InboundCall call,
+      InboundRequest call,
       Route route,
-      @Nullable EngineSpec engine,
+      @Nullable EngineCapabilities engine,
       Owner owner) {
     this.context = context;
     this.call = call;
@@ -65,7 +65,7 @@
   /** Begins to move the run to another engine. */
   void move(Attempt running, BackendRecord target, String newBackup, String backup) {
     handover =
-        new Handover(
+        new StateTransfer(
             context,
             call,
             running.backend(),
@@ -123,12 +123,13 @@
       return;
     }
     Logger.info("call {} of {} broke off at {}", call.id(), route.name(), broken.backend().getId());
-    handover = new Handover(context, call, broken.backend(), keeper, new RescueEnd(broken, keeper));
+    handover =
+        new StateTransfer(context, call, broken.backend(), keeper, new RescueEnd(broken, keeper));
     handover.startStopped();
   }
 
   /** Goes on where a handover led to. */
-  private final class MoveEnd implements Handover.Owner {
+  private final class MoveEnd implements StateTransfer.Owner {
     private final Attempt source;
     private final String newBackup;
     private final String backup;
@@ -162,7 +163,7 @@
   }
 
   /** Goes on from the copy where the run itself could not be had any more. */
-  private final class RescueEnd implements Handover.Owner {
+  private final class RescueEnd implements StateTransfer.Owner {
     private final Attempt broken;
     private final BackendRecord keeper;
 
--- a/src/main/java/org/curranthaven/internal/relay/RelayContext.java
+++ b/src/main/java/org/curranthaven/internal/relay/RelayContext.java
@@ -18,7 +18,7 @@
 
   BackendPool pool();
 
-  CallPlacer placer();
+  RequestPlacer placer();
 
   String dataCentre();
 
@@ -51,10 +51,10 @@
   double draw();
 
   /** Notes that a call has begun. */
-  void opened(Exchange exchange);
+  void opened(RoutedRequest exchange);
 
   /** Notes that a call is over. */
-  void closed(Exchange exchange);
+  void closed(RoutedRequest exchange);
 
   /** Counts a first reply. */
   void measured(Route route, long firstReplyMillis);
--- a/src/main/java/org/curranthaven/internal/relay/CallPlacer.java
+++ b/src/main/java/org/curranthaven/internal/relay/RequestPlacer.java
@@ -4,20 +4,20 @@
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
 
 /** Has calls placed on backend servers. Used on the event loop only. */
-public interface CallPlacer {
+public interface RequestPlacer {
   /** Is told where a call runs. */
-  interface Placed {
+  interface PlacementListener {
     /** The call is to run on a backend server; another one may keep a copy of it. */
-    void placed(String backend, int urgency, String backup);
+    void onPlaced(String backend, int urgency, String backup);
 
     /** The call is turned away. */
-    void refused(long retryAfterMillis, String reason);
+    void onRejected(long retryAfterMillis, String reason);
 
     /** The running call is to go on at another backend server. */
-    void moveTo(String target, String backup);
+    void onMigrate(String target, String backup);
 
     /** Returns the call as it was asked for. */
-    DispatchAsk ask();
+    DispatchAsk placementRequest();
 
     /** Returns the output tokens that have come. */
     int outputTokens();
@@ -27,11 +27,11 @@
   }
 
   /** Asks for a place; the answer comes on the event loop, possibly at once. */
-  void ask(DispatchAsk ask, Placed placed);
+  void requestPlacement(DispatchAsk ask, PlacementListener placed);
 
   /** Notes that the first output of a call has come. */
-  void progressed(long id, int outputTokens);
+  void reportProgress(long id, int outputTokens);
 
   /** Notes that a call no longer waits, or no longer runs where it was placed. */
-  void ended(long id, DispatchOutcome outcome, int outputTokens);
+  void reportEnd(long id, DispatchOutcome outcome, int outputTokens);
 }
--- a/src/main/java/org/curranthaven/internal/relay/CallProgress.java
+++ b/src/main/java/org/curranthaven/internal/relay/RequestProgress.java
@@ -1,13 +1,13 @@
 package org.curranthaven.internal.relay;
 
-import org.curranthaven.internal.catalog.CallKind;
+import org.curranthaven.internal.catalog.Repeatability;
 import org.curranthaven.internal.catalog.Route;
 
 /**
  * How far a call has come: the events passed on, and the times by which it is told whether the
  * route's targets were kept. Used on the event loop only.
  */
-final class CallProgress {
+final class RequestProgress {
   private final Route route;
   private final long arrivedAtMillis;
   private final int tokensPerEvent;
@@ -24,7 +24,7 @@
    *
    * @param lastEventId last event that the caller has from an earlier call; empty for none
    */
-  CallProgress(Route route, int tokensPerEvent, String lastEventId, long arrivedAtMillis) {
+  RequestProgress(Route route, int tokensPerEvent, String lastEventId, long arrivedAtMillis) {
     this.route = route;
     this.tokensPerEvent = tokensPerEvent;
     this.lastEventId = lastEventId;
@@ -95,7 +95,7 @@
   /** Returns whether the call missed a target of its route. */
   boolean isLate() {
     boolean pausedLong =
-        route.kind() == CallKind.STREAM
+        route.kind() == Repeatability.STREAM
             && route.gapTargetMillis() > 0
             && longestPauseMillis > route.gapTargetMillis();
     return pausedLong || firstReplyMillis() > route.targetMillis();
--- a/src/main/java/org/curranthaven/internal/relay/AnswerHead.java
+++ b/src/main/java/org/curranthaven/internal/relay/ResponseHead.java
@@ -12,7 +12,7 @@
  * @param keepAliveMillis how long the connection may stay idle; 0 when the answer does not tell
  * @param closes whether the connection ends with the answer
  */
-public record AnswerHead(
+public record ResponseHead(
     int status,
     String requestId,
     boolean sealed,
--- a/src/main/java/org/curranthaven/internal/relay/NextStep.java
+++ b/src/main/java/org/curranthaven/internal/relay/RetryDecision.java
@@ -3,13 +3,13 @@
 import org.curranthaven.api.ResultCode;
 
 /** What follows an attempt. */
-sealed interface NextStep {
+sealed interface RetryDecision {
   /** The backend server's answer goes to the caller. */
-  record Deliver() implements NextStep {}
+  record Deliver() implements RetryDecision {}
 
   /** Another backend server gets the call. */
-  record SendAgain() implements NextStep {}
+  record SendAgain() implements RetryDecision {}
 
   /** The caller is told that the call failed. */
-  record Fail(ResultCode code) implements NextStep {}
+  record Fail(ResultCode code) implements RetryDecision {}
 }
--- a/src/main/java/org/curranthaven/internal/relay/AttemptRules.java
+++ b/src/main/java/org/curranthaven/internal/relay/RetryRules.java
@@ -1,18 +1,18 @@
 package org.curranthaven.internal.relay;
 
 import org.curranthaven.api.ResultCode;
-import org.curranthaven.internal.catalog.CallKind;
+import org.curranthaven.internal.catalog.Repeatability;
 import org.curranthaven.internal.catalog.Route;
 
 /** Decides what follows an attempt, so that nothing runs more often than its route allows. */
-final class AttemptRules {
+final class RetryRules {
   /** Most backend servers that one call is offered to, also where none of them ran it. */
   static final int MAX_SENDS = 4;
 
   private static final int FIRST_SERVER_ERROR = 500;
   private static final int GATEWAY_TIMEOUT = 504;
 
-  private AttemptRules() {}
+  private RetryRules() {}
 
   /**
    * Returns what follows.
@@ -21,20 +21,25 @@
    * @param sends attempts in all, the latest included
    * @param started whether the caller has got a part of the answer
    */
-  static NextStep after(AttemptResult result, Route route, int runs, int sends, boolean started) {
+  static RetryDecision after(
+      AttemptResult result, Route route, int runs, int sends, boolean started) {
     boolean mayOffer = sends < MAX_SENDS;
     boolean mayRunAgain = mayOffer && route.isRepeatable() && runs < route.attempts();
     return switch (result) {
       case AttemptResult.Unreachable ignored ->
-          mayOffer ? new NextStep.SendAgain() : new NextStep.Fail(ResultCode.NO_BACKEND);
+          mayOffer ? new RetryDecision.SendAgain() : new RetryDecision.Fail(ResultCode.NO_BACKEND);
       case AttemptResult.NotRun ignored ->
-          mayOffer ? new NextStep.SendAgain() : new NextStep.Fail(ResultCode.BACKEND_REFUSED);
+          mayOffer
+              ? new RetryDecision.SendAgain()
+              : new RetryDecision.Fail(ResultCode.BACKEND_REFUSED);
       case AttemptResult.Broken ignored ->
-          mayRunAgain ? new NextStep.SendAgain() : new NextStep.Fail(ResultCode.BACKEND_FAILED);
+          mayRunAgain
+              ? new RetryDecision.SendAgain()
+              : new RetryDecision.Fail(ResultCode.BACKEND_FAILED);
       case AttemptResult.Answered answer ->
           mayRunAgain && isWorthAnother(answer, route, started)
-              ? new NextStep.SendAgain()
-              : new NextStep.Deliver();
+              ? new RetryDecision.SendAgain()
+              : new RetryDecision.Deliver();
     };
   }
 
@@ -42,6 +47,6 @@
       AttemptResult.Answered answer, Route route, boolean started) {
     int status = answer.head().status();
     boolean failed = status >= FIRST_SERVER_ERROR && status != GATEWAY_TIMEOUT;
-    return failed && (!started || route.kind() == CallKind.STREAM);
+    return failed && (!started || route.kind() == Repeatability.STREAM);
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/Exchange.java
+++ b/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import org.curranthaven.api.Failure;
 import org.curranthaven.api.ResultCode;
-import org.curranthaven.internal.catalog.CallKind;
-import org.curranthaven.internal.catalog.EngineSpec;
+import org.curranthaven.internal.catalog.EngineCapabilities;
+import org.curranthaven.internal.catalog.Repeatability;
 import org.curranthaven.internal.catalog.Route;
 import org.curranthaven.internal.catalog.ServiceSpec;
 import org.curranthaven.internal.transport.wire.BackendRecord;
@@ -22,7 +22,8 @@
  * One call from its arrival to its final answer: has it placed, sends it, repeats it where its
  * route allows that, and relays the answer. Used on the event loop only.
  */
-final class Exchange implements CallPlacer.Placed, Attempt.Owner, RunMoves.Owner {
+final class RoutedRequest
+    implements RequestPlacer.PlacementListener, Attempt.Owner, MigrationCoordinator.Owner {
   /** Time left below which a call is not sent any more. */
   private static final long MIN_SEND_MILLIS = 5;
 
@@ -42,15 +43,15 @@
 
   private final RelayContext context;
   private final CallerConnection caller;
-  private final InboundCall call;
+  private final InboundRequest call;
   private final Route route;
   private final ServiceSpec service;
   private final String workspace;
   private final int priority;
   private final long endsAtMillis;
   private final ScheduledFuture<?> timeout;
-  private final CallProgress progress;
-  private final RunMoves moves;
+  private final RequestProgress progress;
+  private final MigrationCoordinator moves;
   private final Set<String> excluded = new LinkedHashSet<>();
   private long placementId;
   private @Nullable DispatchAsk ask;
@@ -65,10 +66,10 @@
   private boolean placed;
   private boolean done;
 
-  Exchange(
+  RoutedRequest(
       RelayContext context,
       CallerConnection caller,
-      InboundCall call,
+      InboundRequest call,
       Route route,
       ServiceSpec service,
       String workspace,
@@ -82,10 +83,10 @@
     this.service = service;
     this.workspace = workspace;
     this.priority = priority;
-    EngineSpec engine = service.engine();
+    EngineCapabilities engine = service.engine();
     int tokensPerEvent = engine == null ? DEFAULT_TOKENS_PER_EVENT : engine.tokensPerEvent();
-    this.moves = new RunMoves(context, call, route, engine, this);
-    this.progress = new CallProgress(route, tokensPerEvent, call.lastEventId(), arrivedAtMillis);
+    this.moves = new MigrationCoordinator(context, call, route, engine, this);
+    this.progress = new RequestProgress(route, tokensPerEvent, call.lastEventId(), arrivedAtMillis);
     this.endsAtMillis = arrivedAtMillis + allowedMillis;
     long left = Math.max(0, endsAtMillis - context.clock().nowMillis());
     this.timeout = context.loop().schedule(this::timeUp, left, TimeUnit.MILLISECONDS);
@@ -99,7 +100,7 @@
 
   private void askForPlace(boolean repeat) {
     long nowMillis = context.clock().nowMillis();
-    EngineSpec engine = service.engine();
+    EngineCapabilities engine = service.engine();
     placementId = context.nextPlacementId();
     DispatchAsk.Builder builder =
         DispatchAsk.newBuilder()
@@ -125,11 +126,11 @@
     ask = built;
     placed = false;
     backend = "";
-    context.placer().ask(built, this);
+    context.placer().requestPlacement(built, this);
   }
 
   @Override
-  public DispatchAsk ask() {
+  public DispatchAsk placementRequest() {
     return ask == null ? DispatchAsk.getDefaultInstance() : ask;
   }
 
@@ -144,11 +145,11 @@
   }
 
   @Override
-  public void placed(String backendId, int newUrgency, String backupId) {
+  public void onPlaced(String backendId, int newUrgency, String backupId) {
     BackendRecord record = context.backend(backendId);
     long left = endsAtMillis - context.clock().nowMillis();
     if (done || left < MIN_SEND_MILLIS) {
-      context.placer().ended(placementId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0);
+      context.placer().reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0);
       return;
     }
     placed = true;
@@ -175,8 +176,8 @@
     BackendRecord keeper = context.backend(backup);
     Attempt next = new Attempt(record, this);
     attempt = next;
-    BackendCall backendCall =
-        new BackendCall(
+    BackendRequest backendCall =
+        new BackendRequest(
             call,
             record,
             workspace,
@@ -232,7 +233,7 @@
   }
 
   @Override
-  public void refused(long retryAfterMillis, String reason) {
+  public void onRejected(long retryAfterMillis, String reason) {
     if (done) {
       return;
     }
@@ -268,7 +269,7 @@
       }
     }
     if (first && outputTokens() > 0) {
-      context.placer().progressed(placementId, outputTokens());
+      context.placer().reportProgress(placementId, outputTokens());
     }
     from.setReading(caller.isWritable());
   }
@@ -294,16 +295,16 @@
     if (result instanceof AttemptResult.Answered || result instanceof AttemptResult.Broken) {
       runs++;
     }
-    NextStep step = AttemptRules.after(result, route, runs, sends, started);
+    RetryDecision step = RetryRules.after(result, route, runs, sends, started);
     reportEnd(result, step);
     attempt = null;
     switch (step) {
-      case NextStep.Deliver ignored -> {
+      case RetryDecision.Deliver ignored -> {
         if (result instanceof AttemptResult.Answered answer) {
           deliver(answer);
         }
       }
-      case NextStep.SendAgain ignored -> {
+      case RetryDecision.SendAgain ignored -> {
         if (result instanceof AttemptResult.Answered answer) {
           lastAnswer = answer;
         }
@@ -311,11 +312,11 @@
         // A backend server that was never reached has not been asked.
         askForPlace(!(result instanceof AttemptResult.Unreachable) || runs > 0);
       }
-      case NextStep.Fail failure -> fail(failure.code(), describe(result), RETRY_SOON_MILLIS);
+      case RetryDecision.Fail failure -> fail(failure.code(), describe(result), RETRY_SOON_MILLIS);
     }
   }
 
-  private void reportEnd(AttemptResult result, NextStep step) {
+  private void reportEnd(AttemptResult result, RetryDecision step) {
     if (!placed) {
       return;
     }
@@ -333,8 +334,8 @@
                   ? DispatchOutcome.DISPATCH_OUTCOME_FAILED
                   : DispatchOutcome.DISPATCH_OUTCOME_ANSWERED;
         };
-    context.placer().ended(placementId, outcome, outputTokens());
-    if (!(result instanceof AttemptResult.Answered) || step instanceof NextStep.SendAgain) {
+    context.placer().reportEnd(placementId, outcome, outputTokens());
+    if (!(result instanceof AttemptResult.Answered) || step instanceof RetryDecision.SendAgain) {
       Logger.info(
           "call {} of {} at {}: {}; next: {}",
           call.id(),
@@ -410,7 +411,9 @@
       attempt.cancel();
       attempt = null;
     }
-    context.placer().ended(placementId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, outputTokens());
+    context
+        .placer()
+        .reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, outputTokens());
     placed = false;
   }
 
@@ -428,7 +431,7 @@
   // ---- moving a running request -----------------------------------------------------------------
 
   @Override
-  public void moveTo(String target, String newBackup) {
+  public void onMigrate(String target, String newBackup) {
     Attempt running = attempt;
     BackendRecord record = context.backend(target);
     if (done || !placed || !started || running == null || record == null || moves.isMoving()) {
@@ -447,7 +450,7 @@
 
   @Override
   public void stays() {
-    context.placer().ended(placementId, DispatchOutcome.DISPATCH_OUTCOME_MOVE_FAILED, 0);
+    context.placer().reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_MOVE_FAILED, 0);
   }
 
   @Override
@@ -456,7 +459,9 @@
     progress.moved();
     if (!to.getId().equals(backend)) {
       backend = to.getId();
-      context.placer().ended(placementId, DispatchOutcome.DISPATCH_OUTCOME_MOVED, outputTokens());
+      context
+          .placer()
+          .reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_MOVED, outputTokens());
     }
   }
 
@@ -472,7 +477,7 @@
 
   /** Returns whether the call is a stream that has begun. */
   boolean isStreaming() {
-    return started && route.kind() == CallKind.STREAM;
+    return started && route.kind() == Repeatability.STREAM;
   }
 
   /** Returns the number by which the scheduler knows the call. */
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -13,10 +13,10 @@
 import java.util.function.BiConsumer;
 import java.util.random.RandomGenerator;
 import org.curranthaven.internal.catalog.Catalog;
-import org.curranthaven.internal.dispatch.CallKey;
 import org.curranthaven.internal.dispatch.DispatchCore;
 import org.curranthaven.internal.dispatch.DispatchDecision;
-import org.curranthaven.internal.dispatch.RetryAllowance;
+import org.curranthaven.internal.dispatch.RequestId;
+import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.curranthaven.internal.transport.wire.DispatchAsk;
@@ -39,7 +39,7 @@
  * A gateway's side of scheduling: follows the scheduler of the highest term, and decides alone, on
  * the gateway's share of the backend servers, while none is heard. Used on the event loop only.
  */
-final class SchedulerLink implements CallPlacer {
+final class SchedulerLink implements RequestPlacer {
   /** Silence after which a scheduler counts as lost. */
   static final long LOST_AFTER_MILLIS = 450;
 
@@ -56,10 +56,10 @@
   private final EventLoop loop;
   private final Clock clock;
   private final RandomGenerator random;
-  private final RetryAllowance retryAllowance;
+  private final RetryLimits retryLimits;
   private final BiConsumer<String, Envelope.Builder> sender;
   private final ViewListener listener;
-  private final Map<Long, Placed> calls = new LinkedHashMap<>();
+  private final Map<Long, PlacementListener> calls = new LinkedHashMap<>();
   private final Map<String, BackendRecord> backends = new HashMap<>();
   private final Set<String> gone = new HashSet<>();
   private final Map<Long, Integer> reported = new HashMap<>();
@@ -92,14 +92,14 @@
       EventLoop loop,
       Clock clock,
       RandomGenerator random,
-      RetryAllowance retryAllowance,
+      RetryLimits retryLimits,
       BiConsumer<String, Envelope.Builder> sender,
       ViewListener listener) {
     this.self = self;
     this.loop = loop;
     this.clock = clock;
     this.random = random;
-    this.retryAllowance = retryAllowance;
+    this.retryLimits = retryLimits;
     this.sender = sender;
     this.listener = listener;
   }
@@ -211,9 +211,9 @@
     Logger.info("{} schedules in term {}", scheduler, term);
     alone = null;
     sendStatus(true);
-    for (Placed call : List.copyOf(calls.values())) {
+    for (PlacementListener call : List.copyOf(calls.values())) {
       if (call.backend().isEmpty()) {
-        send(DispatchRequests.newBuilder().addAsks(call.ask()));
+        send(DispatchRequests.newBuilder().addAsks(call.placementRequest()));
       }
     }
   }
@@ -227,11 +227,11 @@
             .setFull(full);
     if (full) {
       status.addAllBackends(backends.values()).addAllGone(gone);
-      for (Placed call : calls.values()) {
+      for (PlacementListener call : calls.values()) {
         if (!call.backend().isEmpty()) {
           status.addOpen(
               OpenDispatch.newBuilder()
-                  .setAsk(call.ask())
+                  .setAsk(call.placementRequest())
                   .setBackend(call.backend())
                   .setOutputTokens(call.outputTokens()));
         }
@@ -247,7 +247,7 @@
   // ---- calls ------------------------------------------------------------------------------------
 
   @Override
-  public void ask(DispatchAsk ask, Placed placed) {
+  public void requestPlacement(DispatchAsk ask, PlacementListener placed) {
     calls.put(ask.getId(), placed);
     if (isConnected()) {
       askScheduler(ask);
@@ -282,12 +282,12 @@
   }
 
   @Override
-  public void progressed(long id, int outputTokens) {
+  public void reportProgress(long id, int outputTokens) {
     reported.put(id, outputTokens);
     if (isConnected()) {
       send(DispatchRequests.newBuilder().addProgress(progress(id, outputTokens)));
     } else if (alone != null) {
-      alone.progressed(key(id), outputTokens, clock.nowMillis());
+      alone.outputProgressed(key(id), outputTokens, clock.nowMillis());
       carryOutAlone();
     }
   }
@@ -297,7 +297,7 @@
   }
 
   @Override
-  public void ended(long id, DispatchOutcome outcome, int outputTokens) {
+  public void reportEnd(long id, DispatchOutcome outcome, int outputTokens) {
     boolean over =
         outcome != DispatchOutcome.DISPATCH_OUTCOME_MOVED
             && outcome != DispatchOutcome.DISPATCH_OUTCOME_MOVE_FAILED;
@@ -315,7 +315,7 @@
                       .setOutcome(outcome)
                       .setOutputTokens(outputTokens)));
     } else if (alone != null) {
-      alone.ended(key(id), outcome, outputTokens, clock.nowMillis());
+      alone.requestEnded(key(id), outcome, outputTokens, clock.nowMillis());
       carryOutAlone();
     }
   }
@@ -329,22 +329,22 @@
     orders.getWaitingList().forEach(unanswered::remove);
     for (Placement placement : orders.getPlacementsList()) {
       unanswered.remove(placement.getId());
-      Placed call = calls.get(placement.getId());
+      PlacementListener call = calls.get(placement.getId());
       if (call != null && call.backend().isEmpty()) {
-        call.placed(placement.getBackend(), placement.getUrgency(), placement.getBackup());
+        call.onPlaced(placement.getBackend(), placement.getUrgency(), placement.getBackup());
       }
     }
     for (Refusal refusal : orders.getRefusalsList()) {
       unanswered.remove(refusal.getId());
-      Placed call = calls.remove(refusal.getId());
+      PlacementListener call = calls.remove(refusal.getId());
       if (call != null) {
-        call.refused(refusal.getRetryAfterMillis(), refusal.getReason());
+        call.onRejected(refusal.getRetryAfterMillis(), refusal.getReason());
       }
     }
     for (Move move : orders.getMovesList()) {
-      Placed call = calls.get(move.getId());
+      PlacementListener call = calls.get(move.getId());
       if (call != null) {
-        call.moveTo(move.getTarget(), move.getBackup());
+        call.onMigrate(move.getTarget(), move.getBackup());
       }
     }
   }
@@ -409,20 +409,21 @@
 
   private DispatchCore startAlone() {
     long nowMillis = clock.nowMillis();
-    DispatchCore core = new DispatchCore(retryAllowance, gateways, random);
+    DispatchCore core = new DispatchCore(retryLimits, gateways, random);
     alone = core;
     core.setCatalog(catalog);
-    backends.values().forEach(record -> core.backendChanged(record, nowMillis));
+    backends.values().forEach(record -> core.updateBackend(record, nowMillis));
     List<DispatchAsk> waiting = new ArrayList<>();
     calls.forEach(
         (id, call) -> {
           if (call.backend().isEmpty()) {
-            waiting.add(call.ask());
+            waiting.add(call.placementRequest());
           } else {
-            core.restore(key(id), call.ask(), call.backend(), call.outputTokens(), nowMillis);
+            core.restoreRunning(
+                key(id), call.placementRequest(), call.backend(), call.outputTokens(), nowMillis);
           }
         });
-    waiting.forEach(ask -> core.ask(key(ask.getId()), ask, nowMillis));
+    waiting.forEach(ask -> core.submit(key(ask.getId()), ask, nowMillis));
     loop.execute(this::carryOutAlone);
     checkLater();
     return core;
@@ -435,13 +436,13 @@
       startAlone();
       return;
     }
-    core.ask(key(ask.getId()), ask, clock.nowMillis());
+    core.submit(key(ask.getId()), ask, clock.nowMillis());
     loop.execute(this::carryOutAlone);
     checkLater();
   }
 
-  private CallKey key(long id) {
-    return new CallKey(self, id);
+  private RequestId key(long id) {
+    return new RequestId(self, id);
   }
 
   private void carryOutAlone() {
@@ -449,19 +450,19 @@
     if (core == null) {
       return;
     }
-    for (DispatchDecision decision : core.takeDecisions()) {
-      Placed call = calls.get(decision.key().id());
+    for (DispatchDecision decision : core.drainDecisions()) {
+      PlacementListener call = calls.get(decision.key().id());
       if (call == null) {
         continue;
       }
       switch (decision) {
         case DispatchDecision.Place place ->
-            call.placed(place.backend(), place.urgency(), place.backup());
-        case DispatchDecision.Refuse refuse -> {
+            call.onPlaced(place.backend(), place.urgency(), place.backup());
+        case DispatchDecision.Reject refuse -> {
           calls.remove(refuse.key().id());
-          call.refused(refuse.retryAfterMillis(), refuse.reason().name());
+          call.onRejected(refuse.retryAfterMillis(), refuse.reason().name());
         }
-        case DispatchDecision.MoveTo move -> call.moveTo(move.target(), move.backup());
+        case DispatchDecision.Migrate move -> call.onMigrate(move.target(), move.backup());
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/relay/Handover.java
+++ b/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
@@ -12,7 +12,7 @@
  * Moves the state of a running request to another engine: copies while the run goes on, then stops
  * it and copies what is new. Used on the event loop only.
  */
-final class Handover {
+final class StateTransfer {
   private static final int OK = 200;
   private static final long MAX_IDLE_MILLIS = 250;
 
@@ -26,7 +26,7 @@
   private static final long SOURCE_END_MILLIS = 400;
 
   private final RelayContext context;
-  private final InboundCall call;
+  private final InboundRequest call;
   private final BackendRecord source;
   private final BackendRecord target;
   private final Owner owner;
@@ -48,9 +48,9 @@
     void moved(BackendRecord to, String copyName);
   }
 
-  Handover(
+  StateTransfer(
       RelayContext context,
-      InboundCall call,
+      InboundRequest call,
       BackendRecord source,
       BackendRecord target,
       Owner owner) {
@@ -87,7 +87,7 @@
     }
   }
 
-  private void copiedWhileRunning(MoveAnswer answer) {
+  private void copiedWhileRunning(TransferResponse answer) {
     if (over) {
       return;
     }
@@ -100,7 +100,7 @@
     order(true, this::copiedAndStopped);
   }
 
-  private void copiedAndStopped(MoveAnswer answer) {
+  private void copiedAndStopped(TransferResponse answer) {
     if (over) {
       return;
     }
@@ -136,7 +136,7 @@
     }
   }
 
-  private void order(boolean last, Consumer<MoveAnswer> consumer) {
+  private void order(boolean last, Consumer<TransferResponse> consumer) {
     FullHttpRequest request = context.protocol().moveRequest(call, source, target, last);
     context
         .pool()
@@ -146,7 +146,7 @@
             connection -> {
               if (connection == null || !connection.isOpen()) {
                 request.release();
-                consumer.accept(new MoveAnswer(0, ""));
+                consumer.accept(new TransferResponse(0, ""));
                 return;
               }
               OrderAnswer answer = new OrderAnswer(consumer);
@@ -160,17 +160,17 @@
 
   /** Collects the answer to one order. */
   private final class OrderAnswer implements BackendConnection.AnswerListener {
-    private final Consumer<MoveAnswer> consumer;
+    private final Consumer<TransferResponse> consumer;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
     private boolean answered;
 
-    OrderAnswer(Consumer<MoveAnswer> consumer) {
+    OrderAnswer(Consumer<TransferResponse> consumer) {
       this.consumer = consumer;
     }
 
     @Override
-    public void head(AnswerHead head, HttpResponse response) {
+    public void head(ResponseHead head, HttpResponse response) {
       status = head.status();
     }
 
@@ -186,17 +186,17 @@
 
     @Override
     public void broken(String reason) {
-      answer(new MoveAnswer(0, ""));
+      answer(new TransferResponse(0, ""));
     }
 
     void tooLate(BackendConnection connection) {
       if (!answered) {
         connection.cancel();
-        answer(new MoveAnswer(0, ""));
+        answer(new TransferResponse(0, ""));
       }
     }
 
-    private void answer(MoveAnswer result) {
+    private void answer(TransferResponse result) {
       if (!answered) {
         answered = true;
         consumer.accept(result);
--- a/src/main/java/org/curranthaven/internal/relay/MoveAnswer.java
+++ b/src/main/java/org/curranthaven/internal/relay/TransferResponse.java
@@ -6,4 +6,4 @@
  * @param status HTTP status
  * @param handle name under which the copy can be used; empty when there is none
  */
-public record MoveAnswer(int status, String handle) {}
+public record TransferResponse(int status, String handle) {}
--- a/src/main/java/org/curranthaven/internal/relay/WireProtocol.java
+++ b/src/main/java/org/curranthaven/internal/relay/WireProtocol.java
@@ -18,24 +18,24 @@
   CatalogCodec catalogs();
 
   /** Reads a caller's request; fails if it cannot be understood. */
-  Outcome<InboundCall> readCall(FullHttpRequest request);
+  Outcome<InboundRequest> readCall(FullHttpRequest request);
 
   /** Writes a call to a backend server. */
-  FullHttpRequest backendRequest(BackendCall call);
+  FullHttpRequest backendRequest(BackendRequest call);
 
   /** Reads the status and headers of a backend server's answer. */
-  AnswerHead readAnswer(HttpResponse response);
+  ResponseHead readAnswer(HttpResponse response);
 
   /** Writes an order to copy a running request to another backend server. */
   FullHttpRequest moveRequest(
-      InboundCall call, BackendRecord source, BackendRecord target, boolean last);
+      InboundRequest call, BackendRecord source, BackendRecord target, boolean last);
 
   /** Reads the answer to such an order. */
-  MoveAnswer readMoveAnswer(int status, byte[] body);
+  TransferResponse readMoveAnswer(int status, byte[] body);
 
-  /** Returns how a copy is named in {@link BackendCall#takeOverFrom}. */
+  /** Returns how a copy is named in {@link BackendRequest#takeOverFrom}. */
   String copyName(BackendRecord source, String handle);
 
   /** Reads a call of a backend server or an operator to the control interface. */
-  ControlCall readControlCall(FullHttpRequest request);
+  ControlRequest readControlRequest(FullHttpRequest request);
 }
--- a/src/main/java/org/curranthaven/internal/routing/ServerChooser.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendChooser.java
@@ -8,17 +8,17 @@
 import org.jspecify.annotations.Nullable;
 
 /** Chooses a server for a request by a {@link Policy}. Not thread-safe. */
-final class ServerChooser {
+final class BackendChooser {
   private static final MemoryForecast NOTHING = new MemoryForecast();
 
   private final Policy policy;
   private final RandomGenerator random;
-  private final HostTurns turns;
+  private final HostTimeSlots timeSlots;
   private int next;
 
-  ServerChooser(Policy policy, RandomGenerator random, HostTurns turns) {
+  BackendChooser(Policy policy, RandomGenerator random, HostTimeSlots turns) {
     this.policy = policy;
-    this.turns = turns;
+    this.timeSlots = turns;
     this.random = random;
   }
 
@@ -28,7 +28,7 @@
    * @param lengths distribution of its output length
    * @param headroomBlocks memory to leave free on each server for tighter classes
    */
-  record Candidate(RequestFacts request, OutputLengths lengths, double headroomBlocks) {}
+  record Candidate(RequestAttributes request, OutputLengths lengths, double headroomBlocks) {}
 
   /**
    * A chosen server.
@@ -36,17 +36,19 @@
    * @param admissible number of servers that could have been chosen
    * @param peakMemoryShare forecast peak of its memory
    */
-  record Choice(ServerState server, int admissible, double peakMemoryShare) {}
+  record Choice(BackendServerState server, int admissible, double peakMemoryShare) {}
 
   /** Returns the choice among {@code servers}, or null to hold the request. */
-  @Nullable Choice choose(Candidate candidate, List<ServerState> servers, long nowMillis) {
+  @Nullable Choice choose(Candidate candidate, List<BackendServerState> servers, long nowMillis) {
     if (servers.isEmpty()) {
       return null;
     }
     return switch (policy) {
       case Policy.RoundRobin ignored -> of(servers.get(next++ % servers.size()), servers);
       case Policy.LeastOutstanding ignored ->
-          of(Collections.min(servers, Comparator.comparingInt(ServerState::ownOpen)), servers);
+          of(
+              Collections.min(servers, Comparator.comparingInt(BackendServerState::ownOpen)),
+              servers);
       case Policy.LeastLoad ignored -> of(Collections.min(servers, BY_REPORTED_LOAD), servers);
       case Policy.PowerOfTwo ignored -> of(betterOfTwo(servers), servers);
       case Policy.Forecast forecast ->
@@ -54,30 +56,33 @@
     };
   }
 
-  private static final Comparator<ServerState> BY_REPORTED_LOAD =
-      Comparator.<ServerState>comparingDouble(
+  private static final Comparator<BackendServerState> BY_REPORTED_LOAD =
+      Comparator.<BackendServerState>comparingDouble(
               server ->
                   (double) server.report().blocksUsed()
                       / Math.max(1, server.report().blocksTotal()))
           .thenComparingInt(server -> server.report().running() + server.report().waiting());
 
-  private static Choice of(ServerState server, List<ServerState> servers) {
+  private static Choice of(BackendServerState server, List<BackendServerState> servers) {
     return new Choice(server, servers.size(), 0);
   }
 
-  private ServerState betterOfTwo(List<ServerState> servers) {
-    ServerState first = servers.get(random.nextInt(servers.size()));
-    ServerState second = servers.get(random.nextInt(servers.size()));
+  private BackendServerState betterOfTwo(List<BackendServerState> servers) {
+    BackendServerState first = servers.get(random.nextInt(servers.size()));
+    BackendServerState second = servers.get(random.nextInt(servers.size()));
     return BY_REPORTED_LOAD.compare(first, second) <= 0 ? first : second;
   }
 
   private @Nullable Choice chooseByForecast(
-      Candidate candidate, List<ServerState> servers, ForecastOptions options, long nowMillis) {
+      Candidate candidate,
+      List<BackendServerState> servers,
+      ForecastOptions options,
+      long nowMillis) {
     MemoryForecast added = new MemoryForecast();
-    RequestFacts request = candidate.request();
+    RequestAttributes request = candidate.request();
     added.add(candidate.lengths(), request.promptTokens(), 0, request.maxOutputTokens());
     List<Scored> admissible = new ArrayList<>();
-    for (ServerState server : servers) {
+    for (BackendServerState server : servers) {
       Scored scored = score(candidate, added, server, options, nowMillis);
       if (scored != null) {
         admissible.add(scored);
@@ -104,22 +109,22 @@
     return drawn;
   }
 
-  private record Scored(ServerState server, double cost, double peakShare) {}
+  private record Scored(BackendServerState server, double cost, double peakShare) {}
 
   private @Nullable Scored score(
       Candidate candidate,
       MemoryForecast added,
-      ServerState server,
+      BackendServerState server,
       ForecastOptions options,
       long nowMillis) {
-    RequestFacts request = candidate.request();
-    ServerReport report = server.report();
+    RequestAttributes request = candidate.request();
+    BackendReport report = server.report();
     int running = server.totalRunning();
     int batchLimit = batchLimit(report, options, nowMillis);
     if (running >= batchLimit) {
       return null;
     }
-    int others = turns.count() - 1;
+    int others = timeSlots.count() - 1;
     boolean roomForAll = running + others < batchLimit;
     double peakShare = 0;
     if (report.blocksTotal() > 0) {
@@ -135,7 +140,7 @@
       roomForAll &= peak + others * added.peakBlocks(NOTHING, 0, 0) <= limit;
       peakShare = peak / report.blocksTotal();
     }
-    if (!roomForAll && !turns.hasTurn(report.name(), nowMillis, options.turnMillis())) {
+    if (!roomForAll && !timeSlots.hasTurn(report.name(), nowMillis, options.turnMillis())) {
       return null;
     }
     double trust =
@@ -147,7 +152,7 @@
     return new Scored(server, cost, peakShare);
   }
 
-  private static int batchLimit(ServerReport report, ForecastOptions options, long nowMillis) {
+  private static int batchLimit(BackendReport report, ForecastOptions options, long nowMillis) {
     int limit = report.maxBatch() == 0 ? Integer.MAX_VALUE : report.maxBatch();
     // No difference to a server that has been ready for ever may overflow.
     if (report.loadedAtMillis() + options.rampMillis() <= nowMillis) {
--- a/src/main/java/org/curranthaven/internal/routing/ServerReport.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendReport.java
@@ -16,7 +16,7 @@
  * @param sentAtMillis when it was sent, on this host's clock
  * @param loadedAtMillis when the server became ready, on this host's clock
  */
-public record ServerReport(
+public record BackendReport(
     String name,
     String dataCentre,
     Set<String> models,
@@ -27,13 +27,13 @@
     int maxBatch,
     long sentAtMillis,
     long loadedAtMillis) {
-  public ServerReport {
+  public BackendReport {
     models = Set.copyOf(models);
   }
 
   /** Returns the same report with another time of sending. */
-  public ServerReport sentAt(long millis) {
-    return new ServerReport(
+  public BackendReport sentAt(long millis) {
+    return new BackendReport(
         name,
         dataCentre,
         models,
--- a/src/main/java/org/curranthaven/internal/routing/ServerState.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendServerState.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** What this host knows of one server. Not thread-safe. */
-final class ServerState {
+final class BackendServerState {
   /** Prefixes remembered for one server. */
   private static final int MAX_PREFIXES = 4_096;
 
@@ -25,7 +25,7 @@
           return size() > MAX_PREFIXES;
         }
       };
-  private ServerReport report;
+  private BackendReport report;
   private boolean usable = true;
   private double unexplainedBlocks;
   private int unexplainedRunning;
@@ -33,13 +33,13 @@
 
   /** A request that this host has open on the server. */
   static final class OpenRequest {
-    final RequestFacts request;
+    final RequestAttributes request;
     final OutputLengths lengths;
     final long dispatchedAtMillis;
     int produced;
     long lastTokenAtMillis;
 
-    OpenRequest(RequestFacts request, OutputLengths lengths, long dispatchedAtMillis) {
+    OpenRequest(RequestAttributes request, OutputLengths lengths, long dispatchedAtMillis) {
       this.request = request;
       this.lengths = lengths;
       this.dispatchedAtMillis = dispatchedAtMillis;
@@ -50,7 +50,7 @@
     }
   }
 
-  ServerState(ServerReport report) {
+  BackendServerState(BackendReport report) {
     this.report = report;
   }
 
@@ -58,7 +58,7 @@
     return report.name();
   }
 
-  ServerReport report() {
+  BackendReport report() {
     return report;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Takes a new report in and works out the load that no known request explains. */
-  void reported(ServerReport newReport) {
+  void reported(BackendReport newReport) {
     report = newReport;
     usable = true;
     double knownBlocks = 0;
--- a/src/main/java/org/curranthaven/internal/routing/ClassStats.java
+++ b/src/main/java/org/curranthaven/internal/routing/ClassStats.java
@@ -27,7 +27,7 @@
     return targets;
   }
 
-  void arrived(RequestFacts request) {
+  void arrived(RequestAttributes request) {
     targets = request.targets();
     windowArrivals++;
     meanPromptTokens =
--- a/src/main/java/org/curranthaven/internal/routing/HostTurns.java
+++ b/src/main/java/org/curranthaven/internal/routing/HostTimeSlots.java
@@ -10,11 +10,11 @@
  * time alone. Where clocks differ, turns may overlap; on average still one host has the turn. Not
  * thread-safe.
  */
-final class HostTurns {
+final class HostTimeSlots {
   private final String self;
   private final TreeSet<String> hosts = new TreeSet<>();
 
-  HostTurns(String self) {
+  HostTimeSlots(String self) {
     this.self = self;
     hosts.add(self);
   }
--- a/src/main/java/org/curranthaven/internal/routing/RequestFacts.java
+++ b/src/main/java/org/curranthaven/internal/routing/RequestAttributes.java
@@ -17,7 +17,7 @@
  * @param arrivedAtMillis when the caller asked
  * @param excludedServers servers that refused or lost this request before
  */
-public record RequestFacts(
+public record RequestAttributes(
     long id,
     String workspace,
     String className,
@@ -28,7 +28,7 @@
     long prefixHash,
     long arrivedAtMillis,
     Set<String> excludedServers) {
-  public RequestFacts {
+  public RequestAttributes {
     excludedServers = Set.copyOf(excludedServers);
   }
 
@@ -39,8 +39,8 @@
    * @param tokensSoFar tokens that the attempt continues from; 0 for a new start
    * @param excluded servers that the attempt should not go to
    */
-  public RequestFacts attempt(long newId, int tokensSoFar, Set<String> excluded) {
-    return new RequestFacts(
+  public RequestAttributes attempt(long newId, int tokensSoFar, Set<String> excluded) {
+    return new RequestAttributes(
         newId,
         workspace,
         className,
@@ -54,8 +54,8 @@
   }
 
   /** Returns the same request with another time of arrival. */
-  public RequestFacts arrivedAt(long millis) {
-    return new RequestFacts(
+  public RequestAttributes arrivedAt(long millis) {
+    return new RequestAttributes(
         id,
         workspace,
         className,
--- a/src/main/java/org/curranthaven/internal/routing/RequestQueue.java
+++ b/src/main/java/org/curranthaven/internal/routing/RequestQueue.java
@@ -19,7 +19,7 @@
   private final Map<Long, Waiting> byId = new HashMap<>();
 
   /** A request with the time at which it is due. */
-  record Waiting(RequestFacts request, long dueMillis) {
+  record Waiting(RequestAttributes request, long dueMillis) {
     long id() {
       return request.id();
     }
@@ -29,13 +29,13 @@
     }
   }
 
-  void add(RequestFacts request, long dueMillis) {
+  void add(RequestAttributes request, long dueMillis) {
     Waiting waiting = new Waiting(request, dueMillis);
     byId.put(request.id(), waiting);
     order.add(waiting);
   }
 
-  @Nullable RequestFacts remove(long requestId) {
+  @Nullable RequestAttributes remove(long requestId) {
     Waiting waiting = byId.remove(requestId);
     if (waiting == null) {
       return null;
--- a/src/main/java/org/curranthaven/internal/routing/RoutingCore.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingCore.java
@@ -17,7 +17,7 @@
  *
  * <pre>{@code
  * RoutingCore core = new RoutingCore("accra-1", new Policy.Forecast(ForecastOptions.standard()), random);
- * core.handle(new ServerReported(report), now);
+ * core.handle(new BackendReported(report), now);
  * List<RoutingDecision> decisions = core.handle(new Arrived(request), now);
  * }</pre>
  *
@@ -40,15 +40,15 @@
   private static final long MAX_RETRY_AFTER_MILLIS = 30_000;
 
   private final Policy policy;
-  private final ServerChooser chooser;
+  private final BackendChooser chooser;
   private final LongFunction<OutputLengths> trueLengths;
   private final RequestQueue queue = new RequestQueue();
   private final OutlierEjector ejector = new OutlierEjector();
-  private final Map<String, ServerState> servers = new LinkedHashMap<>();
-  private final Map<Long, ServerState> placements = new HashMap<>();
+  private final Map<String, BackendServerState> servers = new LinkedHashMap<>();
+  private final Map<Long, BackendServerState> placements = new HashMap<>();
   private final Map<ClassKey, ClassStats> stats = new HashMap<>();
-  private final HostTurns turns;
-  private final ShareLog shareLog = new ShareLog();
+  private final HostTimeSlots timeSlots;
+  private final ShareUpdatePolicy shareUpdatePolicy = new ShareUpdatePolicy();
   private final Map<String, Integer> serverCountByModel = new HashMap<>();
   private List<RoutingDecision> decisions = new ArrayList<>();
 
@@ -63,8 +63,8 @@
   public RoutingCore(
       String host, Policy policy, RandomGenerator random, LongFunction<OutputLengths> trueLengths) {
     this.policy = policy;
-    this.turns = new HostTurns(host);
-    this.chooser = new ServerChooser(policy, random, turns);
+    this.timeSlots = new HostTimeSlots(host);
+    this.chooser = new BackendChooser(policy, random, timeSlots);
     this.trueLengths = trueLengths;
   }
 
@@ -77,11 +77,11 @@
       case RoutingEvent.Progressed progress ->
           progressed(progress.requestId(), progress.tokens(), nowMillis);
       case RoutingEvent.Finished end -> finished(end, nowMillis);
-      case RoutingEvent.ServerReported reported -> reported(reported.report(), nowMillis);
-      case RoutingEvent.ServerGone gone -> serverGone(gone.server());
+      case RoutingEvent.BackendReported reported -> reported(reported.report(), nowMillis);
+      case RoutingEvent.BackendRemoved gone -> serverGone(gone.server());
       case RoutingEvent.SharesReported reported ->
           sharesReported(reported.host(), reported.update());
-      case RoutingEvent.HostGone gone -> hostGone(gone.host());
+      case RoutingEvent.HostRemoved gone -> hostGone(gone.host());
       case RoutingEvent.PrefixCached cached -> prefixCached(cached, nowMillis);
       case RoutingEvent.Tick ignored -> tick(nowMillis);
     }
@@ -95,7 +95,7 @@
 
   /** Returns what to tell the other hosts now of what this host has open on each server. */
   public ShareUpdate takeShareUpdate(long nowMillis) {
-    return shareLog.take(ownShares(), nowMillis);
+    return shareUpdatePolicy.take(ownShares(), nowMillis);
   }
 
   private List<HostShare> ownShares() {
@@ -108,7 +108,7 @@
   /** Returns figures of each server for the state dump, by name. */
   public Map<String, ServerView> serverViews(long nowMillis) {
     Map<String, ServerView> views = new TreeMap<>();
-    for (ServerState server : servers.values()) {
+    for (BackendServerState server : servers.values()) {
       views.put(
           server.name(),
           new ServerView(
@@ -163,7 +163,7 @@
 
   // ---- events -----------------------------------------------------------------------------------
 
-  private void arrived(RequestFacts request, long nowMillis) {
+  private void arrived(RequestAttributes request, long nowMillis) {
     ClassStats classStats = statsOf(request, nowMillis);
     classStats.advance(nowMillis);
     classStats.arrived(request);
@@ -179,7 +179,7 @@
   }
 
   private void progressed(long id, int tokens, long nowMillis) {
-    ServerState server = placements.get(id);
+    BackendServerState server = placements.get(id);
     if (server != null) {
       server.progressed(id, tokens, nowMillis);
     }
@@ -187,11 +187,11 @@
 
   private void finished(RoutingEvent.Finished end, long nowMillis) {
     long id = end.requestId();
-    ServerState server = placements.remove(id);
+    BackendServerState server = placements.remove(id);
     if (server == null) {
       return;
     }
-    ServerState.OpenRequest open = server.openRequest(id);
+    BackendServerState.OpenRequest open = server.openRequest(id);
     server.closed(id);
     switch (end.ending()) {
       case COMPLETED -> {
@@ -206,23 +206,24 @@
     dispatchQueue(List.of(server), nowMillis);
   }
 
-  private Collection<String> peersOf(ServerState server, ServerState.@Nullable OpenRequest open) {
+  private Collection<String> peersOf(
+      BackendServerState server, BackendServerState.@Nullable OpenRequest open) {
     String model =
         open == null
             ? server.report().models().stream().findFirst().orElse("")
             : open.request.model();
     return servers.values().stream()
         .filter(other -> other.serves(model))
-        .map(ServerState::name)
+        .map(BackendServerState::name)
         .toList();
   }
 
-  private void reported(ServerReport report, long nowMillis) {
-    ServerState server = servers.get(report.name());
+  private void reported(BackendReport report, long nowMillis) {
+    BackendServerState server = servers.get(report.name());
     boolean known =
         server != null && server.usable() && server.report().models().equals(report.models());
     if (server == null) {
-      server = new ServerState(report);
+      server = new BackendServerState(report);
       servers.put(report.name(), server);
     }
     server.reported(report);
@@ -233,7 +234,7 @@
   }
 
   private void serverGone(String name) {
-    ServerState server = servers.get(name);
+    BackendServerState server = servers.get(name);
     if (server == null) {
       return;
     }
@@ -246,10 +247,10 @@
   }
 
   private void sharesReported(String host, ShareUpdate update) {
-    turns.add(host);
+    timeSlots.add(host);
     Map<String, HostShare> byServer = new HashMap<>();
     update.shares().forEach(share -> byServer.put(share.server(), share));
-    for (ServerState server : servers.values()) {
+    for (BackendServerState server : servers.values()) {
       HostShare share = byServer.get(server.name());
       if (share == null && !update.full()) {
         continue;
@@ -263,12 +264,12 @@
   }
 
   private void hostGone(String host) {
-    turns.remove(host);
+    timeSlots.remove(host);
     servers.values().forEach(server -> server.removeShare(host));
   }
 
   private void prefixCached(RoutingEvent.PrefixCached cached, long nowMillis) {
-    ServerState server = servers.get(cached.server());
+    BackendServerState server = servers.get(cached.server());
     if (server != null) {
       server.prefixCached(cached.prefixHash(), cached.present(), nowMillis);
     }
@@ -276,7 +277,7 @@
 
   private void tick(long nowMillis) {
     stats.values().forEach(classStats -> classStats.advance(nowMillis));
-    servers.values().forEach(ServerState::refreshForecast);
+    servers.values().forEach(BackendServerState::refreshForecast);
     servers.values().removeIf(server -> !server.usable() && server.ownOpen() == 0);
     queue.renewOverdue(nowMillis);
     shedHopeless(nowMillis);
@@ -286,11 +287,11 @@
   // ---- decisions --------------------------------------------------------------------------------
 
   /** Tries the waiting requests in order on servers on which something has changed. */
-  private void dispatchQueue(Collection<ServerState> changed, long nowMillis) {
+  private void dispatchQueue(Collection<BackendServerState> changed, long nowMillis) {
     Map<String, Integer> failedTries = new HashMap<>();
     Map<String, Long> reserved = new HashMap<>();
     for (RequestQueue.Waiting waiting : queue.inOrder()) {
-      RequestFacts request = waiting.request();
+      RequestAttributes request = waiting.request();
       int tries = failedTries.getOrDefault(request.model(), 0);
       long limit = reserved.getOrDefault(request.model(), Long.MAX_VALUE);
       if (tries >= TRIES_PER_MODEL || request.targets().firstReplyMillis() >= limit) {
@@ -305,20 +306,21 @@
     }
   }
 
-  private boolean tryDispatch(RequestFacts request, Collection<ServerState> among, long nowMillis) {
-    List<ServerState> able = ableServers(request, among, nowMillis);
+  private boolean tryDispatch(
+      RequestAttributes request, Collection<BackendServerState> among, long nowMillis) {
+    List<BackendServerState> able = ableServers(request, among, nowMillis);
     OutputLengths lengths = lengthsOf(request, nowMillis);
-    ServerChooser.Candidate candidate =
-        new ServerChooser.Candidate(request, lengths, headroomBlocks(request));
-    ServerChooser.Choice choice = chooser.choose(candidate, able, nowMillis);
+    BackendChooser.Candidate candidate =
+        new BackendChooser.Candidate(request, lengths, headroomBlocks(request));
+    BackendChooser.Choice choice = chooser.choose(candidate, able, nowMillis);
     if (choice == null) {
       return false;
     }
-    ServerState server = choice.server();
+    BackendServerState server = choice.server();
     int running = server.totalRunning();
     queue.remove(request.id());
     placements.put(request.id(), server);
-    server.opened(new ServerState.OpenRequest(request, lengths, nowMillis));
+    server.opened(new BackendServerState.OpenRequest(request, lengths, nowMillis));
     long slack = request.firstReplyDueMillis() - nowMillis;
     statsOf(request, nowMillis).dispatched(slack < 0);
     decisions.add(
@@ -336,11 +338,11 @@
     return true;
   }
 
-  private List<ServerState> ableServers(
-      RequestFacts request, Collection<ServerState> among, long nowMillis) {
-    List<ServerState> able = new ArrayList<>();
-    List<ServerState> excluded = new ArrayList<>();
-    for (ServerState server : among) {
+  private List<BackendServerState> ableServers(
+      RequestAttributes request, Collection<BackendServerState> among, long nowMillis) {
+    List<BackendServerState> able = new ArrayList<>();
+    List<BackendServerState> excluded = new ArrayList<>();
+    for (BackendServerState server : among) {
       if (!server.serves(request.model()) || ejector.isEjected(server.name(), nowMillis)) {
         continue;
       }
@@ -356,7 +358,7 @@
   }
 
   /** Returns the rank of the class by its first-reply target: the tightest is 0. */
-  private int priorityOf(RequestFacts request) {
+  private int priorityOf(RequestAttributes request) {
     long own = request.targets().firstReplyMillis();
     return (int)
         stats.values().stream()
@@ -367,7 +369,7 @@
   }
 
   /** Returns the memory to leave free on each server for the next arrivals of tighter classes. */
-  private double headroomBlocks(RequestFacts request) {
+  private double headroomBlocks(RequestAttributes request) {
     int serverCount = serverCountByModel.getOrDefault(request.model(), 0);
     if (!(policy instanceof Policy.Forecast forecast) || serverCount == 0) {
       return 0;
@@ -381,7 +383,7 @@
               && entry.getKey().model().equals(request.model());
       if (tighter) {
         double arrivals = other.arrivalsPerSecond() * options.headroomMillis() / 1_000;
-        blocks += arrivals * turns.count() * other.typicalBlocks();
+        blocks += arrivals * timeSlots.count() * other.typicalBlocks();
       }
     }
     return blocks / serverCount;
@@ -392,7 +394,7 @@
       return;
     }
     for (RequestQueue.Waiting waiting : queue.inOrder()) {
-      RequestFacts request = waiting.request();
+      RequestAttributes request = waiting.request();
       if (!isServed(request.model()) && waiting.overdue(nowMillis)) {
         queue.remove(request.id());
         shed(request, RoutingDecision.ShedReason.NO_SERVER, nowMillis);
@@ -405,7 +407,7 @@
 
   private void countServers() {
     serverCountByModel.clear();
-    for (ServerState server : servers.values()) {
+    for (BackendServerState server : servers.values()) {
       if (server.usable()) {
         server.report().models().forEach(m -> serverCountByModel.merge(m, 1, Integer::sum));
       }
@@ -417,7 +419,7 @@
   }
 
   /** Returns whether an answer of ordinary length cannot be whole in time any more. */
-  private boolean cannotFinish(RequestFacts request, long nowMillis) {
+  private boolean cannotFinish(RequestAttributes request, long nowMillis) {
     double target = request.targets().gapMillis();
     double gap = Math.min(medianGapMillis(request.model()), target);
     double run = lengthsOf(request, nowMillis).meanRemaining(0) * gap;
@@ -429,13 +431,13 @@
     double[] gaps =
         servers.values().stream()
             .filter(server -> server.serves(model) && server.gapMillis() > 0)
-            .mapToDouble(ServerState::gapMillis)
+            .mapToDouble(BackendServerState::gapMillis)
             .sorted()
             .toArray();
     return gaps.length == 0 ? 0 : gaps[gaps.length / 2];
   }
 
-  private void shed(RequestFacts request, RoutingDecision.ShedReason reason, long nowMillis) {
+  private void shed(RequestAttributes request, RoutingDecision.ShedReason reason, long nowMillis) {
     ClassStats classStats = statsOf(request, nowMillis);
     classStats.shed();
     double rate = Math.max(0.2, classStats.dispatchesPerSecond());
@@ -445,13 +447,13 @@
     decisions.add(new RoutingDecision.Shed(request.id(), retryAfter, reason));
   }
 
-  private ClassStats statsOf(RequestFacts request, long nowMillis) {
+  private ClassStats statsOf(RequestAttributes request, long nowMillis) {
     return stats.computeIfAbsent(
         new ClassKey(request.className(), request.model()),
         key -> new ClassStats(request.targets(), nowMillis));
   }
 
-  private OutputLengths lengthsOf(RequestFacts request, long nowMillis) {
+  private OutputLengths lengthsOf(RequestAttributes request, long nowMillis) {
     boolean oracle = policy instanceof Policy.Forecast forecast && forecast.options().oracle();
     return oracle ? trueLengths.apply(request.id()) : statsOf(request, nowMillis).lengths;
   }
--- a/src/main/java/org/curranthaven/internal/routing/RoutingEvent.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingEvent.java
@@ -10,16 +10,16 @@
   @JsonSubTypes.Type(value = RoutingEvent.Abandoned.class, name = "abandoned"),
   @JsonSubTypes.Type(value = RoutingEvent.Progressed.class, name = "progressed"),
   @JsonSubTypes.Type(value = RoutingEvent.Finished.class, name = "finished"),
-  @JsonSubTypes.Type(value = RoutingEvent.ServerReported.class, name = "serverReported"),
-  @JsonSubTypes.Type(value = RoutingEvent.ServerGone.class, name = "serverGone"),
+  @JsonSubTypes.Type(value = RoutingEvent.BackendReported.class, name = "serverReported"),
+  @JsonSubTypes.Type(value = RoutingEvent.BackendRemoved.class, name = "serverGone"),
   @JsonSubTypes.Type(value = RoutingEvent.SharesReported.class, name = "sharesReported"),
-  @JsonSubTypes.Type(value = RoutingEvent.HostGone.class, name = "hostGone"),
+  @JsonSubTypes.Type(value = RoutingEvent.HostRemoved.class, name = "hostGone"),
   @JsonSubTypes.Type(value = RoutingEvent.PrefixCached.class, name = "prefixCached"),
   @JsonSubTypes.Type(value = RoutingEvent.Tick.class, name = "tick"),
 })
 public sealed interface RoutingEvent {
   /** A caller asked. */
-  record Arrived(RequestFacts request) implements RoutingEvent {}
+  record Arrived(RequestAttributes request) implements RoutingEvent {}
 
   /** The caller of a request that was not yet dispatched has gone. */
   record Abandoned(long requestId) implements RoutingEvent {}
@@ -28,19 +28,19 @@
   record Progressed(long requestId, int tokens) implements RoutingEvent {}
 
   /** A dispatched request has ended on its server. */
-  record Finished(long requestId, int tokens, Ending ending) implements RoutingEvent {}
+  record Finished(long requestId, int tokens, RequestOutcome ending) implements RoutingEvent {}
 
   /** A server reported its load. */
-  record ServerReported(ServerReport report) implements RoutingEvent {}
+  record BackendReported(BackendReport report) implements RoutingEvent {}
 
   /** A server may not be used any longer. */
-  record ServerGone(String server) implements RoutingEvent {}
+  record BackendRemoved(String server) implements RoutingEvent {}
 
   /** Another host told what it has open on servers. */
   record SharesReported(String host, ShareUpdate update) implements RoutingEvent {}
 
   /** Another host has gone, and what it had open with it. */
-  record HostGone(String host) implements RoutingEvent {}
+  record HostRemoved(String host) implements RoutingEvent {}
 
   /** A server's cache holds a prefix, or no longer does. */
   record PrefixCached(String server, long prefixHash, boolean present) implements RoutingEvent {}
@@ -49,7 +49,7 @@
   record Tick() implements RoutingEvent {}
 
   /** How a request ended on its server. */
-  enum Ending {
+  enum RequestOutcome {
     /** The whole answer came. */
     COMPLETED,
     /** The caller has gone or the request was cancelled. */
--- a/src/main/java/org/curranthaven/internal/routing/ShareLog.java
+++ b/src/main/java/org/curranthaven/internal/routing/ShareUpdatePolicy.java
@@ -9,7 +9,7 @@
  * Chooses which of a host's shares to tell the others: those whose number of requests has changed,
  * and all of them once a second. Not thread-safe.
  */
-final class ShareLog {
+final class ShareUpdatePolicy {
   /** Time between two tellings of all shares, in milliseconds. */
   static final long FULL_MILLIS = 1_000;
 
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -19,8 +19,8 @@
 import org.curranthaven.internal.configuration.FleetState;
 import org.curranthaven.internal.consensus.ConsensusLoop;
 import org.curranthaven.internal.consensus.DataFolder;
-import org.curranthaven.internal.dispatch.RetryAllowance;
-import org.curranthaven.internal.relay.ControlCall;
+import org.curranthaven.internal.dispatch.RetryLimits;
+import org.curranthaven.internal.relay.ControlRequest;
 import org.curranthaven.internal.relay.WireProtocol;
 import org.curranthaven.internal.settings.Addresses;
 import org.curranthaven.internal.settings.Json;
@@ -59,7 +59,7 @@
   private final DataFolder folder;
   private final PeerNetwork network;
   private final ConsensusLoop consensus;
-  private final Leadership leadership;
+  private final LeadershipTracker leadership;
   private final Scheduler scheduler;
   private final LeaderClient leader;
   private final ControlServer server;
@@ -91,14 +91,14 @@
                     network.sendToIdentity(identity, Envelope.newBuilder().setConsensus(batch)),
                 clock,
                 new SplittableRandom(random.nextLong())));
-    this.leadership = new Leadership(consensus, settings.votersWanted(), new Leading());
+    this.leadership = new LeadershipTracker(consensus, settings.votersWanted(), new Leading());
     consensus.observe(leadership);
     this.scheduler =
         new Scheduler(
             loop,
             clock,
             random,
-            new RetryAllowance(
+            new RetryLimits(
                 settings.retryRatio(), settings.retrySlack(), settings.retryWindowMillis()),
             settings.backendSilenceMillis(),
             this::connectedGateways,
@@ -171,7 +171,7 @@
   }
 
   /** What the consensus thread tells, carried over to the event loop. */
-  private final class Leading implements Leadership.Listener {
+  private final class Leading implements LeadershipTracker.Listener {
     @Override
     public void leads(long term) {
       loop.execute(() -> scheduler.lead(term));
@@ -190,32 +190,32 @@
 
   // ---- control calls ----------------------------------------------------------------------------
 
-  private void handle(ControlCall call, Consumer<ControlReply> answer) {
+  private void handle(ControlRequest call, Consumer<ControlResponse> answer) {
     switch (call) {
-      case ControlCall.Register register ->
+      case ControlRequest.Register register ->
           leader.ask(
               LeaderClient.REGISTER,
               register.backend().toByteString(),
               LeaderClient.REGISTRATION_MILLIS,
               answer);
-      case ControlCall.Withdraw withdraw ->
+      case ControlRequest.Withdraw withdraw ->
           leader.ask(
               LeaderClient.WITHDRAW,
               ByteString.copyFromUtf8(withdraw.id()),
               LeaderClient.REGISTRATION_MILLIS,
               answer);
-      case ControlCall.ReplaceCatalog replace -> replace(replace, answer);
-      case ControlCall.ReadCatalog ignored ->
+      case ControlRequest.ReplaceCatalog replace -> replace(replace, answer);
+      case ControlRequest.ReadCatalog ignored ->
           leader.ask(LeaderClient.READ_CATALOG, ByteString.EMPTY, LeaderClient.READ_MILLIS, answer);
-      case ControlCall.Invalid invalid ->
-          answer.accept(ControlReply.refused(invalid.status(), invalid.message()));
+      case ControlRequest.Invalid invalid ->
+          answer.accept(ControlResponse.refused(invalid.status(), invalid.message()));
     }
   }
 
-  private void replace(ControlCall.ReplaceCatalog replace, Consumer<ControlReply> answer) {
+  private void replace(ControlRequest.ReplaceCatalog replace, Consumer<ControlResponse> answer) {
     switch (protocol.catalogs().decode(replace.document())) {
       case Outcome.Failed<Catalog> failed ->
-          answer.accept(ControlReply.refused(400, failed.failure().sentence()));
+          answer.accept(ControlResponse.refused(400, failed.failure().sentence()));
       case Outcome.Success<Catalog> success ->
           leader.ask(
               LeaderClient.REPLACE_CATALOG,
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlReply.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlResponse.java
@@ -9,16 +9,16 @@
  * @param body JSON body
  */
 @SuppressWarnings("ArrayRecordComponent")
-record ControlReply(int status, byte[] body) {
+record ControlResponse(int status, byte[] body) {
   private record Message(String error) {}
 
   /** Returns the answer to a call that was carried out. */
-  static ControlReply ok() {
-    return new ControlReply(200, new byte[] {'{', '}'});
+  static ControlResponse ok() {
+    return new ControlResponse(200, new byte[] {'{', '}'});
   }
 
   /** Returns the answer to a call that was not carried out. */
-  static ControlReply refused(int status, String message) {
-    return new ControlReply(status, Json.write(new Message(message)).toByteArray());
+  static ControlResponse refused(int status, String message) {
+    return new ControlResponse(status, Json.write(new Message(message)).toByteArray());
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlServer.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlServer.java
@@ -24,7 +24,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import org.curranthaven.internal.relay.ControlCall;
+import org.curranthaven.internal.relay.ControlRequest;
 import org.curranthaven.internal.relay.WireProtocol;
 
 /** Listens for backend servers and operators. */
@@ -34,12 +34,12 @@
 
   private final EventLoopGroup group;
   private final WireProtocol protocol;
-  private final BiConsumer<ControlCall, Consumer<ControlReply>> handler;
+  private final BiConsumer<ControlRequest, Consumer<ControlResponse>> handler;
 
   ControlServer(
       EventLoopGroup group,
       WireProtocol protocol,
-      BiConsumer<ControlCall, Consumer<ControlReply>> handler) {
+      BiConsumer<ControlRequest, Consumer<ControlResponse>> handler) {
     this.group = group;
     this.protocol = protocol;
     this.handler = handler;
@@ -77,14 +77,18 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       boolean keepAlive = HttpUtil.isKeepAlive(request);
       if (request.decoderResult().isFailure()) {
-        write(context, ControlReply.refused(400, "the request is not HTTP as it should be"), false);
+        write(
+            context,
+            ControlResponse.refused(400, "the request is not HTTP as it should be"),
+            false);
         return;
       }
-      handler.accept(protocol.readControlCall(request), reply -> write(context, reply, keepAlive));
+      handler.accept(
+          protocol.readControlRequest(request), reply -> write(context, reply, keepAlive));
     }
 
     private static void write(
-        ChannelHandlerContext context, ControlReply reply, boolean keepAlive) {
+        ChannelHandlerContext context, ControlResponse reply, boolean keepAlive) {
       FullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
--- a/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
@@ -48,9 +48,9 @@
     final String path;
     final ByteString body;
     final long endsAtMillis;
-    final Consumer<ControlReply> answer;
+    final Consumer<ControlResponse> answer;
 
-    Pending(String path, ByteString body, long endsAtMillis, Consumer<ControlReply> answer) {
+    Pending(String path, ByteString body, long endsAtMillis, Consumer<ControlResponse> answer) {
       this.path = path;
       this.body = body;
       this.endsAtMillis = endsAtMillis;
@@ -71,14 +71,14 @@
   }
 
   /** Asks the leader; the answer is 503 if none answered in time. */
-  void ask(String path, ByteString body, long timeoutMillis, Consumer<ControlReply> answer) {
+  void ask(String path, ByteString body, long timeoutMillis, Consumer<ControlResponse> answer) {
     attempt(new Pending(path, body, clock.nowMillis() + timeoutMillis, answer));
   }
 
   private void attempt(Pending pending) {
     long nowMillis = clock.nowMillis();
     if (nowMillis >= pending.endsAtMillis) {
-      pending.answer.accept(ControlReply.refused(503, "no leader answered; send it again"));
+      pending.answer.accept(ControlResponse.refused(503, "no leader answered; send it again"));
       return;
     }
     String leader = leaderHost.get();
@@ -115,14 +115,14 @@
           pending.answer.accept(
               reply.getJson().isEmpty()
                   ? empty(pending.path)
-                  : new ControlReply(OK, reply.getJson().toByteArray()));
+                  : new ControlResponse(OK, reply.getJson().toByteArray()));
       default -> loop.schedule(() -> attempt(pending), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private static ControlReply empty(String path) {
+  private static ControlResponse empty(String path) {
     return path.equals(READ_CATALOG)
-        ? ControlReply.refused(503, "there is no catalog yet")
-        : ControlReply.ok();
+        ? ControlResponse.refused(503, "there is no catalog yet")
+        : ControlResponse.ok();
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/Leadership.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
@@ -12,7 +12,7 @@
  * Watches group 0 on the consensus thread and tells when this host begins or ceases to lead, and
  * when the catalog changes.
  */
-final class Leadership implements GroupObserver {
+final class LeadershipTracker implements GroupObserver {
   private static final int GROUP = 0;
 
   /** Time after which a leader that finds no further control host accepts catalogs all the same. */
@@ -36,7 +36,7 @@
     void catalogApplied(long revision, ByteString document);
   }
 
-  Leadership(ConsensusLoop consensus, int votersWanted, Listener listener) {
+  LeadershipTracker(ConsensusLoop consensus, int votersWanted, Listener listener) {
     this.consensus = consensus;
     this.votersWanted = votersWanted;
     this.listener = listener;
