--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -14,11 +14,11 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import org.curranthaven.internal.catalog.Catalog;
-import org.curranthaven.internal.dispatch.BackendTable;
-import org.curranthaven.internal.dispatch.CallKey;
+import org.curranthaven.internal.dispatch.BackendRegistry;
 import org.curranthaven.internal.dispatch.DispatchCore;
 import org.curranthaven.internal.dispatch.DispatchDecision;
-import org.curranthaven.internal.dispatch.RetryAllowance;
+import org.curranthaven.internal.dispatch.RequestId;
+import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.curranthaven.internal.transport.wire.DispatchAsk;
@@ -53,7 +53,7 @@
   private final EventLoop loop;
   private final Clock clock;
   private final RandomGenerator random;
-  private final RetryAllowance retryAllowance;
+  private final RetryLimits retryLimits;
   private final long backendSilenceMillis;
   private final Supplier<Collection<HostRecord>> gateways;
   private final BiConsumer<String, Envelope.Builder> sender;
@@ -63,7 +63,7 @@
   private Catalog catalog = Catalog.empty();
   private ByteString document = ByteString.EMPTY;
   private DispatchCore core;
-  private BackendTable table = new BackendTable();
+  private BackendRegistry table = new BackendRegistry();
   private long term;
   private long version;
   private long begunAtMillis;
@@ -86,18 +86,18 @@
       EventLoop loop,
       Clock clock,
       RandomGenerator random,
-      RetryAllowance retryAllowance,
+      RetryLimits retryLimits,
       long backendSilenceMillis,
       Supplier<Collection<HostRecord>> gateways,
       BiConsumer<String, Envelope.Builder> sender) {
     this.loop = loop;
     this.clock = clock;
     this.random = random;
-    this.retryAllowance = retryAllowance;
+    this.retryLimits = retryLimits;
     this.backendSilenceMillis = backendSilenceMillis;
     this.gateways = gateways;
     this.sender = sender;
-    this.core = new DispatchCore(retryAllowance, 1, random);
+    this.core = new DispatchCore(retryLimits, 1, random);
   }
 
   boolean leads() {
@@ -120,9 +120,9 @@
   private void begin() {
     Logger.info("scheduling in term {}", term);
     long nowMillis = clock.nowMillis();
-    core = new DispatchCore(retryAllowance, 1, random);
+    core = new DispatchCore(retryLimits, 1, random);
     core.setCatalog(catalog);
-    table = new BackendTable();
+    table = new BackendRegistry();
     views.clear();
     version = 1;
     begunAtMillis = nowMillis;
@@ -198,7 +198,7 @@
     core.tick(nowMillis);
     flush();
     checkWaiters();
-    long delay = core.waitingCalls() > 0 ? WAITING_TICK_MILLIS : HEARTBEAT_MILLIS;
+    long delay = core.queuedRequests() > 0 ? WAITING_TICK_MILLIS : HEARTBEAT_MILLIS;
     loop.schedule(this::tick, delay, TimeUnit.MILLISECONDS);
   }
 
@@ -230,7 +230,7 @@
       view = new GatewayView();
       view.incarnation = gateway.getIncarnation();
       views.put(gateway.getName(), view);
-      core.gatewayGone(gateway.getName(), clock.nowMillis());
+      core.removeGateway(gateway.getName(), clock.nowMillis());
     }
     return view;
   }
@@ -252,17 +252,17 @@
         base(viewOf(gateway))
             .setVersion(version)
             .addAllBackends(table.all())
-            .addAllGone(table.goneIds());
+            .addAllGone(table.removedIds());
     sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(builder));
   }
 
   private void dropSilent(long nowMillis) {
-    List<String> silent = table.takeSilent(backendSilenceMillis, nowMillis);
+    List<String> silent = table.removeExpired(backendSilenceMillis, nowMillis);
     if (silent.isEmpty()) {
       return;
     }
     Logger.info("backend servers {} are silent", silent);
-    silent.forEach(id -> core.backendGone(id, nowMillis));
+    silent.forEach(id -> core.removeBackend(id, nowMillis));
     version++;
     gateways.get().forEach(this::sendFull);
     flush();
@@ -292,18 +292,18 @@
   }
 
   private void restore(HostRecord from, GatewayStatus status, long nowMillis) {
-    status.getGoneList().forEach(id -> table.gone(id, nowMillis));
+    status.getGoneList().forEach(id -> table.remove(id, nowMillis));
     for (BackendRecord record : status.getBackendsList()) {
-      BackendRecord changed = table.restored(record, nowMillis);
+      BackendRecord changed = table.restore(record, nowMillis);
       if (changed != null) {
-        core.backendChanged(changed, nowMillis);
+        core.updateBackend(changed, nowMillis);
       }
     }
-    status.getGoneList().forEach(id -> core.backendGone(id, nowMillis));
-    core.gatewayGone(from.getName(), nowMillis);
+    status.getGoneList().forEach(id -> core.removeBackend(id, nowMillis));
+    core.removeGateway(from.getName(), nowMillis);
     for (OpenDispatch open : status.getOpenList()) {
-      CallKey key = new CallKey(from.getName(), open.getAsk().getId());
-      core.restore(key, open.getAsk(), open.getBackend(), open.getOutputTokens(), nowMillis);
+      RequestId key = new RequestId(from.getName(), open.getAsk().getId());
+      core.restoreRunning(key, open.getAsk(), open.getBackend(), open.getOutputTokens(), nowMillis);
     }
     flush();
   }
@@ -319,18 +319,18 @@
   private void handle(String gateway, DispatchRequests requests) {
     long nowMillis = clock.nowMillis();
     for (DispatchEnd end : requests.getEndsList()) {
-      core.ended(
-          new CallKey(gateway, end.getId()), end.getOutcome(), end.getOutputTokens(), nowMillis);
+      core.requestEnded(
+          new RequestId(gateway, end.getId()), end.getOutcome(), end.getOutputTokens(), nowMillis);
     }
     for (DispatchProgress progress : requests.getProgressList()) {
-      core.progressed(
-          new CallKey(gateway, progress.getId()), progress.getOutputTokens(), nowMillis);
+      core.outputProgressed(
+          new RequestId(gateway, progress.getId()), progress.getOutputTokens(), nowMillis);
     }
     DispatchOrders.Builder waiting = DispatchOrders.newBuilder().setTerm(term);
     for (DispatchAsk ask : requests.getAsksList()) {
-      CallKey key = new CallKey(gateway, ask.getId());
-      core.ask(key, ask, nowMillis);
-      if (core.isWaiting(key)) {
+      RequestId key = new RequestId(gateway, ask.getId());
+      core.submit(key, ask, nowMillis);
+      if (core.isQueued(key)) {
         waiting.addWaiting(ask.getId());
       }
     }
@@ -344,7 +344,7 @@
   void gatewayGone(HostRecord gateway) {
     if (term > 0) {
       views.remove(gateway.getName());
-      core.gatewayGone(gateway.getName(), clock.nowMillis());
+      core.removeGateway(gateway.getName(), clock.nowMillis());
       flush();
       checkWaiters();
     }
@@ -352,7 +352,7 @@
 
   private void flush() {
     Map<String, DispatchOrders.Builder> orders = new LinkedHashMap<>();
-    for (DispatchDecision decision : core.takeDecisions()) {
+    for (DispatchDecision decision : core.drainDecisions()) {
       DispatchOrders.Builder order =
           orders.computeIfAbsent(
               decision.key().gateway(), name -> DispatchOrders.newBuilder().setTerm(term));
@@ -364,13 +364,13 @@
                     .setBackend(place.backend())
                     .setUrgency(place.urgency())
                     .setBackup(place.backup()));
-        case DispatchDecision.Refuse refuse ->
+        case DispatchDecision.Reject refuse ->
             order.addRefusals(
                 Refusal.newBuilder()
                     .setId(refuse.key().id())
                     .setRetryAfterMillis(refuse.retryAfterMillis())
                     .setReason(refuse.reason().name()));
-        case DispatchDecision.MoveTo move ->
+        case DispatchDecision.Migrate move ->
             order.addMoves(
                 Move.newBuilder()
                     .setId(move.key().id())
@@ -393,14 +393,14 @@
     whenRebuilt(
         () -> {
           long nowMillis = clock.nowMillis();
-          BackendRecord changed = table.registered(news, nowMillis);
+          BackendRecord changed = table.register(news, nowMillis);
           if (changed != null) {
             Logger.info(
                 "backend server {} of {} {}",
                 changed.getId(),
                 changed.getService(),
                 changed.getLeaving() ? "leaves" : "registered");
-            core.backendChanged(changed, nowMillis);
+            core.updateBackend(changed, nowMillis);
             push(List.of(changed), List.of());
           }
           if (news.getLeaving()) {
@@ -420,9 +420,9 @@
     whenRebuilt(
         () -> {
           long nowMillis = clock.nowMillis();
-          if (table.gone(id, nowMillis)) {
+          if (table.remove(id, nowMillis)) {
             Logger.info("backend server {} is gone", id);
-            core.backendGone(id, nowMillis);
+            core.removeBackend(id, nowMillis);
             push(List.of(), List.of(id));
           }
           await(version, 0, answer);
--- a/src/main/java/org/curranthaven/internal/transport/DialTimes.java
+++ b/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
@@ -14,7 +14,7 @@
  * times.failed("10.0.0.1:7000");
  * }</pre>
  */
-final class DialTimes {
+final class ConnectTimeouts {
   /** Time for a host a few milliseconds away that is busy starting, in milliseconds. */
   static final int FIRST_MILLIS = 200;
 
--- a/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
@@ -70,7 +70,7 @@
   private final Map<String, Long> learntAtMillis = new ConcurrentHashMap<>();
   private final Map<String, PeerConnection> byHost = new ConcurrentHashMap<>();
   private final Set<String> dialling = ConcurrentHashMap.newKeySet();
-  private final DialTimes dialTimes = new DialTimes();
+  private final ConnectTimeouts connectTimeouts = new ConnectTimeouts();
   private final Semaphore newlyLearnt = new Semaphore(0);
   private final Map<String, String> hostByAddress = new ConcurrentHashMap<>();
   private final Set<String> blocked = ConcurrentHashMap.newKeySet();
@@ -243,7 +243,7 @@
     learntAtMillis.values().removeIf(learnt -> nowMillis - learnt > FORGET_MILLIS);
     Set<String> contacts = new HashSet<>(fixedContacts);
     contacts.addAll(learntAtMillis.keySet());
-    dialTimes.keepOnly(contacts);
+    connectTimeouts.keepOnly(contacts);
     for (String address : contacts) {
       String host = hostByAddress.get(address);
       boolean connected = host != null && byHost.containsKey(host);
@@ -260,16 +260,16 @@
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, dialTimes.timeoutMillis(address))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeouts.timeoutMillis(address))
         .handler(initializer(address))
         .connect(Addresses.parse(address))
         .addListener(
             future -> {
               if (future.isSuccess()) {
-                dialTimes.succeeded(address);
+                connectTimeouts.succeeded(address);
               } else {
                 if (future.cause() instanceof ConnectTimeoutException) {
-                  dialTimes.failed(address);
+                  connectTimeouts.failed(address);
                 }
                 dialling.remove(address);
               }
--- a/src/main/java/org/curranthaven/platform/BackendTranslation.java
+++ b/src/main/java/org/curranthaven/platform/BackendTranslation.java
@@ -13,10 +13,10 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
 import java.util.Locale;
-import org.curranthaven.internal.relay.AnswerHead;
-import org.curranthaven.internal.relay.BackendCall;
-import org.curranthaven.internal.relay.InboundCall;
-import org.curranthaven.internal.relay.MoveAnswer;
+import org.curranthaven.internal.relay.BackendRequest;
+import org.curranthaven.internal.relay.InboundRequest;
+import org.curranthaven.internal.relay.ResponseHead;
+import org.curranthaven.internal.relay.TransferResponse;
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
@@ -28,8 +28,8 @@
 
   private BackendTranslation() {}
 
-  static FullHttpRequest request(BackendCall call) {
-    InboundCall inbound = call.call();
+  static FullHttpRequest request(BackendRequest call) {
+    InboundRequest inbound = call.request();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -56,8 +56,8 @@
     if (!call.takeOverFrom().isEmpty()) {
       headers.set(Headers.TAKE_OVER, call.takeOverFrom());
     }
-    if (!call.backupAt().isEmpty()) {
-      headers.set(Headers.BACKUP, call.backupAt());
+    if (!call.backupAddress().isEmpty()) {
+      headers.set(Headers.BACKUP, call.backupAddress());
     }
     if (inbound.body().length > 0 || !isBodyless(inbound.method())) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, inbound.body().length);
@@ -69,10 +69,10 @@
     return method.equals(HttpMethod.GET) || method.equals(HttpMethod.HEAD);
   }
 
-  static AnswerHead answer(HttpResponse response) {
+  static ResponseHead answer(HttpResponse response) {
     HttpHeaders headers = response.headers();
     int status = response.status().code();
-    return new AnswerHead(
+    return new ResponseHead(
         status,
         headers.get(Headers.REQUEST_ID, ""),
         headers.contains(Headers.SEAL),
@@ -103,7 +103,7 @@
   private record MoveOrder(String id, String target, boolean last) {}
 
   static FullHttpRequest moveRequest(
-      InboundCall call, BackendRecord source, BackendRecord target, boolean last) {
+      InboundRequest call, BackendRecord source, BackendRecord target, boolean last) {
     byte[] body = Json.write(new MoveOrder(call.id(), target.getAddress(), last)).toByteArray();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
@@ -114,12 +114,12 @@
     return request;
   }
 
-  static MoveAnswer moveAnswer(int status, byte[] body) {
+  static TransferResponse moveAnswer(int status, byte[] body) {
     try {
       JsonNode json = Json.LENIENT.readTree(body);
-      return new MoveAnswer(status, json == null ? "" : json.path("handle").asText(""));
+      return new TransferResponse(status, json == null ? "" : json.path("handle").asText(""));
     } catch (IOException e) {
-      return new MoveAnswer(status, "");
+      return new TransferResponse(status, "");
     }
   }
 }
--- a/src/main/java/org/curranthaven/platform/CatalogTranslation.java
+++ b/src/main/java/org/curranthaven/platform/CatalogTranslation.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import org.curranthaven.api.Outcome;
 import org.curranthaven.api.ResultCode;
-import org.curranthaven.internal.catalog.CallKind;
-import org.curranthaven.internal.catalog.CallLimits;
 import org.curranthaven.internal.catalog.Catalog;
 import org.curranthaven.internal.catalog.CatalogCodec;
 import org.curranthaven.internal.catalog.CatalogWorkspace;
-import org.curranthaven.internal.catalog.EngineSpec;
+import org.curranthaven.internal.catalog.EngineCapabilities;
+import org.curranthaven.internal.catalog.Repeatability;
+import org.curranthaven.internal.catalog.RequestLimits;
 import org.curranthaven.internal.catalog.Route;
-import org.curranthaven.internal.catalog.ServiceShare;
 import org.curranthaven.internal.catalog.ServiceSpec;
+import org.curranthaven.internal.catalog.ServiceWeight;
 import org.curranthaven.internal.settings.Json;
 import org.jspecify.annotations.Nullable;
 
@@ -72,23 +72,23 @@
         shares(node));
   }
 
-  private static CallKind kind(String word) {
+  private static Repeatability kind(String word) {
     return switch (word) {
-      case "idempotent" -> CallKind.IDEMPOTENT;
-      case "non_idempotent" -> CallKind.NON_IDEMPOTENT;
-      case "stream" -> CallKind.STREAM;
+      case "idempotent" -> Repeatability.IDEMPOTENT;
+      case "non_idempotent" -> Repeatability.NON_IDEMPOTENT;
+      case "stream" -> Repeatability.STREAM;
       default -> throw new IllegalArgumentException("unknown kind '" + word + "'");
     };
   }
 
-  private static List<ServiceShare> shares(JsonNode node) {
-    List<ServiceShare> shares = new ArrayList<>();
+  private static List<ServiceWeight> shares(JsonNode node) {
+    List<ServiceWeight> shares = new ArrayList<>();
     if (node.has("backends") && !node.get("backends").isNull()) {
       for (JsonNode share : list(node, "backends")) {
-        shares.add(new ServiceShare(text(share, "service"), share.path("weight").asDouble(0)));
+        shares.add(new ServiceWeight(text(share, "service"), share.path("weight").asDouble(0)));
       }
     } else {
-      shares.add(new ServiceShare(text(node, "service"), 1));
+      shares.add(new ServiceWeight(text(node, "service"), 1));
     }
     return shares;
   }
@@ -98,11 +98,11 @@
         text(node, "name"), node.path("maxConns").asInt(0), engine(node.get("engine")));
   }
 
-  private static @Nullable EngineSpec engine(@Nullable JsonNode node) {
+  private static @Nullable EngineCapabilities engine(@Nullable JsonNode node) {
     if (node == null || node.isNull()) {
       return null;
     }
-    return new EngineSpec(
+    return new EngineCapabilities(
         node.path("slots").asInt(1),
         node.path("kvCapacity").asInt(1),
         Math.max(1, node.path("stride").asInt(1)),
@@ -110,9 +110,9 @@
         node.path("backups").asBoolean(false));
   }
 
-  private static CallLimits limits(JsonNode node) {
-    CallLimits standard = CallLimits.standard();
-    return new CallLimits(
+  private static RequestLimits limits(JsonNode node) {
+    RequestLimits standard = RequestLimits.standard();
+    return new RequestLimits(
         node.path("maxHeaderBytes").asInt(standard.maxHeaderBytes()),
         node.path("maxBodyBytes").asInt(standard.maxBodyBytes()),
         node.path("headerTimeoutMs").asLong(standard.headerTimeoutMillis()),
--- a/src/main/java/org/curranthaven/platform/ControlTranslation.java
+++ b/src/main/java/org/curranthaven/platform/ControlTranslation.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
-import org.curranthaven.internal.relay.ControlCall;
+import org.curranthaven.internal.relay.ControlRequest;
 import org.curranthaven.internal.settings.Addresses;
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.transport.wire.BackendRecord;
@@ -20,7 +20,7 @@
 
   private ControlTranslation() {}
 
-  static ControlCall read(FullHttpRequest request) {
+  static ControlRequest read(FullHttpRequest request) {
     String uri = request.uri();
     int query = uri.indexOf('?');
     String path = query < 0 ? uri : uri.substring(0, query);
@@ -29,35 +29,35 @@
       String id = URLDecoder.decode(path.substring(REGISTRATIONS.length()), StandardCharsets.UTF_8);
       return switch (method) {
         case "PUT" -> registration(id, ByteBufUtil.getBytes(request.content()));
-        case "DELETE" -> new ControlCall.Withdraw(id);
+        case "DELETE" -> new ControlRequest.Withdraw(id);
         default -> notFound(method, path);
       };
     }
     if (path.equals(CONFIGURATION)) {
       return switch (method) {
-        case "PUT" -> new ControlCall.ReplaceCatalog(ByteBufUtil.getBytes(request.content()));
-        case "GET" -> new ControlCall.ReadCatalog();
+        case "PUT" -> new ControlRequest.ReplaceCatalog(ByteBufUtil.getBytes(request.content()));
+        case "GET" -> new ControlRequest.ReadCatalog();
         default -> notFound(method, path);
       };
     }
     return notFound(method, path);
   }
 
-  private static ControlCall notFound(String method, String path) {
-    return new ControlCall.Invalid(NOT_FOUND, "there is no call " + method + " " + path);
+  private static ControlRequest notFound(String method, String path) {
+    return new ControlRequest.Invalid(NOT_FOUND, "there is no call " + method + " " + path);
   }
 
-  private static ControlCall registration(String id, byte[] body) {
+  private static ControlRequest registration(String id, byte[] body) {
     try {
       JsonNode node = Json.LENIENT.readTree(body);
       String service = node == null ? "" : node.path("service").asText("");
       String address = node == null ? "" : node.path("address").asText("");
       JsonNode sequence = node == null ? null : node.get("seq");
       if (node == null || service.isEmpty() || sequence == null || !sequence.isIntegralNumber()) {
-        return new ControlCall.Invalid(BAD_REQUEST, "a registration needs service and seq");
+        return new ControlRequest.Invalid(BAD_REQUEST, "a registration needs service and seq");
       }
       Addresses.parse(address);
-      return new ControlCall.Register(
+      return new ControlRequest.Register(
           BackendRecord.newBuilder()
               .setId(id)
               .setService(service)
@@ -69,7 +69,7 @@
               .setColdLeftMillis(Math.max(0, node.path("coldLeftMs").asLong(0)))
               .build());
     } catch (IOException | IllegalArgumentException e) {
-      return new ControlCall.Invalid(
+      return new ControlRequest.Invalid(
           BAD_REQUEST, "the registration cannot be read: " + e.getMessage());
     }
   }
--- a/src/main/java/org/curranthaven/platform/PlatformProtocol.java
+++ b/src/main/java/org/curranthaven/platform/PlatformProtocol.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.curranthaven.api.Outcome;
 import org.curranthaven.internal.catalog.CatalogCodec;
-import org.curranthaven.internal.relay.AnswerHead;
-import org.curranthaven.internal.relay.BackendCall;
-import org.curranthaven.internal.relay.ControlCall;
-import org.curranthaven.internal.relay.InboundCall;
-import org.curranthaven.internal.relay.MoveAnswer;
+import org.curranthaven.internal.relay.BackendRequest;
+import org.curranthaven.internal.relay.ControlRequest;
+import org.curranthaven.internal.relay.InboundRequest;
+import org.curranthaven.internal.relay.ResponseHead;
+import org.curranthaven.internal.relay.TransferResponse;
 import org.curranthaven.internal.relay.WireProtocol;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
@@ -27,28 +27,28 @@
   }
 
   @Override
-  public Outcome<InboundCall> readCall(FullHttpRequest request) {
-    return CallTranslation.read(request);
+  public Outcome<InboundRequest> readCall(FullHttpRequest request) {
+    return RequestTranslation.read(request);
   }
 
   @Override
-  public FullHttpRequest backendRequest(BackendCall call) {
+  public FullHttpRequest backendRequest(BackendRequest call) {
     return BackendTranslation.request(call);
   }
 
   @Override
-  public AnswerHead readAnswer(HttpResponse response) {
+  public ResponseHead readAnswer(HttpResponse response) {
     return BackendTranslation.answer(response);
   }
 
   @Override
   public FullHttpRequest moveRequest(
-      InboundCall call, BackendRecord source, BackendRecord target, boolean last) {
+      InboundRequest call, BackendRecord source, BackendRecord target, boolean last) {
     return BackendTranslation.moveRequest(call, source, target, last);
   }
 
   @Override
-  public MoveAnswer readMoveAnswer(int status, byte[] body) {
+  public TransferResponse readMoveAnswer(int status, byte[] body) {
     return BackendTranslation.moveAnswer(status, body);
   }
 
@@ -58,7 +58,7 @@
   }
 
   @Override
-  public ControlCall readControlCall(FullHttpRequest request) {
+  public ControlRequest readControlRequest(FullHttpRequest request) {
     return ControlTranslation.read(request);
   }
 }
--- a/src/main/java/org/curranthaven/platform/CallTranslation.java
+++ b/src/main/java/org/curranthaven/platform/RequestTranslation.java
@@ -12,15 +12,15 @@
 import java.util.Set;
 import org.curranthaven.api.Outcome;
 import org.curranthaven.api.ResultCode;
-import org.curranthaven.internal.relay.HopHeaders;
-import org.curranthaven.internal.relay.InboundCall;
+import org.curranthaven.internal.relay.HopByHopHeaders;
+import org.curranthaven.internal.relay.InboundRequest;
 import org.curranthaven.internal.transport.wire.PromptPart;
 
 /** Reads callers' requests. */
-final class CallTranslation {
-  private CallTranslation() {}
+final class RequestTranslation {
+  private RequestTranslation() {}
 
-  static Outcome<InboundCall> read(FullHttpRequest request) {
+  static Outcome<InboundRequest> read(FullHttpRequest request) {
     HttpHeaders headers = request.headers();
     String uri = request.uri();
     if (!uri.startsWith("/")) {
@@ -32,7 +32,7 @@
     int[] tokens = tokens(headers.get(Headers.TOKENS, ""));
     int query = uri.indexOf('?');
     return Outcome.success(
-        new InboundCall(
+        new InboundRequest(
             headers.get(Headers.REQUEST_ID, ""),
             hostName(headers.get(HttpHeaderNames.HOST, "")),
             request.method(),
@@ -57,12 +57,12 @@
   }
 
   private static HttpHeaders forwarded(HttpHeaders headers) {
-    Set<String> dropped = HopHeaders.of(headers);
+    Set<String> dropped = HopByHopHeaders.of(headers);
     dropped.addAll(Headers.SET_BY_SYSTEM);
     dropped.remove("host");
     dropped.removeAll(PROTECTED);
     HttpHeaders kept = new DefaultHttpHeaders();
-    HopHeaders.copy(headers, kept, dropped);
+    HopByHopHeaders.copy(headers, kept, dropped);
     return kept;
   }
 
--- a/src/test/java/org/curranthaven/internal/check/GroupRunTest.java
+++ b/src/test/java/org/curranthaven/internal/check/GroupRunTest.java
@@ -14,7 +14,7 @@
   @Test
   void three_replicas_keep_every_invariant() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      assertThat(Actions.violation(seed, 3, Actions.draw(seed, ACTIONS), Breakage.NONE))
+      assertThat(Actions.violation(seed, 3, Actions.draw(seed, ACTIONS), InjectedFault.NONE))
           .as("seed " + seed)
           .isNull();
     }
@@ -23,7 +23,7 @@
   @Test
   void five_replicas_keep_every_invariant() {
     for (long seed = 1; seed <= SEEDS / 2; seed++) {
-      assertThat(Actions.violation(seed, 5, Actions.draw(seed, ACTIONS), Breakage.NONE))
+      assertThat(Actions.violation(seed, 5, Actions.draw(seed, ACTIONS), InjectedFault.NONE))
           .as("seed " + seed)
           .isNull();
     }
@@ -33,19 +33,20 @@
   void a_late_snapshot_does_not_drop_acknowledged_entries_after_it() {
     long seed = 4_166;
 
-    assertThat(Actions.violation(seed, 5, Actions.draw(seed, ACTIONS), Breakage.NONE)).isNull();
+    assertThat(Actions.violation(seed, 5, Actions.draw(seed, ACTIONS), InjectedFault.NONE))
+        .isNull();
   }
 
   @ParameterizedTest
   @EnumSource(
-      value = Breakage.class,
+      value = InjectedFault.class,
       names = {
         "ACKNOWLEDGE_BEFORE_SYNC",
         "VOTE_ON_WIPED_DISK",
         "FORGET_VOTE_ON_RESTART",
         "CLOCKS_BEYOND_BOUND"
       })
-  void a_deliberate_breakage_is_caught(Breakage breakage) {
+  void a_deliberate_breakage_is_caught(InjectedFault breakage) {
     boolean caught = false;
     for (long seed = 1; seed <= 2_000 && !caught; seed++) {
       caught = Actions.violation(seed, 3, Actions.draw(seed, ACTIONS), breakage) != null;
@@ -55,7 +56,7 @@
 
   @Test
   void a_violation_is_shortened_to_a_small_trace() {
-    Breakage breakage = Breakage.FORGET_VOTE_ON_RESTART;
+    InjectedFault breakage = InjectedFault.FORGET_VOTE_ON_RESTART;
     long seed = 1;
     while (Actions.violation(seed, 3, Actions.draw(seed, ACTIONS), breakage) == null) {
       seed++;
--- /dev/null
+++ b/src/test/java/org/curranthaven/internal/dispatch/BackendRegistryTest.java
@@ -0,0 +1,68 @@
+package org.curranthaven.internal.dispatch;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.curranthaven.internal.transport.wire.BackendRecord;
+import org.junit.jupiter.api.Test;
+
+class BackendRegistryTest {
+  private final BackendRegistry registry = new BackendRegistry();
+
+  private static BackendRecord record(long sequence, boolean leaving) {
+    return BackendRecord.newBuilder()
+        .setId("i-1")
+        .setService("s")
+        .setAddress("10.0.0.1:80")
+        .setSlots(4)
+        .setSequence(sequence)
+        .setLeaving(leaving)
+        .build();
+  }
+
+  @Test
+  void a_late_registration_changes_nothing() {
+    registry.register(record(5, true), 0);
+
+    assertThat(registry.register(record(4, false), 10)).isNull();
+    assertThat(registry.all()).singleElement().matches(BackendRecord::getLeaving);
+  }
+
+  @Test
+  void one_that_leaves_does_not_become_ready_again() {
+    registry.register(record(5, true), 0);
+    registry.register(record(6, false), 10);
+
+    assertThat(registry.all()).singleElement().matches(BackendRecord::getLeaving);
+  }
+
+  @Test
+  void one_that_is_gone_is_not_brought_back_by_a_late_registration() {
+    registry.register(record(5, false), 0);
+    registry.remove("i-1", 10);
+
+    assertThat(registry.register(record(6, false), 20)).isNull();
+    assertThat(registry.all()).isEmpty();
+  }
+
+  @Test
+  void one_that_is_gone_before_it_was_known_stays_away() {
+    registry.remove("i-1", 10);
+
+    assertThat(registry.register(record(1, false), 20)).isNull();
+  }
+
+  @Test
+  void a_registration_that_only_renews_is_no_change() {
+    assertThat(registry.register(record(1, false), 0)).isNotNull();
+    assertThat(registry.register(record(2, false), 1_000)).isNull();
+    assertThat(registry.removeExpired(1_500, 2_000)).isEmpty();
+  }
+
+  @Test
+  void one_that_is_silent_is_dropped_and_may_come_back() {
+    registry.register(record(1, false), 0);
+
+    assertThat(registry.removeExpired(5_000, 5_001)).containsExactly("i-1");
+    assertThat(registry.register(record(2, false), 6_000)).isNotNull();
+  }
+}
--- a/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.curranthaven.internal.catalog.CallKind;
-import org.curranthaven.internal.catalog.CallLimits;
 import org.curranthaven.internal.catalog.Catalog;
-import org.curranthaven.internal.catalog.EngineSpec;
+import org.curranthaven.internal.catalog.EngineCapabilities;
+import org.curranthaven.internal.catalog.Repeatability;
+import org.curranthaven.internal.catalog.RequestLimits;
 import org.curranthaven.internal.catalog.Route;
-import org.curranthaven.internal.catalog.ServiceShare;
 import org.curranthaven.internal.catalog.ServiceSpec;
+import org.curranthaven.internal.catalog.ServiceWeight;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
@@ -23,19 +23,19 @@
   private static final int MEMORY_TOKENS = 10_000;
 
   private final DispatchCore core =
-      new DispatchCore(new RetryAllowance(0.2, 10, 10_000), 1, new SplittableRandom(1));
+      new DispatchCore(new RetryLimits(0.2, 10, 10_000), 1, new SplittableRandom(1));
   private Catalog catalog = Catalog.empty();
   private long nextId = 1;
 
   @BeforeEach
   void putCatalogIntoForce() {
-    EngineSpec engine = new EngineSpec(8, MEMORY_TOKENS, 4, true, true);
+    EngineCapabilities engine = new EngineCapabilities(8, MEMORY_TOKENS, 4, true, true);
     Route route =
         new Route(
             "drafts",
             "here",
             "/drafts/",
-            CallKind.STREAM,
+            Repeatability.STREAM,
             30_000,
             1_500,
             180,
@@ -43,13 +43,13 @@
             1,
             false,
             false,
-            List.of(new ServiceShare("engines", 1)));
+            List.of(new ServiceWeight("engines", 1)));
     catalog =
         new Catalog(
             1,
             List.of(route),
             List.of(new ServiceSpec("engines", 100, engine), new ServiceSpec("plain", 100, null)),
-            CallLimits.standard(),
+            RequestLimits.standard(),
             null);
     core.setCatalog(catalog);
   }
@@ -74,9 +74,9 @@
     return backend(id, "engines").toBuilder().setLeaving(true).setSequence(9).build();
   }
 
-  private CallKey ask(DispatchAsk.Builder ask, long nowMillis) {
-    CallKey key = new CallKey("gateway", nextId++);
-    core.ask(key, ask.setId(key.id()).build(), nowMillis);
+  private RequestId ask(DispatchAsk.Builder ask, long nowMillis) {
+    RequestId key = new RequestId("gateway", nextId++);
+    core.submit(key, ask.setId(key.id()).build(), nowMillis);
     return key;
   }
 
@@ -104,15 +104,15 @@
   }
 
   private DispatchDecision onlyDecision() {
-    List<DispatchDecision> decisions = core.takeDecisions();
+    List<DispatchDecision> decisions = core.drainDecisions();
     assertThat(decisions).hasSize(1);
     return decisions.getFirst();
   }
 
   @Test
   void a_call_goes_to_the_engine_with_the_least_to_read() {
-    core.backendChanged(backend("x", "engines"), 0);
-    core.backendChanged(backend("y", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
+    core.updateBackend(backend("y", "engines"), 0);
     ask(draft(3_000, 400), 0);
     DispatchDecision.Place first = (DispatchDecision.Place) onlyDecision();
     ask(draft(1_000, 100), 1);
@@ -123,65 +123,65 @@
 
   @Test
   void a_call_waits_while_memory_is_full_and_runs_once_there_is_room() {
-    core.backendChanged(backend("x", "engines"), 0);
-    CallKey first = ask(draft(6_000, 100), 0);
+    core.updateBackend(backend("x", "engines"), 0);
+    RequestId first = ask(draft(6_000, 100), 0);
     onlyDecision();
-    CallKey second = ask(draft(6_000, 100).setTargetLeftMillis(4_000), 1);
-    assertThat(core.takeDecisions()).isEmpty();
+    RequestId second = ask(draft(6_000, 100).setTargetLeftMillis(4_000), 1);
+    assertThat(core.drainDecisions()).isEmpty();
 
-    core.ended(first, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 100, 300);
+    core.requestEnded(first, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 100, 300);
 
     assertThat(onlyDecision()).isEqualTo(new DispatchDecision.Place(second, "x", 1, ""));
   }
 
   @Test
   void a_call_that_cannot_start_in_time_is_turned_away_at_once_with_the_time_to_come_back() {
-    core.backendChanged(backend("x", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
     ask(draft(6_000, 3_000), 0);
     onlyDecision();
 
-    CallKey late = ask(draft(6_000, 100), 1);
+    RequestId late = ask(draft(6_000, 100), 1);
 
-    DispatchDecision.Refuse refusal = (DispatchDecision.Refuse) onlyDecision();
+    DispatchDecision.Reject refusal = (DispatchDecision.Reject) onlyDecision();
     assertThat(refusal.key()).isEqualTo(late);
-    assertThat(refusal.reason()).isEqualTo(RefusalReason.NO_ROOM_IN_TIME);
+    assertThat(refusal.reason()).isEqualTo(RejectionReason.NO_ROOM_IN_TIME);
     assertThat(refusal.retryAfterMillis()).isBetween(10_000L, 15_000L);
   }
 
   @Test
   void a_waiting_call_is_turned_away_once_it_cannot_be_in_time() {
-    core.backendChanged(backend("x", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
     ask(draft(6_000, 60), 0);
     onlyDecision();
     ask(draft(6_000, 100).setTargetLeftMillis(3_000), 1);
-    assertThat(core.takeDecisions()).isEmpty();
+    assertThat(core.drainDecisions()).isEmpty();
 
     core.tick(3_000);
 
-    assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Refuse.class);
-    assertThat(core.waitingCalls()).isZero();
+    assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Reject.class);
+    assertThat(core.queuedRequests()).isZero();
   }
 
   @Test
   void a_call_waits_until_what_is_to_be_read_before_it_lets_it_be_in_time() {
-    core.backendChanged(backend("x", "engines"), 0);
-    CallKey reading = ask(draft(3_000, 100), 0);
+    core.updateBackend(backend("x", "engines"), 0);
+    RequestId reading = ask(draft(3_000, 100), 0);
     onlyDecision();
-    CallKey second = ask(draft(3_000, 100).setTargetLeftMillis(1_000), 1);
-    assertThat(core.takeDecisions()).isEmpty();
+    RequestId second = ask(draft(3_000, 100).setTargetLeftMillis(1_000), 1);
+    assertThat(core.drainDecisions()).isEmpty();
 
-    core.progressed(reading, 4, 400);
+    core.outputProgressed(reading, 4, 400);
 
     assertThat(onlyDecision()).isEqualTo(new DispatchDecision.Place(second, "x", 1, ""));
   }
 
   @Test
   void a_call_that_must_wait_for_reading_does_not_hold_up_one_that_need_not() {
-    core.backendChanged(backend("x", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
     ask(draft(3_000, 100), 0);
     onlyDecision();
     ask(draft(3_000, 100).setTargetLeftMillis(1_000), 1);
-    CallKey patient = ask(draft(3_000, 100).setTargetLeftMillis(1_400), 2);
+    RequestId patient = ask(draft(3_000, 100).setTargetLeftMillis(1_400), 2);
 
     core.tick(10);
 
@@ -190,44 +190,44 @@
 
   @Test
   void a_call_that_cannot_be_in_time_runs_all_the_same_where_nobody_waits_for_the_room() {
-    core.backendChanged(backend("x", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
     ask(draft(7_500, 100).setTargetLeftMillis(5_000), 0);
     onlyDecision();
 
-    CallKey late = ask(draft(1_000, 100).setTargetLeftMillis(100), 1);
+    RequestId late = ask(draft(1_000, 100).setTargetLeftMillis(100), 1);
 
     assertThat(((DispatchDecision.Place) onlyDecision()).key()).isEqualTo(late);
   }
 
   @Test
   void a_call_that_cannot_be_in_time_leaves_scarce_room_to_those_that_wait() {
-    core.backendChanged(backend("x", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
     ask(draft(7_500, 100).setTargetLeftMillis(5_000), 0);
     onlyDecision();
     ask(draft(3_000, 100).setTargetLeftMillis(5_000), 1);
 
     ask(draft(1_000, 100).setTargetLeftMillis(100), 2);
 
-    assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Refuse.class);
+    assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Reject.class);
   }
 
   @Test
   void slow_first_replies_lead_to_earlier_refusals() {
-    core.backendChanged(backend("x", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
     for (int i = 0; i < 80; i++) {
-      CallKey call = ask(draft(1_000, 8), i * 1_000L);
-      core.progressed(call, 4, i * 1_000L + 500);
-      core.ended(call, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 8, i * 1_000L + 600);
+      RequestId call = ask(draft(1_000, 8), i * 1_000L);
+      core.outputProgressed(call, 4, i * 1_000L + 500);
+      core.requestEnded(call, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 8, i * 1_000L + 600);
     }
     long nowMillis = 100_000;
-    CallKey large = ask(draft(6_300, 100).setTargetLeftMillis(9_000), nowMillis);
-    core.progressed(large, 4, nowMillis + 3_000);
+    RequestId large = ask(draft(6_300, 100).setTargetLeftMillis(9_000), nowMillis);
+    core.outputProgressed(large, 4, nowMillis + 3_000);
     ask(draft(6_000, 100).setTargetLeftMillis(20_000), nowMillis + 3_000);
-    core.takeDecisions();
+    core.drainDecisions();
 
     ask(draft(2_900, 100).setPriority(0), nowMillis + 3_001);
 
-    assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Refuse.class);
+    assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Reject.class);
   }
 
   @Test
@@ -235,13 +235,13 @@
     Set<String> chosen = new HashSet<>();
     for (int seed = 0; seed < 20; seed++) {
       DispatchCore alone =
-          new DispatchCore(new RetryAllowance(0.2, 10, 10_000), 20, new SplittableRandom(seed));
+          new DispatchCore(new RetryLimits(0.2, 10, 10_000), 20, new SplittableRandom(seed));
       alone.setCatalog(catalog);
       for (String id : List.of("x", "y", "z")) {
-        alone.backendChanged(backend(id, "engines"), 0);
+        alone.updateBackend(backend(id, "engines"), 0);
       }
-      alone.ask(new CallKey("gateway", 1), draft(3_000, 100).build(), 0);
-      chosen.add(((DispatchDecision.Place) alone.takeDecisions().getFirst()).backend());
+      alone.submit(new RequestId("gateway", 1), draft(3_000, 100).build(), 0);
+      chosen.add(((DispatchDecision.Place) alone.drainDecisions().getFirst()).backend());
     }
 
     assertThat(chosen).hasSize(3);
@@ -249,51 +249,51 @@
 
   @Test
   void a_more_urgent_call_overtakes_those_that_wait() {
-    core.backendChanged(backend("x", "engines"), 0);
-    CallKey running = ask(draft(8_500, 100), 0);
+    core.updateBackend(backend("x", "engines"), 0);
+    RequestId running = ask(draft(8_500, 100), 0);
     onlyDecision();
     ask(draft(6_000, 100).setTargetLeftMillis(9_000), 1);
-    CallKey urgent = ask(draft(6_000, 100).setPriority(0).setTargetLeftMillis(9_000), 2);
-    core.takeDecisions();
+    RequestId urgent = ask(draft(6_000, 100).setPriority(0).setTargetLeftMillis(9_000), 2);
+    core.drainDecisions();
 
-    core.ended(running, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 100, 500);
+    core.requestEnded(running, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 100, 500);
 
     assertThat(((DispatchDecision.Place) onlyDecision()).key()).isEqualTo(urgent);
   }
 
   @Test
   void a_leaving_backend_server_gets_no_new_call() {
-    core.backendChanged(backend("x", "engines"), 0);
-    core.backendChanged(leaving("x"), 10);
+    core.updateBackend(backend("x", "engines"), 0);
+    core.updateBackend(leaving("x"), 10);
 
     ask(draft(100, 10), 20);
 
-    assertThat(core.takeDecisions()).isEmpty();
+    assertThat(core.drainDecisions()).isEmpty();
   }
 
   @Test
   void calls_on_a_leaving_engine_are_moved_one_after_the_other() {
-    core.backendChanged(backend("x", "engines"), 0);
-    CallKey one = ask(draft(1_000, 2_000), 0);
-    CallKey two = ask(draft(1_500, 2_000), 0);
-    core.takeDecisions();
-    core.progressed(one, 4, 100);
-    core.progressed(two, 4, 100);
-    core.backendChanged(backend("y", "engines"), 150);
-
-    core.backendChanged(leaving("x"), 200);
+    core.updateBackend(backend("x", "engines"), 0);
+    RequestId one = ask(draft(1_000, 2_000), 0);
+    RequestId two = ask(draft(1_500, 2_000), 0);
+    core.drainDecisions();
+    core.outputProgressed(one, 4, 100);
+    core.outputProgressed(two, 4, 100);
+    core.updateBackend(backend("y", "engines"), 150);
+
+    core.updateBackend(leaving("x"), 200);
     DispatchDecision first = onlyDecision();
-    core.ended(one, DispatchOutcome.DISPATCH_OUTCOME_MOVED, 8, 500);
+    core.requestEnded(one, DispatchOutcome.DISPATCH_OUTCOME_MOVED, 8, 500);
     DispatchDecision second = onlyDecision();
 
-    assertThat(first).isEqualTo(new DispatchDecision.MoveTo(one, "y", ""));
-    assertThat(second).isEqualTo(new DispatchDecision.MoveTo(two, "y", ""));
+    assertThat(first).isEqualTo(new DispatchDecision.Migrate(one, "y", ""));
+    assertThat(second).isEqualTo(new DispatchDecision.Migrate(two, "y", ""));
   }
 
   @Test
   void an_irreplaceable_call_gets_a_copy_at_another_engine_with_memory_left() {
-    core.backendChanged(backend("x", "engines"), 0);
-    core.backendChanged(backend("y", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
+    core.updateBackend(backend("y", "engines"), 0);
 
     ask(draft(1_000, 400).setIrreplaceable(true), 0);
 
@@ -303,14 +303,14 @@
 
   @Test
   void copies_leave_half_of_an_idle_engine_to_calls() {
-    core.backendChanged(backend("x", "engines"), 0);
-    core.backendChanged(cold("idle"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
+    core.updateBackend(cold("idle"), 0);
     for (int i = 0; i < 7; i++) {
-      core.progressed(ask(draft(1_200, 50).setIrreplaceable(true), i), 4, i);
+      core.outputProgressed(ask(draft(1_200, 50).setIrreplaceable(true), i), 4, i);
     }
 
     long copies =
-        core.takeDecisions().stream()
+        core.drainDecisions().stream()
             .filter(decision -> decision instanceof DispatchDecision.Place)
             .filter(decision -> ((DispatchDecision.Place) decision).backup().equals("idle"))
             .count();
@@ -319,13 +319,13 @@
 
   @Test
   void no_copies_are_made_while_calls_need_the_memory_of_the_service() {
-    core.backendChanged(backend("x", "engines"), 0);
-    core.backendChanged(backend("y", "engines"), 0);
-    core.backendChanged(cold("new"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
+    core.updateBackend(backend("y", "engines"), 0);
+    core.updateBackend(cold("new"), 0);
     for (int i = 0; i < 2; i++) {
-      core.progressed(ask(draft(8_000, 50).setTargetLeftMillis(9_000), i), 4, i);
+      core.outputProgressed(ask(draft(8_000, 50).setTargetLeftMillis(9_000), i), 4, i);
     }
-    core.takeDecisions();
+    core.drainDecisions();
 
     ask(draft(900, 50).setIrreplaceable(true), 5);
 
@@ -334,13 +334,13 @@
 
   @Test
   void retries_stay_within_the_allowance_of_the_service() {
-    core.backendChanged(backend("p", "plain"), 0);
+    core.updateBackend(backend("p", "plain"), 0);
     int placed = 0;
     for (int i = 0; i < 40; i++) {
-      CallKey key = ask(plainCall().setRepeat(true), i);
+      RequestId key = ask(plainCall().setRepeat(true), i);
       if (onlyDecision() instanceof DispatchDecision.Place) {
         placed++;
-        core.ended(key, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 0, i);
+        core.requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 0, i);
       }
     }
 
@@ -349,23 +349,23 @@
 
   @Test
   void the_calls_of_a_gateway_that_is_gone_make_room() {
-    core.backendChanged(backend("x", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
     ask(draft(9_000, 100), 0);
-    core.takeDecisions();
+    core.drainDecisions();
 
-    core.gatewayGone("gateway", 10);
+    core.removeGateway("gateway", 10);
 
-    assertThat(core.openCalls()).isZero();
+    assertThat(core.runningRequests()).isZero();
   }
 
   @Test
   void a_new_scheduler_counts_what_another_one_placed() {
-    core.backendChanged(backend("x", "engines"), 0);
+    core.updateBackend(backend("x", "engines"), 0);
     DispatchAsk running = draft(9_000, 2_000).setId(77).build();
-    core.restore(new CallKey("gateway", 77), running, "x", 40, 0);
+    core.restoreRunning(new RequestId("gateway", 77), running, "x", 40, 0);
 
     ask(draft(6_000, 100), 1);
 
-    assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Refuse.class);
+    assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Reject.class);
   }
 }
--- a/src/test/java/org/curranthaven/internal/dispatch/FailureRatesTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FailureRatesTest {
+class FailureRateEjectorTest {
   private static final List<String> PEERS = List.of("a", "b", "c");
 
-  private final FailureRates rates = new FailureRates();
+  private final FailureRateEjector ejector = new FailureRateEjector();
 
   /** Plays calls of which every {@code n}th fails at the named backend server. */
   private void play(String backend, int calls, int failEvery) {
     for (int i = 1; i <= calls; i++) {
       if (i % failEvery == 0) {
-        rates.failed(backend, PEERS, 0);
+        ejector.failed(backend, PEERS, 0);
       } else {
-        rates.succeeded(backend);
+        ejector.succeeded(backend);
       }
     }
   }
@@ -27,15 +27,15 @@
     play("c", 30, 30);
     play("a", 20, 2);
 
-    assertThat(rates.isOut("a", 1)).isTrue();
-    assertThat(rates.isOut("b", 1)).isFalse();
+    assertThat(ejector.isOut("a", 1)).isTrue();
+    assertThat(ejector.isOut("b", 1)).isFalse();
   }
 
   @Test
   void it_comes_back_after_a_time() {
     play("a", 20, 2);
 
-    assertThat(rates.isOut("a", 60_000)).isFalse();
+    assertThat(ejector.isOut("a", 60_000)).isFalse();
   }
 
   @Test
@@ -44,7 +44,7 @@
       PEERS.forEach(peer -> play(peer, 2, 2));
     }
 
-    assertThat(PEERS).noneMatch(peer -> rates.isOut(peer, 1));
+    assertThat(PEERS).noneMatch(peer -> ejector.isOut(peer, 1));
   }
 
   @Test
@@ -52,6 +52,6 @@
     play("a", 20, 1);
     play("b", 20, 1);
 
-    assertThat(PEERS.stream().filter(peer -> rates.isOut(peer, 1))).hasSize(1);
+    assertThat(PEERS.stream().filter(peer -> ejector.isOut(peer, 1))).hasSize(1);
   }
 }
--- a/src/test/java/org/curranthaven/internal/gateway/RequestKeyTest.java
+++ b/src/test/java/org/curranthaven/internal/gateway/IdempotencyKeyTest.java
@@ -10,24 +10,24 @@
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
 
-class RequestKeyTest {
+class IdempotencyKeyTest {
   private static final long NOW = 1_764_800_000_123L;
 
-  private static Outcome<RequestKey> key(@Nullable String header, @Nullable String issuedAt) {
-    return RequestKey.of(header, issuedAt, NOW, new SplittableRandom(1));
+  private static Outcome<IdempotencyKey> key(@Nullable String header, @Nullable String issuedAt) {
+    return IdempotencyKey.of(header, issuedAt, NOW, new SplittableRandom(1));
   }
 
   @Test
   void a_uuid_of_version_7_tells_when_it_was_issued() {
-    String uuid = RequestKey.uuidWithTime(NOW, new SplittableRandom(3)).toString();
+    String uuid = IdempotencyKey.uuidWithTime(NOW, new SplittableRandom(3)).toString();
 
-    assertThat(key(uuid, null)).isEqualTo(Outcome.success(new RequestKey(uuid, NOW, true)));
+    assertThat(key(uuid, null)).isEqualTo(Outcome.success(new IdempotencyKey(uuid, NOW, true)));
   }
 
   @Test
   void another_key_needs_a_header_that_tells_when_it_was_issued() {
     assertThat(key("seat-7", "1764800000000"))
-        .isEqualTo(Outcome.success(new RequestKey("seat-7", 1_764_800_000_000L, true)));
+        .isEqualTo(Outcome.success(new IdempotencyKey("seat-7", 1_764_800_000_000L, true)));
     assertThat(key("seat-7", null))
         .isInstanceOfSatisfying(
             Outcome.Failed.class,
@@ -39,13 +39,13 @@
     assertThat(key(null, null))
         .isInstanceOfSatisfying(
             Outcome.Success.class,
-            success -> assertThat(((RequestKey) success.value()).fromCaller()).isFalse());
+            success -> assertThat(((IdempotencyKey) success.value()).fromCaller()).isFalse());
   }
 
   @Test
   void a_resent_request_that_was_not_looked_up_is_not_said_not_to_have_run() {
     Failure refused = Failure.of(ResultCode.HOST_DRAINING, "this host is stopping");
 
-    assertThat(KeyedErrors.earlierAttemptMayHaveRun(refused).ran()).isEqualTo(Ran.UNKNOWN);
+    assertThat(IdempotencyErrors.earlierAttemptMayHaveRun(refused).ran()).isEqualTo(Ran.UNKNOWN);
   }
 }
--- a/src/test/java/org/curranthaven/internal/relay/CallerConnectionTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/CallerConnectionTest.java
@@ -22,7 +22,7 @@
   private static final long SHORT_DEADLINE_MILLIS = 600;
 
   private final GivenTime time = new GivenTime();
-  private final HeldActions awaiting = new HeldActions(time.loop());
+  private final DeferredActions awaiting = new DeferredActions(time.loop());
   private boolean informed;
   private long deadlineMillis = LONG_DEADLINE_MILLIS;
   private final EmbeddedChannel caller = new EmbeddedChannel(new CallerConnection(context()));
@@ -62,8 +62,8 @@
             });
   }
 
-  private InboundCall call(FullHttpRequest request) {
-    return new InboundCall(
+  private InboundRequest call(FullHttpRequest request) {
+    return new InboundRequest(
         "id",
         "here",
         request.method(),
--- a/src/test/java/org/curranthaven/internal/relay/CallProgressTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/RequestProgressTest.java
@@ -3,18 +3,18 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
-import org.curranthaven.internal.catalog.CallKind;
+import org.curranthaven.internal.catalog.Repeatability;
 import org.curranthaven.internal.catalog.Route;
-import org.curranthaven.internal.catalog.ServiceShare;
+import org.curranthaven.internal.catalog.ServiceWeight;
 import org.junit.jupiter.api.Test;
 
-class CallProgressTest {
+class RequestProgressTest {
   private static final Route ROUTE =
       new Route(
           "drafts",
           "here",
           "/drafts/",
-          CallKind.STREAM,
+          Repeatability.STREAM,
           30_000,
           1_500,
           180,
@@ -22,9 +22,9 @@
           1,
           false,
           false,
-          List.of(new ServiceShare("engines", 1)));
+          List.of(new ServiceWeight("engines", 1)));
 
-  private final CallProgress progress = new CallProgress(ROUTE, 4, "", 1_000);
+  private final RequestProgress progress = new RequestProgress(ROUTE, 4, "", 1_000);
 
   private static EventSplitter.Event event(String id) {
     return new EventSplitter.Event(id, new byte[0]);
--- /dev/null
+++ b/src/test/java/org/curranthaven/internal/relay/RetryRulesTest.java
@@ -0,0 +1,103 @@
+package org.curranthaven.internal.relay;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
+import java.util.List;
+import org.curranthaven.api.ResultCode;
+import org.curranthaven.internal.catalog.Repeatability;
+import org.curranthaven.internal.catalog.Route;
+import org.curranthaven.internal.catalog.ServiceWeight;
+import org.junit.jupiter.api.Test;
+
+class RetryRulesTest {
+  private static Route route(Repeatability kind, int attempts, boolean resumable) {
+    return new Route(
+        "r",
+        "here",
+        "/p/",
+        kind,
+        1_000,
+        300,
+        0,
+        0,
+        attempts,
+        true,
+        resumable,
+        List.of(new ServiceWeight("s", 1)));
+  }
+
+  private static AttemptResult answered(int status) {
+    return new AttemptResult.Answered(
+        head(status, false),
+        new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status)),
+        new byte[0]);
+  }
+
+  private static ResponseHead head(int status, boolean notRun) {
+    return new ResponseHead(status, "id", true, notRun, false, false, 0, false);
+  }
+
+  private static final AttemptResult BROKEN = new AttemptResult.Broken("reset");
+  private static final AttemptResult NOT_RUN = new AttemptResult.NotRun(head(503, true));
+  private static final AttemptResult UNREACHABLE = new AttemptResult.Unreachable("refused");
+
+  @Test
+  void what_may_not_repeat_is_never_sent_again_once_it_may_have_run() {
+    Route route = route(Repeatability.NON_IDEMPOTENT, 3, false);
+
+    assertThat(RetryRules.after(BROKEN, route, 1, 1, false))
+        .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
+    assertThat(RetryRules.after(answered(500), route, 1, 1, false))
+        .isEqualTo(new RetryDecision.Deliver());
+  }
+
+  @Test
+  void what_provably_did_not_run_is_offered_elsewhere() {
+    Route route = route(Repeatability.NON_IDEMPOTENT, 1, false);
+
+    assertThat(RetryRules.after(NOT_RUN, route, 0, 1, false))
+        .isEqualTo(new RetryDecision.SendAgain());
+    assertThat(RetryRules.after(UNREACHABLE, route, 0, 1, false))
+        .isEqualTo(new RetryDecision.SendAgain());
+  }
+
+  @Test
+  void an_idempotent_call_runs_at_most_as_often_as_its_route_allows() {
+    Route route = route(Repeatability.IDEMPOTENT, 2, false);
+
+    assertThat(RetryRules.after(answered(500), route, 1, 1, false))
+        .isEqualTo(new RetryDecision.SendAgain());
+    assertThat(RetryRules.after(answered(500), route, 2, 2, false))
+        .isEqualTo(new RetryDecision.Deliver());
+    assertThat(RetryRules.after(BROKEN, route, 2, 2, false))
+        .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
+  }
+
+  @Test
+  void a_stream_is_run_again_only_where_it_may_resume() {
+    assertThat(RetryRules.after(BROKEN, route(Repeatability.STREAM, 2, true), 1, 1, true))
+        .isEqualTo(new RetryDecision.SendAgain());
+    assertThat(RetryRules.after(BROKEN, route(Repeatability.STREAM, 2, false), 1, 1, true))
+        .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
+  }
+
+  @Test
+  void a_call_that_no_backend_server_took_is_said_not_to_have_run() {
+    Route route = route(Repeatability.NON_IDEMPOTENT, 1, false);
+
+    RetryDecision.Fail refused =
+        (RetryDecision.Fail) RetryRules.after(NOT_RUN, route, 0, RetryRules.MAX_SENDS, false);
+
+    assertThat(refused.code().ran()).isEqualTo(org.curranthaven.api.Ran.NO);
+  }
+
+  @Test
+  void a_backend_servers_own_time_limit_is_passed_on() {
+    assertThat(
+            RetryRules.after(answered(504), route(Repeatability.IDEMPOTENT, 2, false), 1, 1, false))
+        .isEqualTo(new RetryDecision.Deliver());
+  }
+}
--- a/src/test/java/org/curranthaven/internal/relay/SchedulerLinkTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/SchedulerLinkTest.java
@@ -6,7 +6,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.curranthaven.internal.dispatch.RetryAllowance;
+import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchOrders;
@@ -25,7 +25,7 @@
           time.loop(),
           time,
           new SplittableRandom(1),
-          new RetryAllowance(0.2, 10, 10_000),
+          new RetryLimits(0.2, 10, 10_000),
           (host, message) -> sent.add(message.build()),
           new SchedulerLink.ViewListener() {
             @Override
@@ -36,7 +36,7 @@
           });
 
   /** A call that notes where it was placed. */
-  private static final class Call implements CallPlacer.Placed {
+  private static final class Call implements RequestPlacer.PlacementListener {
     private final DispatchAsk ask;
     private String backend = "";
 
@@ -51,20 +51,20 @@
     }
 
     @Override
-    public void placed(String backendId, int urgency, String backup) {
+    public void onPlaced(String backendId, int urgency, String backup) {
       backend = backendId;
     }
 
     @Override
-    public void refused(long retryAfterMillis, String reason) {
+    public void onRejected(long retryAfterMillis, String reason) {
       throw new AssertionError("turned away: " + reason);
     }
 
     @Override
-    public void moveTo(String target, String backup) {}
+    public void onMigrate(String target, String backup) {}
 
     @Override
-    public DispatchAsk ask() {
+    public DispatchAsk placementRequest() {
       return ask;
     }
 
@@ -93,7 +93,7 @@
   }
 
   private void ask(Call call) {
-    link.ask(call.ask(), call);
+    link.requestPlacement(call.placementRequest(), call);
     time.pass(10);
   }
 
--- a/src/test/java/org/curranthaven/internal/routing/RoutingCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/routing/RoutingCoreTest.java
@@ -16,17 +16,17 @@
       new RoutingCore(
           "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(1));
 
-  static ServerReport server(String name, int blocks, int used, long nowMillis) {
+  static BackendReport server(String name, int blocks, int used, long nowMillis) {
     return server(name, blocks, used, 0, nowMillis);
   }
 
-  static ServerReport server(String name, int blocks, int used, int running, long nowMillis) {
-    return new ServerReport(
+  static BackendReport server(String name, int blocks, int used, int running, long nowMillis) {
+    return new BackendReport(
         name, "a", Set.of("story"), blocks, used, running, 0, 64, nowMillis, Long.MIN_VALUE / 2);
   }
 
-  static RequestFacts request(long id, String className, Targets targets, long arrivedAt) {
-    return new RequestFacts(
+  static RequestAttributes request(long id, String className, Targets targets, long arrivedAt) {
+    return new RequestAttributes(
         id, "w", className, targets, "story", 32, 2_000, 0, arrivedAt, Set.of());
   }
 
@@ -43,15 +43,15 @@
 
   @Test
   void a_request_goes_to_a_server_with_room() {
-    core.handle(new RoutingEvent.ServerReported(server("s1", 1_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(server("s1", 1_000, 0, 0)), 0);
 
     assertThat(dispatched(arrive(1, "draft", DRAFT, 0))).containsExactly(1L);
   }
 
   private int takenWhenReadySince(long loadedAtMillis, long nowMillis) {
     core.handle(
-        new RoutingEvent.ServerReported(
-            new ServerReport(
+        new RoutingEvent.BackendReported(
+            new BackendReport(
                 "s1", "a", Set.of("story"), 0, 0, 0, 0, 50, nowMillis, loadedAtMillis)),
         nowMillis);
     int taken = 0;
@@ -73,14 +73,15 @@
 
   @Test
   void a_request_is_held_rather_than_fill_the_memory_of_a_server_that_runs_others() {
-    core.handle(new RoutingEvent.ServerReported(server("s1", 30, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(server("s1", 30, 0, 0)), 0);
     assertThat(dispatched(arrive(1, "draft", DRAFT, 0))).containsExactly(1L);
 
     assertThat(dispatched(arrive(2, "draft", DRAFT, 0))).isEmpty();
     assertThat(core.queued()).isEqualTo(1);
 
     List<RoutingDecision> decisions =
-        core.handle(new RoutingEvent.Finished(1, 100, RoutingEvent.Ending.COMPLETED), 1_000);
+        core.handle(
+            new RoutingEvent.Finished(1, 100, RoutingEvent.RequestOutcome.COMPLETED), 1_000);
     assertThat(dispatched(decisions)).containsExactly(2L);
   }
 
@@ -90,20 +91,20 @@
     arrive(2, "door", DOOR, 10);
 
     List<RoutingDecision> decisions =
-        core.handle(new RoutingEvent.ServerReported(server("s1", 5_000, 0, 20)), 20);
+        core.handle(new RoutingEvent.BackendReported(server("s1", 5_000, 0, 20)), 20);
 
     assertThat(dispatched(decisions)).containsExactly(2L, 1L);
   }
 
   @Test
   void a_late_draft_does_not_go_before_a_guest_who_can_still_be_answered_in_time() {
-    core.handle(new RoutingEvent.ServerReported(server("s1", 5_000, 5_000, 1, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(server("s1", 5_000, 5_000, 1, 0)), 0);
     arrive(1, "draft", DRAFT, 0);
     core.handle(new RoutingEvent.Tick(), 4_500);
     arrive(2, "door", DOOR, 4_500);
 
     List<RoutingDecision> decisions =
-        core.handle(new RoutingEvent.ServerReported(server("s1", 5_000, 0, 4_510)), 4_510);
+        core.handle(new RoutingEvent.BackendReported(server("s1", 5_000, 0, 4_510)), 4_510);
 
     assertThat(dispatched(decisions)).containsExactly(2L, 1L);
   }
@@ -127,43 +128,43 @@
 
   @Test
   void a_report_of_an_excluded_server_does_not_bring_a_request_back_to_it() {
-    core.handle(new RoutingEvent.ServerReported(server("lost", 5_000, 0, 0)), 0);
-    core.handle(new RoutingEvent.ServerReported(server("full", 5_000, 5_000, 1, 0)), 0);
-    RequestFacts again = request(1, "door", DOOR, 0).attempt(1, 0, Set.of("lost"));
+    core.handle(new RoutingEvent.BackendReported(server("lost", 5_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(server("full", 5_000, 5_000, 1, 0)), 0);
+    RequestAttributes again = request(1, "door", DOOR, 0).attempt(1, 0, Set.of("lost"));
     core.handle(new RoutingEvent.Arrived(again), 0);
 
     List<RoutingDecision> decisions =
-        core.handle(new RoutingEvent.ServerReported(server("lost", 5_000, 0, 10)), 10);
+        core.handle(new RoutingEvent.BackendReported(server("lost", 5_000, 0, 10)), 10);
 
     assertThat(dispatched(decisions)).isEmpty();
   }
 
   @Test
   void a_server_that_has_gone_gets_nothing() {
-    core.handle(new RoutingEvent.ServerReported(server("s1", 5_000, 0, 0)), 0);
-    core.handle(new RoutingEvent.ServerGone("s1"), 10);
+    core.handle(new RoutingEvent.BackendReported(server("s1", 5_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendRemoved("s1"), 10);
 
     assertThat(dispatched(arrive(1, "door", DOOR, 20))).isEmpty();
   }
 
   @Test
   void a_server_that_keeps_failing_is_left_out_while_its_peers_are_sound() {
-    core.handle(new RoutingEvent.ServerReported(server("bad", 5_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(server("bad", 5_000, 0, 0)), 0);
     for (int id = 1; id <= OutlierEjector.FAILURES_TO_EJECT; id++) {
       arrive(id, "door", DOOR, 0);
-      core.handle(new RoutingEvent.ServerReported(server("good", 5_000, 0, 0)), 0);
-      core.handle(new RoutingEvent.Finished(id, 0, RoutingEvent.Ending.FAILED), 0);
-      core.handle(new RoutingEvent.ServerGone("good"), 0);
+      core.handle(new RoutingEvent.BackendReported(server("good", 5_000, 0, 0)), 0);
+      core.handle(new RoutingEvent.Finished(id, 0, RoutingEvent.RequestOutcome.FAILED), 0);
+      core.handle(new RoutingEvent.BackendRemoved("good"), 0);
     }
-    core.handle(new RoutingEvent.ServerReported(server("good", 5_000, 4_000, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(server("good", 5_000, 4_000, 0)), 0);
 
     assertThat(serverOf(arrive(9, "door", DOOR, 10))).isEqualTo("good");
   }
 
   @Test
   void what_other_hosts_have_open_counts_against_a_servers_memory() {
-    core.handle(new RoutingEvent.ServerReported(server("s1", 1_000, 0, 0)), 0);
-    core.handle(new RoutingEvent.ServerReported(server("s2", 1_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(server("s1", 1_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(server("s2", 1_000, 0, 0)), 0);
     double[] means = new double[MemoryForecast.HORIZON_TOKENS.length];
     java.util.Arrays.fill(means, 900);
     HostShare share = new HostShare("s1", 20, MemoryForecast.of(means, new double[means.length]));
@@ -194,7 +195,7 @@
             "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(seed));
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 10; i++) {
-      core.handle(new RoutingEvent.ServerReported(server("s" + i, 500, i, 0)), 0);
+      core.handle(new RoutingEvent.BackendReported(server("s" + i, 500, i, 0)), 0);
     }
     for (int i = 0; i < 200; i++) {
       all.append(core.handle(new RoutingEvent.Arrived(request(i, "draft", DRAFT, i)), i));
--- a/src/test/java/org/curranthaven/internal/routing/ShareLogTest.java
+++ b/src/test/java/org/curranthaven/internal/routing/ShareUpdatePolicyTest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ShareLogTest {
-  private final ShareLog log = new ShareLog();
+class ShareUpdatePolicyTest {
+  private final ShareUpdatePolicy log = new ShareUpdatePolicy();
 
   private static HostShare share(String server, int running) {
     return new HostShare(server, running, new MemoryForecast());
--- a/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
+++ b/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.curranthaven.internal.catalog.CallLimits;
 import org.curranthaven.internal.catalog.Catalog;
-import org.curranthaven.internal.dispatch.RetryAllowance;
+import org.curranthaven.internal.catalog.RequestLimits;
+import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.relay.GivenTime;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.curranthaven.internal.transport.wire.DispatchAsk;
@@ -31,7 +31,7 @@
           time.loop(),
           time,
           new SplittableRandom(1),
-          new RetryAllowance(0.2, 10, 10_000),
+          new RetryLimits(0.2, 10, 10_000),
           6_000,
           () -> gateways,
           (host, message) -> sent.add(Map.entry(host, message.build())));
@@ -117,7 +117,7 @@
   @Test
   void a_catalog_is_accepted_once_it_is_in_force_at_every_gateway() {
     lead();
-    Catalog catalog = new Catalog(8, List.of(), List.of(), CallLimits.standard(), null);
+    Catalog catalog = new Catalog(8, List.of(), List.of(), RequestLimits.standard(), null);
     scheduler.catalogApplied(catalog, ByteString.copyFromUtf8("document"));
     Answer answer = new Answer();
 
--- a/src/test/java/org/curranthaven/internal/transport/DialTimesTest.java
+++ b/src/test/java/org/curranthaven/internal/transport/ConnectTimeoutsTest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class DialTimesTest {
+class ConnectTimeoutsTest {
   private static final String HOST = "10.0.0.1:7000";
 
-  private final DialTimes times = new DialTimes();
+  private final ConnectTimeouts times = new ConnectTimeouts();
 
   @Test
   void a_host_that_comes_back_within_two_seconds_is_dialled_again_a_moment_later() {
@@ -22,33 +22,33 @@
 
   @Test
   void a_host_that_never_answers_in_time_is_given_longer() {
-    for (int i = 0; i < DialTimes.SHORT_DIALS; i++) {
+    for (int i = 0; i < ConnectTimeouts.SHORT_DIALS; i++) {
       times.failed(HOST);
     }
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(DialTimes.MOST_MILLIS);
-    assertThat(times.timeoutMillis("10.0.0.2:7000")).isEqualTo(DialTimes.FIRST_MILLIS);
+    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.MOST_MILLIS);
+    assertThat(times.timeoutMillis("10.0.0.2:7000")).isEqualTo(ConnectTimeouts.FIRST_MILLIS);
   }
 
   @Test
   void a_host_that_answered_is_given_up_soon_again() {
-    for (int i = 0; i < DialTimes.SHORT_DIALS; i++) {
+    for (int i = 0; i < ConnectTimeouts.SHORT_DIALS; i++) {
       times.failed(HOST);
     }
 
     times.succeeded(HOST);
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(DialTimes.FIRST_MILLIS);
+    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.FIRST_MILLIS);
   }
 
   @Test
   void a_host_that_is_not_dialled_any_more_is_forgotten() {
-    for (int i = 0; i < DialTimes.SHORT_DIALS; i++) {
+    for (int i = 0; i < ConnectTimeouts.SHORT_DIALS; i++) {
       times.failed(HOST);
     }
 
     times.keepOnly(List.of());
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(DialTimes.FIRST_MILLIS);
+    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.FIRST_MILLIS);
   }
 }
--- a/src/test/java/org/curranthaven/platform/CallTranslationTest.java
+++ b/src/test/java/org/curranthaven/platform/RequestTranslationTest.java
@@ -9,12 +9,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 import org.curranthaven.api.Outcome;
-import org.curranthaven.internal.relay.BackendCall;
-import org.curranthaven.internal.relay.InboundCall;
+import org.curranthaven.internal.relay.BackendRequest;
+import org.curranthaven.internal.relay.InboundRequest;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.junit.jupiter.api.Test;
 
-class CallTranslationTest {
+class RequestTranslationTest {
   private static FullHttpRequest request() {
     FullHttpRequest request =
         new DefaultFullHttpRequest(
@@ -33,20 +33,20 @@
     return request;
   }
 
-  private static InboundCall read(FullHttpRequest request) {
-    return ((Outcome.Success<InboundCall>) CallTranslation.read(request)).value();
+  private static InboundRequest read(FullHttpRequest request) {
+    return ((Outcome.Success<InboundRequest>) RequestTranslation.read(request)).value();
   }
 
   private static FullHttpRequest passedOn(FullHttpRequest request) {
     BackendRecord backend =
         BackendRecord.newBuilder().setId("i-1").setAddress("10.0.0.1:80").build();
     return BackendTranslation.request(
-        new BackendCall(read(request), backend, "t1", 500, 2, "", "", ""));
+        new BackendRequest(read(request), backend, "t1", 500, 2, "", "", ""));
   }
 
   @Test
   void a_request_is_decoded_once() {
-    InboundCall call = read(request());
+    InboundRequest call = read(request());
 
     assertThat(call.host()).isEqualTo("stories.example");
     assertThat(call.path()).isEqualTo("/a/x");
