--- a/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
@@ -14,8 +14,8 @@
 import org.curranthaven.internal.transport.wire.EntryKind;
 import org.curranthaven.internal.transport.wire.GroupMessage;
 import org.curranthaven.internal.transport.wire.LogEntry;
+import org.curranthaven.internal.transport.wire.SnapshotChunk;
 import org.curranthaven.internal.transport.wire.SnapshotFile;
-import org.curranthaven.internal.transport.wire.SnapshotPiece;
 import org.curranthaven.internal.transport.wire.SnapshotReply;
 import org.curranthaven.internal.transport.wire.TimeoutNow;
 import org.curranthaven.internal.transport.wire.VoteReply;
@@ -652,8 +652,8 @@
     }
     int start = (int) progress.snapshotOffset;
     int end = Math.min(start + SNAPSHOT_PIECE_BYTES, snapshot.getState().size());
-    SnapshotPiece piece =
-        SnapshotPiece.newBuilder()
+    SnapshotChunk piece =
+        SnapshotChunk.newBuilder()
             .setLastIndex(snapshot.getLastIndex())
             .setLastTerm(snapshot.getLastTerm())
             .setVoters(snapshot.getVoters().toByteString())
@@ -666,7 +666,7 @@
   }
 
   private void receiveSnapshotPiece(
-      String from, long leaderTerm, SnapshotPiece piece, long nowMillis) {
+      String from, long leaderTerm, SnapshotChunk piece, long nowMillis) {
     if (leaderTerm < term) {
       replyToSnapshot(from, piece, 0, false);
       return;
@@ -692,7 +692,7 @@
     replyToSnapshot(from, piece, incomingSnapshot.size(), piece.getLast());
   }
 
-  private void installSnapshot(SnapshotPiece piece) {
+  private void installSnapshot(SnapshotChunk piece) {
     if (log.termAt(piece.getLastIndex()) == piece.getLastTerm()) {
       // A late snapshot: entries after it were acknowledged and must not be dropped.
       commitIndex = piece.getLastIndex();
@@ -713,7 +713,7 @@
     decisions.add(new RaftDecision.RestoreState(installed));
   }
 
-  private void replyToSnapshot(String to, SnapshotPiece piece, long offset, boolean installed) {
+  private void replyToSnapshot(String to, SnapshotChunk piece, long offset, boolean installed) {
     SnapshotReply reply =
         SnapshotReply.newBuilder()
             .setNextOffset(offset)
--- a/src/main/java/org/curranthaven/internal/dispatch/Backends.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/Backends.java
@@ -14,7 +14,7 @@
 import org.curranthaven.internal.catalog.ServiceSpec;
 import org.curranthaven.internal.routing.OutlierEjector;
 import org.curranthaven.internal.transport.wire.BackendRecord;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.jspecify.annotations.Nullable;
 
 /** The backend servers, what runs on each, and which of them may take a call. Not thread-safe. */
@@ -58,7 +58,7 @@
   }
 
   /** Returns those that may take the call, whether they have room or not. */
-  Stream<BackendState> usable(DispatchAsk ask, long nowMillis) {
+  Stream<BackendState> usable(PlacementRequest ask, long nowMillis) {
     Predicate<BackendState> trusted =
         state ->
             !ejector.isEjected(state.id(), nowMillis)
--- a/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
@@ -1,7 +1,7 @@
 package org.curranthaven.internal.dispatch;
 
 import org.curranthaven.internal.catalog.EngineCapabilities;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -40,7 +40,7 @@
   }
 
   /** Returns the share of an engine's memory that a call of the priority may fill it to. */
-  static double memoryShare(DispatchAsk ask, int mostUrgentPriority) {
+  static double memoryShare(PlacementRequest ask, int mostUrgentPriority) {
     return ask.getPriority() <= mostUrgentPriority ? MEMORY_SHARE : LESS_URGENT_MEMORY_SHARE;
   }
 
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
@@ -11,8 +11,8 @@
 import org.curranthaven.internal.catalog.Catalog;
 import org.curranthaven.internal.catalog.EngineCapabilities;
 import org.curranthaven.internal.transport.wire.BackendRecord;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -132,7 +132,7 @@
   // ---- calls ------------------------------------------------------------------------------------
 
   /** Takes in a call that is to be placed. */
-  public void submit(RequestId key, DispatchAsk ask, long nowMillis) {
+  public void submit(RequestId key, PlacementRequest ask, long nowMillis) {
     requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis);
     ServiceRetryBudget window =
         retries.computeIfAbsent(ask.getService(), name -> new ServiceRetryBudget(retryLimits));
@@ -151,7 +151,7 @@
     }
   }
 
-  private void waitOrRefuse(RequestId key, DispatchAsk ask, Placing placing, long nowMillis) {
+  private void waitOrRefuse(RequestId key, PlacementRequest ask, Placing placing, long nowMillis) {
     long targetLeft = Math.min(ask.getTargetLeftMillis(), ask.getDeadlineLeftMillis());
     boolean served = hasCandidates(ask, nowMillis);
     if (!served && ask.getExcludedCount() > 0) {
@@ -175,7 +175,7 @@
     waiting.add(new QueuedRequest(key, ask, waiting.takeOrder(), dueAt, giveUpAt));
   }
 
-  private double expectedWaitMillis(DispatchAsk ask, Placing placing) {
+  private double expectedWaitMillis(PlacementRequest ask, Placing placing) {
     // Where there is room but much to read first, reading makes way for the call all the time.
     return placing == Placing.NOT_IN_TIME
         ? 0
@@ -244,7 +244,7 @@
 
   /** Takes in a call that another scheduler placed. */
   public void restoreRunning(
-      RequestId key, DispatchAsk ask, String backendId, int outputTokens, long nowMillis) {
+      RequestId key, PlacementRequest ask, String backendId, int outputTokens, long nowMillis) {
     BackendState backend = backends.get(backendId);
     if (backend == null) {
       return;
@@ -306,7 +306,8 @@
   }
 
   /** Places a call where it can be in time. */
-  private Placing place(RequestId key, DispatchAsk ask, long targetLeftMillis, long nowMillis) {
+  private Placing place(
+      RequestId key, PlacementRequest ask, long targetLeftMillis, long nowMillis) {
     double share = CapacityRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
     RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
     List<BackendState> withRoom = withRoom(call, share, nowMillis).toList();
@@ -322,13 +323,13 @@
     return withRoom.isEmpty() ? Placing.NO_ROOM : Placing.NOT_IN_TIME;
   }
 
-  private boolean isInTime(BackendState backend, DispatchAsk ask, long targetLeftMillis) {
+  private boolean isInTime(BackendState backend, PlacementRequest ask, long targetLeftMillis) {
     int tokensAhead = backend.unreadTokens() + ask.getPromptTokens();
     return !ask.getEngine() || forecast.firstReplyMillis(ask, tokensAhead) <= targetLeftMillis;
   }
 
   /** Places a call that cannot be in time any more, where that takes no room from others. */
-  private boolean placeLate(RequestId key, DispatchAsk ask, long nowMillis) {
+  private boolean placeLate(RequestId key, PlacementRequest ask, long nowMillis) {
     RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
     boolean othersWait = !waiting.of(ask.getService()).isEmpty();
     double share =
@@ -352,7 +353,7 @@
   }
 
   private @Nullable BackendState cheapest(
-      Stream<BackendState> among, DispatchAsk ask, long nowMillis) {
+      Stream<BackendState> among, PlacementRequest ask, long nowMillis) {
     EngineCapabilities engine = backends.engineOf(ask.getService());
     return Backends.cheapest(among, backend -> cost(backend, engine, ask, nowMillis));
   }
@@ -366,7 +367,7 @@
     decisions.add(new DispatchDecision.Place(call.key, best.id(), urgency, call.backup));
   }
 
-  private boolean hasCandidates(DispatchAsk ask, long nowMillis) {
+  private boolean hasCandidates(PlacementRequest ask, long nowMillis) {
     return backends.usable(ask, nowMillis).findAny().isPresent();
   }
 
@@ -383,7 +384,10 @@
   }
 
   private double cost(
-      BackendState backend, @Nullable EngineCapabilities engine, DispatchAsk ask, long nowMillis) {
+      BackendState backend,
+      @Nullable EngineCapabilities engine,
+      PlacementRequest ask,
+      long nowMillis) {
     double far = ask.getDataCentre().equals(backend.registration().getDataCentre()) ? 0 : 1;
     double cold = backend.isCold(nowMillis) ? COLD_WEIGHT_TOKENS : 0;
     if (engine == null) {
--- a/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
@@ -1,6 +1,6 @@
 package org.curranthaven.internal.dispatch;
 
-import org.curranthaven.internal.transport.wire.DispatchAsk;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 
 /** Forecasts the output of a route's calls from their hints and from earlier outputs. */
 final class OutputLengthForecast {
@@ -13,7 +13,7 @@
     meanTokens = meanTokens < 0 ? tokens : meanTokens + NEW_WEIGHT * (tokens - meanTokens);
   }
 
-  int forecast(DispatchAsk ask) {
+  int forecast(PlacementRequest ask) {
     int most = ask.getMaxOutputTokens();
     double expected;
     if (ask.getHintedOutputTokens() > 0) {
--- a/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 
 /**
  * Forecasts when there is room for a call that none has room for now. Answers the load under which
@@ -59,11 +59,11 @@
   }
 
   /** Returns the output tokens expected of the call. */
-  int outputTokens(DispatchAsk ask) {
+  int outputTokens(PlacementRequest ask) {
     return lengthsOf(ask).forecast(ask);
   }
 
-  private OutputLengthForecast lengthsOf(DispatchAsk ask) {
+  private OutputLengthForecast lengthsOf(PlacementRequest ask) {
     return lengths.computeIfAbsent(ask.getRoute(), name -> new OutputLengthForecast());
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** Returns the time from a call's placement on an idle engine to its first reply. */
-  long readMillis(DispatchAsk ask) {
+  long readMillis(PlacementRequest ask) {
     return ask.getEngine() ? firstReplyMillis(ask, ask.getPromptTokens()) : 0;
   }
 
@@ -103,7 +103,7 @@
    *
    * @param tokensAhead prompt tokens to be read until then, the call's own included
    */
-  long firstReplyMillis(DispatchAsk ask, int tokensAhead) {
+  long firstReplyMillis(PlacementRequest ask, int tokensAhead) {
     return (long) (tokensAhead * perToken(ask.getService()) * READ_MARGIN);
   }
 
@@ -114,11 +114,11 @@
   }
 
   /** Returns the time until room is expected for a call behind those that wait. */
-  double expectedWaitMillis(DispatchAsk ask, Collection<QueuedRequest> queue) {
+  double expectedWaitMillis(PlacementRequest ask, Collection<QueuedRequest> queue) {
     return ask.getEngine() ? engineWaitMillis(ask, queue) : plainWaitMillis(ask, queue);
   }
 
-  private double plainWaitMillis(DispatchAsk ask, Collection<QueuedRequest> queue) {
+  private double plainWaitMillis(PlacementRequest ask, Collection<QueuedRequest> queue) {
     int slots = backends.stayingOf(ask.getService()).mapToInt(BackendState::slots).sum();
     double each = plainMillis.getOrDefault(ask.getService(), FIRST_PLAIN_MILLIS);
     return slots == 0
@@ -126,7 +126,7 @@
         : (queue.size() + 1) * each * capacityShares / slots;
   }
 
-  private double engineWaitMillis(DispatchAsk ask, Collection<QueuedRequest> queue) {
+  private double engineWaitMillis(PlacementRequest ask, Collection<QueuedRequest> queue) {
     double needed = needOf(ask);
     for (QueuedRequest ahead : queue) {
       if (ahead.ask().getPriority() <= ask.getPriority()) {
@@ -161,7 +161,7 @@
     return call.remainingTokens() * TOKEN_MILLIS + call.unreadTokens() * readMillisPerToken;
   }
 
-  private double needOf(DispatchAsk ask) {
+  private double needOf(PlacementRequest ask) {
     return ask.getPromptTokens() + outputTokens(ask);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/QueuedRequest.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueuedRequest.java
@@ -1,7 +1,7 @@
 package org.curranthaven.internal.dispatch;
 
 import java.util.Comparator;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 
 /**
  * A call that waits for room.
@@ -11,7 +11,7 @@
  * @param giveUpAtMillis when it is turned away
  */
 record QueuedRequest(
-    RequestId key, DispatchAsk ask, long order, long dueAtMillis, long giveUpAtMillis) {
+    RequestId key, PlacementRequest ask, long order, long dueAtMillis, long giveUpAtMillis) {
   static final Comparator<QueuedRequest> BY_RANK =
       Comparator.comparingInt((QueuedRequest call) -> call.ask().getPriority())
           .thenComparingLong(QueuedRequest::dueAtMillis)
--- a/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
@@ -1,6 +1,6 @@
 package org.curranthaven.internal.dispatch;
 
-import org.curranthaven.internal.transport.wire.DispatchAsk;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 
 /** A call that runs on a backend server, as the scheduler sees it. Not thread-safe. */
 final class RunningRequest {
@@ -13,7 +13,7 @@
   private static final int OUTGROWN_TOKENS = 32;
 
   final RequestId key;
-  final DispatchAsk ask;
+  final PlacementRequest ask;
   final long placedAtMillis;
   private final int forecastTokens;
   private int outputTokens;
@@ -32,7 +32,7 @@
   /** Backend server that keeps a copy; empty for none. */
   String backup = "";
 
-  RunningRequest(RequestId key, DispatchAsk ask, int forecastTokens, long placedAtMillis) {
+  RunningRequest(RequestId key, PlacementRequest ask, int forecastTokens, long placedAtMillis) {
     this.key = key;
     this.ask = ask;
     this.forecastTokens = forecastTokens;
--- a/src/main/java/org/curranthaven/internal/relay/RequestPlacer.java
+++ b/src/main/java/org/curranthaven/internal/relay/RequestPlacer.java
@@ -1,7 +1,7 @@
 package org.curranthaven.internal.relay;
 
-import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 
 /** Has calls placed on backend servers. Used on the event loop only. */
 public interface RequestPlacer {
@@ -17,7 +17,7 @@
     void onMigrate(String target, String backup);
 
     /** Returns the call as it was asked for. */
-    DispatchAsk placementRequest();
+    PlacementRequest placementRequest();
 
     /** Returns the output tokens that have come. */
     int outputTokens();
@@ -27,7 +27,7 @@
   }
 
   /** Asks for a place; the answer comes on the event loop, possibly at once. */
-  void requestPlacement(DispatchAsk ask, PlacementListener placed);
+  void requestPlacement(PlacementRequest ask, PlacementListener placed);
 
   /** Notes that the first output of a call has come. */
   void reportProgress(long id, int outputTokens);
--- a/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
@@ -13,8 +13,8 @@
 import org.curranthaven.internal.catalog.Route;
 import org.curranthaven.internal.catalog.ServiceSpec;
 import org.curranthaven.internal.transport.wire.BackendRecord;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
@@ -54,7 +54,7 @@
   private final MigrationCoordinator moves;
   private final Set<String> excluded = new LinkedHashSet<>();
   private long placementId;
-  private @Nullable DispatchAsk ask;
+  private @Nullable PlacementRequest ask;
   private @Nullable Attempt attempt;
   private AttemptResult.@Nullable Answered lastAnswer;
   private String backend = "";
@@ -102,8 +102,8 @@
     long nowMillis = context.clock().nowMillis();
     EngineCapabilities engine = service.engine();
     placementId = context.nextPlacementId();
-    DispatchAsk.Builder builder =
-        DispatchAsk.newBuilder()
+    PlacementRequest.Builder builder =
+        PlacementRequest.newBuilder()
             .setId(placementId)
             .setService(service.name())
             .setRoute(route.name())
@@ -122,7 +122,7 @@
     if (engine != null) {
       builder.addAllParts(call.parts());
     }
-    DispatchAsk built = builder.build();
+    PlacementRequest built = builder.build();
     ask = built;
     placed = false;
     backend = "";
@@ -130,8 +130,8 @@
   }
 
   @Override
-  public DispatchAsk placementRequest() {
-    return ask == null ? DispatchAsk.getDefaultInstance() : ask;
+  public PlacementRequest placementRequest() {
+    return ask == null ? PlacementRequest.getDefaultInstance() : ask;
   }
 
   @Override
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -19,7 +19,6 @@
 import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.BackendRecord;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchEnd;
 import org.curranthaven.internal.transport.wire.DispatchOrders;
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
@@ -30,6 +29,7 @@
 import org.curranthaven.internal.transport.wire.Move;
 import org.curranthaven.internal.transport.wire.OpenDispatch;
 import org.curranthaven.internal.transport.wire.Placement;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.curranthaven.internal.transport.wire.Refusal;
 import org.curranthaven.internal.transport.wire.SchedulerView;
 import org.jspecify.annotations.Nullable;
@@ -247,7 +247,7 @@
   // ---- calls ------------------------------------------------------------------------------------
 
   @Override
-  public void requestPlacement(DispatchAsk ask, PlacementListener placed) {
+  public void requestPlacement(PlacementRequest ask, PlacementListener placed) {
     calls.put(ask.getId(), placed);
     if (isConnected()) {
       askScheduler(ask);
@@ -257,7 +257,7 @@
     }
   }
 
-  private void askScheduler(DispatchAsk ask) {
+  private void askScheduler(PlacementRequest ask) {
     send(DispatchRequests.newBuilder().addAsks(ask));
     // A scheduler that rebuilds its state has told no version yet, and answers only after that.
     if (version > 0) {
@@ -270,7 +270,7 @@
   }
 
   /** Decides alone if the scheduler is silent; asks again if only the question was lost. */
-  private void checkAnswered(DispatchAsk ask, long askedTerm, long askedAtMillis) {
+  private void checkAnswered(PlacementRequest ask, long askedTerm, long askedAtMillis) {
     if (!unanswered.contains(ask.getId()) || term != askedTerm || !isConnected()) {
       return;
     }
@@ -413,7 +413,7 @@
     alone = core;
     core.setCatalog(catalog);
     backends.values().forEach(record -> core.updateBackend(record, nowMillis));
-    List<DispatchAsk> waiting = new ArrayList<>();
+    List<PlacementRequest> waiting = new ArrayList<>();
     calls.forEach(
         (id, call) -> {
           if (call.backend().isEmpty()) {
@@ -429,7 +429,7 @@
     return core;
   }
 
-  private void askAlone(DispatchAsk ask) {
+  private void askAlone(PlacementRequest ask) {
     DispatchCore core = alone;
     if (core == null) {
       // The new call is among those that wait.
--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -21,7 +21,6 @@
 import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.BackendRecord;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchEnd;
 import org.curranthaven.internal.transport.wire.DispatchOrders;
 import org.curranthaven.internal.transport.wire.DispatchProgress;
@@ -32,6 +31,7 @@
 import org.curranthaven.internal.transport.wire.Move;
 import org.curranthaven.internal.transport.wire.OpenDispatch;
 import org.curranthaven.internal.transport.wire.Placement;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.curranthaven.internal.transport.wire.Refusal;
 import org.curranthaven.internal.transport.wire.SchedulerView;
 import org.tinylog.Logger;
@@ -327,7 +327,7 @@
           new RequestId(gateway, progress.getId()), progress.getOutputTokens(), nowMillis);
     }
     DispatchOrders.Builder waiting = DispatchOrders.newBuilder().setTerm(term);
-    for (DispatchAsk ask : requests.getAsksList()) {
+    for (PlacementRequest ask : requests.getAsksList()) {
       RequestId key = new RequestId(gateway, ask.getId());
       core.submit(key, ask, nowMillis);
       if (core.isQueued(key)) {
--- a/src/main/java/org/curranthaven/internal/transport/wire/Curranthaven.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Curranthaven.java
@@ -82,10 +82,10 @@
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internal_static_curranthaven_AppendReply_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
-    internal_static_curranthaven_SnapshotPiece_descriptor;
+    internal_static_curranthaven_SnapshotChunk_descriptor;
   static final 
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
-      internal_static_curranthaven_SnapshotPiece_fieldAccessorTable;
+      internal_static_curranthaven_SnapshotChunk_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
     internal_static_curranthaven_SnapshotReply_descriptor;
   static final 
@@ -252,10 +252,10 @@
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internal_static_curranthaven_OpenDispatch_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
-    internal_static_curranthaven_DispatchAsk_descriptor;
+    internal_static_curranthaven_PlacementRequest_descriptor;
   static final 
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
-      internal_static_curranthaven_DispatchAsk_fieldAccessorTable;
+      internal_static_curranthaven_PlacementRequest_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
     internal_static_curranthaven_PromptPart_descriptor;
   static final 
@@ -346,7 +346,7 @@
       "\001(\0132\033.curranthaven.AppendRequestH\000\0221\n\014ap" +
       "pend_reply\030\007 \001(\0132\031.curranthaven.AppendRe" +
       "plyH\000\0225\n\016snapshot_piece\030\010 \001(\0132\033.curranth" +
-      "aven.SnapshotPieceH\000\0225\n\016snapshot_reply\030\t" +
+      "aven.SnapshotChunkH\000\0225\n\016snapshot_reply\030\t" +
       " \001(\0132\033.curranthaven.SnapshotReplyH\000\022/\n\013t" +
       "imeout_now\030\n \001(\0132\030.curranthaven.TimeoutN" +
       "owH\000B\006\n\004body\"c\n\013VoteRequest\022\020\n\010pre_vote\030" +
@@ -359,7 +359,7 @@
       "dex\030\004 \001(\004\022\026\n\016sent_at_millis\030\005 \001(\003\"g\n\013App" +
       "endReply\022\020\n\010accepted\030\001 \001(\010\022\023\n\013match_inde" +
       "x\030\002 \001(\004\022\022\n\nlast_index\030\003 \001(\004\022\035\n\025echoed_se" +
-      "nt_at_millis\030\004 \001(\003\"\212\001\n\rSnapshotPiece\022\022\n\n" +
+      "nt_at_millis\030\004 \001(\003\"\212\001\n\rSnapshotChunk\022\022\n\n" +
       "last_index\030\001 \001(\004\022\021\n\tlast_term\030\002 \001(\004\022\016\n\006v" +
       "oters\030\003 \001(\014\022\016\n\006offset\030\004 \001(\004\022\014\n\004data\030\005 \001(" +
       "\014\022\014\n\004last\030\006 \001(\010\022\026\n\016sent_at_millis\030\007 \001(\003\"" +
@@ -450,57 +450,58 @@
       "catalog_revision\030\003 \001(\004\022\014\n\004full\030\004 \001(\010\022(\n\004" +
       "open\030\005 \003(\0132\032.curranthaven.OpenDispatch\022-" +
       "\n\010backends\030\006 \003(\0132\033.curranthaven.BackendR" +
-      "ecord\022\014\n\004gone\030\007 \003(\t\"^\n\014OpenDispatch\022&\n\003a" +
-      "sk\030\001 \001(\0132\031.curranthaven.DispatchAsk\022\017\n\007b" +
-      "ackend\030\002 \001(\t\022\025\n\routput_tokens\030\003 \001(\r\"\357\002\n\013" +
-      "DispatchAsk\022\n\n\002id\030\001 \001(\004\022\017\n\007service\030\002 \001(\t" +
-      "\022\r\n\005route\030\003 \001(\t\022\021\n\tworkspace\030\004 \001(\t\022\020\n\010pr" +
-      "iority\030\005 \001(\r\022\025\n\rprompt_tokens\030\006 \001(\r\022\031\n\021m" +
-      "ax_output_tokens\030\007 \001(\r\022\034\n\024hinted_output_" +
-      "tokens\030\010 \001(\r\022\032\n\022target_left_millis\030\t \001(\003" +
-      "\022\034\n\024deadline_left_millis\030\n \001(\003\022\020\n\010exclud" +
-      "ed\030\013 \003(\t\022\016\n\006repeat\030\014 \001(\010\022\'\n\005parts\030\r \003(\0132" +
-      "\030.curranthaven.PromptPart\022\023\n\013data_centre" +
-      "\030\016 \001(\t\022\016\n\006engine\030\017 \001(\010\022\025\n\rirreplaceable\030" +
-      "\020 \001(\010\"(\n\nPromptPart\022\n\n\002id\030\001 \001(\t\022\016\n\006token" +
-      "s\030\002 \001(\r\"\244\001\n\020DispatchRequests\022\014\n\004term\030\001 \001" +
-      "(\004\022\'\n\004asks\030\002 \003(\0132\031.curranthaven.Dispatch" +
-      "Ask\0220\n\010progress\030\003 \003(\0132\036.curranthaven.Dis" +
-      "patchProgress\022\'\n\004ends\030\004 \003(\0132\031.curranthav" +
-      "en.DispatchEnd\"5\n\020DispatchProgress\022\n\n\002id" +
-      "\030\001 \001(\004\022\025\n\routput_tokens\030\002 \001(\r\"`\n\013Dispatc" +
-      "hEnd\022\n\n\002id\030\001 \001(\004\022.\n\007outcome\030\002 \001(\0162\035.curr" +
-      "anthaven.DispatchOutcome\022\025\n\routput_token" +
-      "s\030\003 \001(\r\"\250\001\n\016DispatchOrders\022\014\n\004term\030\001 \001(\004" +
-      "\022+\n\nplacements\030\002 \003(\0132\027.curranthaven.Plac" +
-      "ement\022\'\n\010refusals\030\003 \003(\0132\025.curranthaven.R" +
-      "efusal\022!\n\005moves\030\004 \003(\0132\022.curranthaven.Mov" +
-      "e\022\017\n\007waiting\030\005 \003(\004\"I\n\tPlacement\022\n\n\002id\030\001 " +
-      "\001(\004\022\017\n\007backend\030\002 \001(\t\022\017\n\007urgency\030\003 \001(\r\022\016\n" +
-      "\006backup\030\004 \001(\t\"A\n\007Refusal\022\n\n\002id\030\001 \001(\004\022\032\n\022" +
-      "retry_after_millis\030\002 \001(\004\022\016\n\006reason\030\003 \001(\t" +
-      "\"2\n\004Move\022\n\n\002id\030\001 \001(\004\022\016\n\006target\030\002 \001(\t\022\016\n\006" +
-      "backup\030\003 \001(\t*O\n\tEntryKind\022\023\n\017ENTRY_KIND_" +
-      "NOOP\020\000\022\026\n\022ENTRY_KIND_COMMAND\020\001\022\025\n\021ENTRY_" +
-      "KIND_VOTERS\020\002*\246\001\n\rCommandStatus\022\036\n\032COMMA" +
-      "ND_STATUS_UNSPECIFIED\020\000\022\032\n\026COMMAND_STATU" +
-      "S_APPLIED\020\001\022\035\n\031COMMAND_STATUS_NOT_LEADER" +
-      "\020\002\022\032\n\026COMMAND_STATUS_UNKNOWN\020\003\022\036\n\032COMMAN" +
-      "D_STATUS_UNAVAILABLE\020\004*\353\001\n\014ClaimVerdict\022" +
-      "\035\n\031CLAIM_VERDICT_UNSPECIFIED\020\000\022\031\n\025CLAIM_" +
-      "VERDICT_GRANTED\020\001\022\031\n\025CLAIM_VERDICT_RUNNI" +
-      "NG\020\002\022\026\n\022CLAIM_VERDICT_DONE\020\003\022\034\n\030CLAIM_VE" +
-      "RDICT_KEY_REUSED\020\004\022\031\n\025CLAIM_VERDICT_TOO_" +
-      "OLD\020\005\022\035\n\031CLAIM_VERDICT_FROM_FUTURE\020\006\022\026\n\022" +
-      "CLAIM_VERDICT_FULL\020\007*\216\002\n\017DispatchOutcome" +
-      "\022 \n\034DISPATCH_OUTCOME_UNSPECIFIED\020\000\022\035\n\031DI" +
-      "SPATCH_OUTCOME_ANSWERED\020\001\022\033\n\027DISPATCH_OU" +
-      "TCOME_FAILED\020\002\022\035\n\031DISPATCH_OUTCOME_REJEC" +
-      "TED\020\003\022 \n\034DISPATCH_OUTCOME_UNREACHABLE\020\004\022" +
-      "\036\n\032DISPATCH_OUTCOME_CANCELLED\020\005\022\032\n\026DISPA" +
-      "TCH_OUTCOME_MOVED\020\006\022 \n\034DISPATCH_OUTCOME_" +
-      "MOVE_FAILED\020\007B,\n(org.curranthaven.intern" +
-      "al.transport.wireP\001b\006proto3"
+      "ecord\022\014\n\004gone\030\007 \003(\t\"c\n\014OpenDispatch\022+\n\003a" +
+      "sk\030\001 \001(\0132\036.curranthaven.PlacementRequest" +
+      "\022\017\n\007backend\030\002 \001(\t\022\025\n\routput_tokens\030\003 \001(\r" +
+      "\"\364\002\n\020PlacementRequest\022\n\n\002id\030\001 \001(\004\022\017\n\007ser" +
+      "vice\030\002 \001(\t\022\r\n\005route\030\003 \001(\t\022\021\n\tworkspace\030\004" +
+      " \001(\t\022\020\n\010priority\030\005 \001(\r\022\025\n\rprompt_tokens\030" +
+      "\006 \001(\r\022\031\n\021max_output_tokens\030\007 \001(\r\022\034\n\024hint" +
+      "ed_output_tokens\030\010 \001(\r\022\032\n\022target_left_mi" +
+      "llis\030\t \001(\003\022\034\n\024deadline_left_millis\030\n \001(\003" +
+      "\022\020\n\010excluded\030\013 \003(\t\022\016\n\006repeat\030\014 \001(\010\022\'\n\005pa" +
+      "rts\030\r \003(\0132\030.curranthaven.PromptPart\022\023\n\013d" +
+      "ata_centre\030\016 \001(\t\022\016\n\006engine\030\017 \001(\010\022\025\n\rirre" +
+      "placeable\030\020 \001(\010\"(\n\nPromptPart\022\n\n\002id\030\001 \001(" +
+      "\t\022\016\n\006tokens\030\002 \001(\r\"\251\001\n\020DispatchRequests\022\014" +
+      "\n\004term\030\001 \001(\004\022,\n\004asks\030\002 \003(\0132\036.curranthave" +
+      "n.PlacementRequest\0220\n\010progress\030\003 \003(\0132\036.c" +
+      "urranthaven.DispatchProgress\022\'\n\004ends\030\004 \003" +
+      "(\0132\031.curranthaven.DispatchEnd\"5\n\020Dispatc" +
+      "hProgress\022\n\n\002id\030\001 \001(\004\022\025\n\routput_tokens\030\002" +
+      " \001(\r\"`\n\013DispatchEnd\022\n\n\002id\030\001 \001(\004\022.\n\007outco" +
+      "me\030\002 \001(\0162\035.curranthaven.DispatchOutcome\022" +
+      "\025\n\routput_tokens\030\003 \001(\r\"\250\001\n\016DispatchOrder" +
+      "s\022\014\n\004term\030\001 \001(\004\022+\n\nplacements\030\002 \003(\0132\027.cu" +
+      "rranthaven.Placement\022\'\n\010refusals\030\003 \003(\0132\025" +
+      ".curranthaven.Refusal\022!\n\005moves\030\004 \003(\0132\022.c" +
+      "urranthaven.Move\022\017\n\007waiting\030\005 \003(\004\"I\n\tPla" +
+      "cement\022\n\n\002id\030\001 \001(\004\022\017\n\007backend\030\002 \001(\t\022\017\n\007u" +
+      "rgency\030\003 \001(\r\022\016\n\006backup\030\004 \001(\t\"A\n\007Refusal\022" +
+      "\n\n\002id\030\001 \001(\004\022\032\n\022retry_after_millis\030\002 \001(\004\022" +
+      "\016\n\006reason\030\003 \001(\t\"2\n\004Move\022\n\n\002id\030\001 \001(\004\022\016\n\006t" +
+      "arget\030\002 \001(\t\022\016\n\006backup\030\003 \001(\t*O\n\tEntryKind" +
+      "\022\023\n\017ENTRY_KIND_NOOP\020\000\022\026\n\022ENTRY_KIND_COMM" +
+      "AND\020\001\022\025\n\021ENTRY_KIND_VOTERS\020\002*\246\001\n\rCommand" +
+      "Status\022\036\n\032COMMAND_STATUS_UNSPECIFIED\020\000\022\032" +
+      "\n\026COMMAND_STATUS_APPLIED\020\001\022\035\n\031COMMAND_ST" +
+      "ATUS_NOT_LEADER\020\002\022\032\n\026COMMAND_STATUS_UNKN" +
+      "OWN\020\003\022\036\n\032COMMAND_STATUS_UNAVAILABLE\020\004*\353\001" +
+      "\n\014ClaimVerdict\022\035\n\031CLAIM_VERDICT_UNSPECIF" +
+      "IED\020\000\022\031\n\025CLAIM_VERDICT_GRANTED\020\001\022\031\n\025CLAI" +
+      "M_VERDICT_RUNNING\020\002\022\026\n\022CLAIM_VERDICT_DON" +
+      "E\020\003\022\034\n\030CLAIM_VERDICT_KEY_REUSED\020\004\022\031\n\025CLA" +
+      "IM_VERDICT_TOO_OLD\020\005\022\035\n\031CLAIM_VERDICT_FR" +
+      "OM_FUTURE\020\006\022\026\n\022CLAIM_VERDICT_FULL\020\007*\216\002\n\017" +
+      "DispatchOutcome\022 \n\034DISPATCH_OUTCOME_UNSP" +
+      "ECIFIED\020\000\022\035\n\031DISPATCH_OUTCOME_ANSWERED\020\001" +
+      "\022\033\n\027DISPATCH_OUTCOME_FAILED\020\002\022\035\n\031DISPATC" +
+      "H_OUTCOME_REJECTED\020\003\022 \n\034DISPATCH_OUTCOME" +
+      "_UNREACHABLE\020\004\022\036\n\032DISPATCH_OUTCOME_CANCE" +
+      "LLED\020\005\022\032\n\026DISPATCH_OUTCOME_MOVED\020\006\022 \n\034DI" +
+      "SPATCH_OUTCOME_MOVE_FAILED\020\007B,\n(org.curr" +
+      "anthaven.internal.transport.wireP\001b\006prot" +
+      "o3"
     };
     descriptor = com.google.protobuf.Descriptors.FileDescriptor
       .internalBuildGeneratedFileFrom(descriptorData,
@@ -572,11 +573,11 @@
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
         internal_static_curranthaven_AppendReply_descriptor,
         new java.lang.String[] { "Accepted", "MatchIndex", "LastIndex", "EchoedSentAtMillis", });
-    internal_static_curranthaven_SnapshotPiece_descriptor =
+    internal_static_curranthaven_SnapshotChunk_descriptor =
       getDescriptor().getMessageType(11);
-    internal_static_curranthaven_SnapshotPiece_fieldAccessorTable = new
+    internal_static_curranthaven_SnapshotChunk_fieldAccessorTable = new
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
-        internal_static_curranthaven_SnapshotPiece_descriptor,
+        internal_static_curranthaven_SnapshotChunk_descriptor,
         new java.lang.String[] { "LastIndex", "LastTerm", "Voters", "Offset", "Data", "Last", "SentAtMillis", });
     internal_static_curranthaven_SnapshotReply_descriptor =
       getDescriptor().getMessageType(12);
@@ -776,11 +777,11 @@
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
         internal_static_curranthaven_OpenDispatch_descriptor,
         new java.lang.String[] { "Ask", "Backend", "OutputTokens", });
-    internal_static_curranthaven_DispatchAsk_descriptor =
+    internal_static_curranthaven_PlacementRequest_descriptor =
       getDescriptor().getMessageType(45);
-    internal_static_curranthaven_DispatchAsk_fieldAccessorTable = new
+    internal_static_curranthaven_PlacementRequest_fieldAccessorTable = new
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
-        internal_static_curranthaven_DispatchAsk_descriptor,
+        internal_static_curranthaven_PlacementRequest_descriptor,
         new java.lang.String[] { "Id", "Service", "Route", "Workspace", "Priority", "PromptTokens", "MaxOutputTokens", "HintedOutputTokens", "TargetLeftMillis", "DeadlineLeftMillis", "Excluded", "Repeat", "Parts", "DataCentre", "Engine", "Irreplaceable", });
     internal_static_curranthaven_PromptPart_descriptor =
       getDescriptor().getMessageType(46);
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchRequests.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchRequests.java
@@ -68,41 +68,41 @@
 
   public static final int ASKS_FIELD_NUMBER = 2;
   @SuppressWarnings("serial")
-  private java.util.List<org.curranthaven.internal.transport.wire.DispatchAsk> asks_;
+  private java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest> asks_;
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
-  public java.util.List<org.curranthaven.internal.transport.wire.DispatchAsk> getAsksList() {
+  public java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest> getAsksList() {
     return asks_;
   }
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
-  public java.util.List<? extends org.curranthaven.internal.transport.wire.DispatchAskOrBuilder> 
+  public java.util.List<? extends org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> 
       getAsksOrBuilderList() {
     return asks_;
   }
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
   public int getAsksCount() {
     return asks_.size();
   }
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.DispatchAsk getAsks(int index) {
+  public org.curranthaven.internal.transport.wire.PlacementRequest getAsks(int index) {
     return asks_.get(index);
   }
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.DispatchAskOrBuilder getAsksOrBuilder(
+  public org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAsksOrBuilder(
       int index) {
     return asks_.get(index);
   }
@@ -657,9 +657,9 @@
               break;
             } // case 8
             case 18: {
-              org.curranthaven.internal.transport.wire.DispatchAsk m =
+              org.curranthaven.internal.transport.wire.PlacementRequest m =
                   input.readMessage(
-                      org.curranthaven.internal.transport.wire.DispatchAsk.parser(),
+                      org.curranthaven.internal.transport.wire.PlacementRequest.parser(),
                       extensionRegistry);
               if (asksBuilder_ == null) {
                 ensureAsksIsMutable();
@@ -744,22 +744,22 @@
       return this;
     }
 
-    private java.util.List<org.curranthaven.internal.transport.wire.DispatchAsk> asks_ =
+    private java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest> asks_ =
       java.util.Collections.emptyList();
     private void ensureAsksIsMutable() {
       if (!((bitField0_ & 0x00000002) != 0)) {
-        asks_ = new java.util.ArrayList<org.curranthaven.internal.transport.wire.DispatchAsk>(asks_);
+        asks_ = new java.util.ArrayList<org.curranthaven.internal.transport.wire.PlacementRequest>(asks_);
         bitField0_ |= 0x00000002;
        }
     }
 
     private com.google.protobuf.RepeatedFieldBuilder<
-        org.curranthaven.internal.transport.wire.DispatchAsk, org.curranthaven.internal.transport.wire.DispatchAsk.Builder, org.curranthaven.internal.transport.wire.DispatchAskOrBuilder> asksBuilder_;
+        org.curranthaven.internal.transport.wire.PlacementRequest, org.curranthaven.internal.transport.wire.PlacementRequest.Builder, org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> asksBuilder_;
 
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public java.util.List<org.curranthaven.internal.transport.wire.DispatchAsk> getAsksList() {
+    public java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest> getAsksList() {
       if (asksBuilder_ == null) {
         return java.util.Collections.unmodifiableList(asks_);
       } else {
@@ -767,7 +767,7 @@
       }
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public int getAsksCount() {
       if (asksBuilder_ == null) {
@@ -777,9 +777,9 @@
       }
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public org.curranthaven.internal.transport.wire.DispatchAsk getAsks(int index) {
+    public org.curranthaven.internal.transport.wire.PlacementRequest getAsks(int index) {
       if (asksBuilder_ == null) {
         return asks_.get(index);
       } else {
@@ -787,10 +787,10 @@
       }
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder setAsks(
-        int index, org.curranthaven.internal.transport.wire.DispatchAsk value) {
+        int index, org.curranthaven.internal.transport.wire.PlacementRequest value) {
       if (asksBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureAsksIsMutable();
@@ -802,10 +802,10 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder setAsks(
-        int index, org.curranthaven.internal.transport.wire.DispatchAsk.Builder builderForValue) {
+        int index, org.curranthaven.internal.transport.wire.PlacementRequest.Builder builderForValue) {
       if (asksBuilder_ == null) {
         ensureAsksIsMutable();
         asks_.set(index, builderForValue.build());
@@ -816,9 +816,9 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public Builder addAsks(org.curranthaven.internal.transport.wire.DispatchAsk value) {
+    public Builder addAsks(org.curranthaven.internal.transport.wire.PlacementRequest value) {
       if (asksBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureAsksIsMutable();
@@ -830,10 +830,10 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAsks(
-        int index, org.curranthaven.internal.transport.wire.DispatchAsk value) {
+        int index, org.curranthaven.internal.transport.wire.PlacementRequest value) {
       if (asksBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureAsksIsMutable();
@@ -845,10 +845,10 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAsks(
-        org.curranthaven.internal.transport.wire.DispatchAsk.Builder builderForValue) {
+        org.curranthaven.internal.transport.wire.PlacementRequest.Builder builderForValue) {
       if (asksBuilder_ == null) {
         ensureAsksIsMutable();
         asks_.add(builderForValue.build());
@@ -859,10 +859,10 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAsks(
-        int index, org.curranthaven.internal.transport.wire.DispatchAsk.Builder builderForValue) {
+        int index, org.curranthaven.internal.transport.wire.PlacementRequest.Builder builderForValue) {
       if (asksBuilder_ == null) {
         ensureAsksIsMutable();
         asks_.add(index, builderForValue.build());
@@ -873,10 +873,10 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAllAsks(
-        java.lang.Iterable<? extends org.curranthaven.internal.transport.wire.DispatchAsk> values) {
+        java.lang.Iterable<? extends org.curranthaven.internal.transport.wire.PlacementRequest> values) {
       if (asksBuilder_ == null) {
         ensureAsksIsMutable();
         com.google.protobuf.AbstractMessageLite.Builder.addAll(
@@ -888,7 +888,7 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder clearAsks() {
       if (asksBuilder_ == null) {
@@ -901,7 +901,7 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder removeAsks(int index) {
       if (asksBuilder_ == null) {
@@ -914,16 +914,16 @@
       return this;
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public org.curranthaven.internal.transport.wire.DispatchAsk.Builder getAsksBuilder(
+    public org.curranthaven.internal.transport.wire.PlacementRequest.Builder getAsksBuilder(
         int index) {
       return internalGetAsksFieldBuilder().getBuilder(index);
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public org.curranthaven.internal.transport.wire.DispatchAskOrBuilder getAsksOrBuilder(
+    public org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAsksOrBuilder(
         int index) {
       if (asksBuilder_ == null) {
         return asks_.get(index);  } else {
@@ -931,9 +931,9 @@
       }
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public java.util.List<? extends org.curranthaven.internal.transport.wire.DispatchAskOrBuilder> 
+    public java.util.List<? extends org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> 
          getAsksOrBuilderList() {
       if (asksBuilder_ != null) {
         return asksBuilder_.getMessageOrBuilderList();
@@ -942,33 +942,33 @@
       }
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public org.curranthaven.internal.transport.wire.DispatchAsk.Builder addAsksBuilder() {
+    public org.curranthaven.internal.transport.wire.PlacementRequest.Builder addAsksBuilder() {
       return internalGetAsksFieldBuilder().addBuilder(
-          org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance());
+          org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance());
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public org.curranthaven.internal.transport.wire.DispatchAsk.Builder addAsksBuilder(
+    public org.curranthaven.internal.transport.wire.PlacementRequest.Builder addAsksBuilder(
         int index) {
       return internalGetAsksFieldBuilder().addBuilder(
-          index, org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance());
+          index, org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance());
     }
     /**
-     * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+     * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
-    public java.util.List<org.curranthaven.internal.transport.wire.DispatchAsk.Builder> 
+    public java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest.Builder> 
          getAsksBuilderList() {
       return internalGetAsksFieldBuilder().getBuilderList();
     }
     private com.google.protobuf.RepeatedFieldBuilder<
-        org.curranthaven.internal.transport.wire.DispatchAsk, org.curranthaven.internal.transport.wire.DispatchAsk.Builder, org.curranthaven.internal.transport.wire.DispatchAskOrBuilder> 
+        org.curranthaven.internal.transport.wire.PlacementRequest, org.curranthaven.internal.transport.wire.PlacementRequest.Builder, org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> 
         internalGetAsksFieldBuilder() {
       if (asksBuilder_ == null) {
         asksBuilder_ = new com.google.protobuf.RepeatedFieldBuilder<
-            org.curranthaven.internal.transport.wire.DispatchAsk, org.curranthaven.internal.transport.wire.DispatchAsk.Builder, org.curranthaven.internal.transport.wire.DispatchAskOrBuilder>(
+            org.curranthaven.internal.transport.wire.PlacementRequest, org.curranthaven.internal.transport.wire.PlacementRequest.Builder, org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder>(
                 asks_,
                 ((bitField0_ & 0x00000002) != 0),
                 getParentForChildren(),
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchRequestsOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchRequestsOrBuilder.java
@@ -17,27 +17,27 @@
   long getTerm();
 
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
-  java.util.List<org.curranthaven.internal.transport.wire.DispatchAsk> 
+  java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest> 
       getAsksList();
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
-  org.curranthaven.internal.transport.wire.DispatchAsk getAsks(int index);
+  org.curranthaven.internal.transport.wire.PlacementRequest getAsks(int index);
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   int getAsksCount();
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
-  java.util.List<? extends org.curranthaven.internal.transport.wire.DispatchAskOrBuilder> 
+  java.util.List<? extends org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> 
       getAsksOrBuilderList();
   /**
-   * <code>repeated .curranthaven.DispatchAsk asks = 2;</code>
+   * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
-  org.curranthaven.internal.transport.wire.DispatchAskOrBuilder getAsksOrBuilder(
+  org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAsksOrBuilder(
       int index);
 
   /**
--- a/src/main/java/org/curranthaven/internal/transport/wire/GroupMessage.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/GroupMessage.java
@@ -296,7 +296,7 @@
 
   public static final int SNAPSHOT_PIECE_FIELD_NUMBER = 8;
   /**
-   * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+   * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
    * @return Whether the snapshotPiece field is set.
    */
   @java.lang.Override
@@ -304,25 +304,25 @@
     return bodyCase_ == 8;
   }
   /**
-   * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+   * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
    * @return The snapshotPiece.
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.SnapshotPiece getSnapshotPiece() {
+  public org.curranthaven.internal.transport.wire.SnapshotChunk getSnapshotPiece() {
     if (bodyCase_ == 8) {
-       return (org.curranthaven.internal.transport.wire.SnapshotPiece) body_;
+       return (org.curranthaven.internal.transport.wire.SnapshotChunk) body_;
     }
-    return org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance();
+    return org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance();
   }
   /**
-   * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+   * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.SnapshotPieceOrBuilder getSnapshotPieceOrBuilder() {
+  public org.curranthaven.internal.transport.wire.SnapshotChunkOrBuilder getSnapshotPieceOrBuilder() {
     if (bodyCase_ == 8) {
-       return (org.curranthaven.internal.transport.wire.SnapshotPiece) body_;
+       return (org.curranthaven.internal.transport.wire.SnapshotChunk) body_;
     }
-    return org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance();
+    return org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance();
   }
 
   public static final int SNAPSHOT_REPLY_FIELD_NUMBER = 9;
@@ -423,7 +423,7 @@
       output.writeMessage(7, (org.curranthaven.internal.transport.wire.AppendReply) body_);
     }
     if (bodyCase_ == 8) {
-      output.writeMessage(8, (org.curranthaven.internal.transport.wire.SnapshotPiece) body_);
+      output.writeMessage(8, (org.curranthaven.internal.transport.wire.SnapshotChunk) body_);
     }
     if (bodyCase_ == 9) {
       output.writeMessage(9, (org.curranthaven.internal.transport.wire.SnapshotReply) body_);
@@ -464,7 +464,7 @@
     }
     if (bodyCase_ == 8) {
       size += com.google.protobuf.CodedOutputStream
-        .computeMessageSize(8, (org.curranthaven.internal.transport.wire.SnapshotPiece) body_);
+        .computeMessageSize(8, (org.curranthaven.internal.transport.wire.SnapshotChunk) body_);
     }
     if (bodyCase_ == 9) {
       size += com.google.protobuf.CodedOutputStream
@@ -1715,9 +1715,9 @@
     }
 
     private com.google.protobuf.SingleFieldBuilder<
-        org.curranthaven.internal.transport.wire.SnapshotPiece, org.curranthaven.internal.transport.wire.SnapshotPiece.Builder, org.curranthaven.internal.transport.wire.SnapshotPieceOrBuilder> snapshotPieceBuilder_;
+        org.curranthaven.internal.transport.wire.SnapshotChunk, org.curranthaven.internal.transport.wire.SnapshotChunk.Builder, org.curranthaven.internal.transport.wire.SnapshotChunkOrBuilder> snapshotPieceBuilder_;
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      * @return Whether the snapshotPiece field is set.
      */
     @java.lang.Override
@@ -1725,27 +1725,27 @@
       return bodyCase_ == 8;
     }
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      * @return The snapshotPiece.
      */
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.SnapshotPiece getSnapshotPiece() {
+    public org.curranthaven.internal.transport.wire.SnapshotChunk getSnapshotPiece() {
       if (snapshotPieceBuilder_ == null) {
         if (bodyCase_ == 8) {
-          return (org.curranthaven.internal.transport.wire.SnapshotPiece) body_;
+          return (org.curranthaven.internal.transport.wire.SnapshotChunk) body_;
         }
-        return org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance();
+        return org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance();
       } else {
         if (bodyCase_ == 8) {
           return snapshotPieceBuilder_.getMessage();
         }
-        return org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance();
+        return org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance();
       }
     }
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      */
-    public Builder setSnapshotPiece(org.curranthaven.internal.transport.wire.SnapshotPiece value) {
+    public Builder setSnapshotPiece(org.curranthaven.internal.transport.wire.SnapshotChunk value) {
       if (snapshotPieceBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         body_ = value;
@@ -1757,10 +1757,10 @@
       return this;
     }
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      */
     public Builder setSnapshotPiece(
-        org.curranthaven.internal.transport.wire.SnapshotPiece.Builder builderForValue) {
+        org.curranthaven.internal.transport.wire.SnapshotChunk.Builder builderForValue) {
       if (snapshotPieceBuilder_ == null) {
         body_ = builderForValue.build();
         onChanged();
@@ -1771,13 +1771,13 @@
       return this;
     }
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      */
-    public Builder mergeSnapshotPiece(org.curranthaven.internal.transport.wire.SnapshotPiece value) {
+    public Builder mergeSnapshotPiece(org.curranthaven.internal.transport.wire.SnapshotChunk value) {
       if (snapshotPieceBuilder_ == null) {
         if (bodyCase_ == 8 &&
-            body_ != org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance()) {
-          body_ = org.curranthaven.internal.transport.wire.SnapshotPiece.newBuilder((org.curranthaven.internal.transport.wire.SnapshotPiece) body_)
+            body_ != org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance()) {
+          body_ = org.curranthaven.internal.transport.wire.SnapshotChunk.newBuilder((org.curranthaven.internal.transport.wire.SnapshotChunk) body_)
               .mergeFrom(value).buildPartial();
         } else {
           body_ = value;
@@ -1794,7 +1794,7 @@
       return this;
     }
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      */
     public Builder clearSnapshotPiece() {
       if (snapshotPieceBuilder_ == null) {
@@ -1813,38 +1813,38 @@
       return this;
     }
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      */
-    public org.curranthaven.internal.transport.wire.SnapshotPiece.Builder getSnapshotPieceBuilder() {
+    public org.curranthaven.internal.transport.wire.SnapshotChunk.Builder getSnapshotPieceBuilder() {
       return internalGetSnapshotPieceFieldBuilder().getBuilder();
     }
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      */
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.SnapshotPieceOrBuilder getSnapshotPieceOrBuilder() {
+    public org.curranthaven.internal.transport.wire.SnapshotChunkOrBuilder getSnapshotPieceOrBuilder() {
       if ((bodyCase_ == 8) && (snapshotPieceBuilder_ != null)) {
         return snapshotPieceBuilder_.getMessageOrBuilder();
       } else {
         if (bodyCase_ == 8) {
-          return (org.curranthaven.internal.transport.wire.SnapshotPiece) body_;
+          return (org.curranthaven.internal.transport.wire.SnapshotChunk) body_;
         }
-        return org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance();
+        return org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance();
       }
     }
     /**
-     * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+     * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
-        org.curranthaven.internal.transport.wire.SnapshotPiece, org.curranthaven.internal.transport.wire.SnapshotPiece.Builder, org.curranthaven.internal.transport.wire.SnapshotPieceOrBuilder> 
+        org.curranthaven.internal.transport.wire.SnapshotChunk, org.curranthaven.internal.transport.wire.SnapshotChunk.Builder, org.curranthaven.internal.transport.wire.SnapshotChunkOrBuilder> 
         internalGetSnapshotPieceFieldBuilder() {
       if (snapshotPieceBuilder_ == null) {
         if (!(bodyCase_ == 8)) {
-          body_ = org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance();
+          body_ = org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance();
         }
         snapshotPieceBuilder_ = new com.google.protobuf.SingleFieldBuilder<
-            org.curranthaven.internal.transport.wire.SnapshotPiece, org.curranthaven.internal.transport.wire.SnapshotPiece.Builder, org.curranthaven.internal.transport.wire.SnapshotPieceOrBuilder>(
-                (org.curranthaven.internal.transport.wire.SnapshotPiece) body_,
+            org.curranthaven.internal.transport.wire.SnapshotChunk, org.curranthaven.internal.transport.wire.SnapshotChunk.Builder, org.curranthaven.internal.transport.wire.SnapshotChunkOrBuilder>(
+                (org.curranthaven.internal.transport.wire.SnapshotChunk) body_,
                 getParentForChildren(),
                 isClean());
         body_ = null;
--- a/src/main/java/org/curranthaven/internal/transport/wire/GroupMessageOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/GroupMessageOrBuilder.java
@@ -103,19 +103,19 @@
   org.curranthaven.internal.transport.wire.AppendReplyOrBuilder getAppendReplyOrBuilder();
 
   /**
-   * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+   * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
    * @return Whether the snapshotPiece field is set.
    */
   boolean hasSnapshotPiece();
   /**
-   * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+   * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
    * @return The snapshotPiece.
    */
-  org.curranthaven.internal.transport.wire.SnapshotPiece getSnapshotPiece();
+  org.curranthaven.internal.transport.wire.SnapshotChunk getSnapshotPiece();
   /**
-   * <code>.curranthaven.SnapshotPiece snapshot_piece = 8;</code>
+   * <code>.curranthaven.SnapshotChunk snapshot_piece = 8;</code>
    */
-  org.curranthaven.internal.transport.wire.SnapshotPieceOrBuilder getSnapshotPieceOrBuilder();
+  org.curranthaven.internal.transport.wire.SnapshotChunkOrBuilder getSnapshotPieceOrBuilder();
 
   /**
    * <code>.curranthaven.SnapshotReply snapshot_reply = 9;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatch.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatch.java
@@ -55,9 +55,9 @@
 
   private int bitField0_;
   public static final int ASK_FIELD_NUMBER = 1;
-  private org.curranthaven.internal.transport.wire.DispatchAsk ask_;
+  private org.curranthaven.internal.transport.wire.PlacementRequest ask_;
   /**
-   * <code>.curranthaven.DispatchAsk ask = 1;</code>
+   * <code>.curranthaven.PlacementRequest ask = 1;</code>
    * @return Whether the ask field is set.
    */
   @java.lang.Override
@@ -65,19 +65,19 @@
     return ((bitField0_ & 0x00000001) != 0);
   }
   /**
-   * <code>.curranthaven.DispatchAsk ask = 1;</code>
+   * <code>.curranthaven.PlacementRequest ask = 1;</code>
    * @return The ask.
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.DispatchAsk getAsk() {
-    return ask_ == null ? org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance() : ask_;
+  public org.curranthaven.internal.transport.wire.PlacementRequest getAsk() {
+    return ask_ == null ? org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance() : ask_;
   }
   /**
-   * <code>.curranthaven.DispatchAsk ask = 1;</code>
+   * <code>.curranthaven.PlacementRequest ask = 1;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.DispatchAskOrBuilder getAskOrBuilder() {
-    return ask_ == null ? org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance() : ask_;
+  public org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAskOrBuilder() {
+    return ask_ == null ? org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance() : ask_;
   }
 
   public static final int BACKEND_FIELD_NUMBER = 2;
@@ -498,31 +498,31 @@
     }
     private int bitField0_;
 
-    private org.curranthaven.internal.transport.wire.DispatchAsk ask_;
+    private org.curranthaven.internal.transport.wire.PlacementRequest ask_;
     private com.google.protobuf.SingleFieldBuilder<
-        org.curranthaven.internal.transport.wire.DispatchAsk, org.curranthaven.internal.transport.wire.DispatchAsk.Builder, org.curranthaven.internal.transport.wire.DispatchAskOrBuilder> askBuilder_;
+        org.curranthaven.internal.transport.wire.PlacementRequest, org.curranthaven.internal.transport.wire.PlacementRequest.Builder, org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> askBuilder_;
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      * @return Whether the ask field is set.
      */
     public boolean hasAsk() {
       return ((bitField0_ & 0x00000001) != 0);
     }
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      * @return The ask.
      */
-    public org.curranthaven.internal.transport.wire.DispatchAsk getAsk() {
+    public org.curranthaven.internal.transport.wire.PlacementRequest getAsk() {
       if (askBuilder_ == null) {
-        return ask_ == null ? org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance() : ask_;
+        return ask_ == null ? org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance() : ask_;
       } else {
         return askBuilder_.getMessage();
       }
     }
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
-    public Builder setAsk(org.curranthaven.internal.transport.wire.DispatchAsk value) {
+    public Builder setAsk(org.curranthaven.internal.transport.wire.PlacementRequest value) {
       if (askBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ask_ = value;
@@ -534,10 +534,10 @@
       return this;
     }
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     public Builder setAsk(
-        org.curranthaven.internal.transport.wire.DispatchAsk.Builder builderForValue) {
+        org.curranthaven.internal.transport.wire.PlacementRequest.Builder builderForValue) {
       if (askBuilder_ == null) {
         ask_ = builderForValue.build();
       } else {
@@ -548,13 +548,13 @@
       return this;
     }
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
-    public Builder mergeAsk(org.curranthaven.internal.transport.wire.DispatchAsk value) {
+    public Builder mergeAsk(org.curranthaven.internal.transport.wire.PlacementRequest value) {
       if (askBuilder_ == null) {
         if (((bitField0_ & 0x00000001) != 0) &&
           ask_ != null &&
-          ask_ != org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance()) {
+          ask_ != org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance()) {
           getAskBuilder().mergeFrom(value);
         } else {
           ask_ = value;
@@ -569,7 +569,7 @@
       return this;
     }
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     public Builder clearAsk() {
       bitField0_ = (bitField0_ & ~0x00000001);
@@ -582,33 +582,33 @@
       return this;
     }
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
-    public org.curranthaven.internal.transport.wire.DispatchAsk.Builder getAskBuilder() {
+    public org.curranthaven.internal.transport.wire.PlacementRequest.Builder getAskBuilder() {
       bitField0_ |= 0x00000001;
       onChanged();
       return internalGetAskFieldBuilder().getBuilder();
     }
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
-    public org.curranthaven.internal.transport.wire.DispatchAskOrBuilder getAskOrBuilder() {
+    public org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAskOrBuilder() {
       if (askBuilder_ != null) {
         return askBuilder_.getMessageOrBuilder();
       } else {
         return ask_ == null ?
-            org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance() : ask_;
+            org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance() : ask_;
       }
     }
     /**
-     * <code>.curranthaven.DispatchAsk ask = 1;</code>
+     * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
-        org.curranthaven.internal.transport.wire.DispatchAsk, org.curranthaven.internal.transport.wire.DispatchAsk.Builder, org.curranthaven.internal.transport.wire.DispatchAskOrBuilder> 
+        org.curranthaven.internal.transport.wire.PlacementRequest, org.curranthaven.internal.transport.wire.PlacementRequest.Builder, org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> 
         internalGetAskFieldBuilder() {
       if (askBuilder_ == null) {
         askBuilder_ = new com.google.protobuf.SingleFieldBuilder<
-            org.curranthaven.internal.transport.wire.DispatchAsk, org.curranthaven.internal.transport.wire.DispatchAsk.Builder, org.curranthaven.internal.transport.wire.DispatchAskOrBuilder>(
+            org.curranthaven.internal.transport.wire.PlacementRequest, org.curranthaven.internal.transport.wire.PlacementRequest.Builder, org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder>(
                 getAsk(),
                 getParentForChildren(),
                 isClean());
--- a/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatchOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatchOrBuilder.java
@@ -11,19 +11,19 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
-   * <code>.curranthaven.DispatchAsk ask = 1;</code>
+   * <code>.curranthaven.PlacementRequest ask = 1;</code>
    * @return Whether the ask field is set.
    */
   boolean hasAsk();
   /**
-   * <code>.curranthaven.DispatchAsk ask = 1;</code>
+   * <code>.curranthaven.PlacementRequest ask = 1;</code>
    * @return The ask.
    */
-  org.curranthaven.internal.transport.wire.DispatchAsk getAsk();
+  org.curranthaven.internal.transport.wire.PlacementRequest getAsk();
   /**
-   * <code>.curranthaven.DispatchAsk ask = 1;</code>
+   * <code>.curranthaven.PlacementRequest ask = 1;</code>
    */
-  org.curranthaven.internal.transport.wire.DispatchAskOrBuilder getAskOrBuilder();
+  org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAskOrBuilder();
 
   /**
    * <code>string backend = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchAsk.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/PlacementRequest.java
@@ -6,13 +6,13 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
- * Protobuf type {@code curranthaven.DispatchAsk}
+ * Protobuf type {@code curranthaven.PlacementRequest}
  */
 @com.google.protobuf.Generated
-public final class DispatchAsk extends
+public final class PlacementRequest extends
     com.google.protobuf.GeneratedMessage implements
-    // @@protoc_insertion_point(message_implements:curranthaven.DispatchAsk)
-    DispatchAskOrBuilder {
+    // @@protoc_insertion_point(message_implements:curranthaven.PlacementRequest)
+    PlacementRequestOrBuilder {
 private static final long serialVersionUID = 0L;
   static {
     com.google.protobuf.RuntimeVersion.validateProtobufGencodeVersion(
@@ -21,13 +21,13 @@
       /* minor= */ 36,
       /* patch= */ 2,
       /* suffix= */ "",
-      "DispatchAsk");
+      "PlacementRequest");
   }
-  // Use DispatchAsk.newBuilder() to construct.
-  private DispatchAsk(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
+  // Use PlacementRequest.newBuilder() to construct.
+  private PlacementRequest(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
     super(builder);
   }
-  private DispatchAsk() {
+  private PlacementRequest() {
     service_ = "";
     route_ = "";
     workspace_ = "";
@@ -39,20 +39,20 @@
 
   public static final com.google.protobuf.Descriptors.Descriptor
       getDescriptor() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_DispatchAsk_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_PlacementRequest_descriptor;
   }
 
   @java.lang.Override
   public com.google.protobuf.Descriptors.Descriptor getDescriptorForType() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_DispatchAsk_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_PlacementRequest_descriptor;
   }
 
   @java.lang.Override
   protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internalGetFieldAccessorTable() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_DispatchAsk_fieldAccessorTable
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_PlacementRequest_fieldAccessorTable
         .ensureFieldAccessorsInitialized(
-            org.curranthaven.internal.transport.wire.DispatchAsk.class, org.curranthaven.internal.transport.wire.DispatchAsk.Builder.class);
+            org.curranthaven.internal.transport.wire.PlacementRequest.class, org.curranthaven.internal.transport.wire.PlacementRequest.Builder.class);
   }
 
   public static final int ID_FIELD_NUMBER = 1;
@@ -569,10 +569,10 @@
     if (obj == this) {
      return true;
     }
-    if (!(obj instanceof org.curranthaven.internal.transport.wire.DispatchAsk)) {
+    if (!(obj instanceof org.curranthaven.internal.transport.wire.PlacementRequest)) {
       return super.equals(obj);
     }
-    org.curranthaven.internal.transport.wire.DispatchAsk other = (org.curranthaven.internal.transport.wire.DispatchAsk) obj;
+    org.curranthaven.internal.transport.wire.PlacementRequest other = (org.curranthaven.internal.transport.wire.PlacementRequest) obj;
 
     if (getId()
         != other.getId()) return false;
@@ -664,44 +664,44 @@
     return hash;
   }
 
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(
       java.nio.ByteBuffer data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(
       java.nio.ByteBuffer data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(
       com.google.protobuf.ByteString data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(
       com.google.protobuf.ByteString data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(byte[] data)
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(byte[] data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(
       byte[] data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -709,26 +709,26 @@
         .parseWithIOException(PARSER, input, extensionRegistry);
   }
 
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseDelimitedFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseDelimitedFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input);
   }
 
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseDelimitedFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseDelimitedFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(
       com.google.protobuf.CodedInputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.DispatchAsk parseFrom(
+  public static org.curranthaven.internal.transport.wire.PlacementRequest parseFrom(
       com.google.protobuf.CodedInputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -741,7 +741,7 @@
   public static Builder newBuilder() {
     return DEFAULT_INSTANCE.toBuilder();
   }
-  public static Builder newBuilder(org.curranthaven.internal.transport.wire.DispatchAsk prototype) {
+  public static Builder newBuilder(org.curranthaven.internal.transport.wire.PlacementRequest prototype) {
     return DEFAULT_INSTANCE.toBuilder().mergeFrom(prototype);
   }
   @java.lang.Override
@@ -757,26 +757,26 @@
     return builder;
   }
   /**
-   * Protobuf type {@code curranthaven.DispatchAsk}
+   * Protobuf type {@code curranthaven.PlacementRequest}
    */
   public static final class Builder extends
       com.google.protobuf.GeneratedMessage.Builder<Builder> implements
-      // @@protoc_insertion_point(builder_implements:curranthaven.DispatchAsk)
-      org.curranthaven.internal.transport.wire.DispatchAskOrBuilder {
+      // @@protoc_insertion_point(builder_implements:curranthaven.PlacementRequest)
+      org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder {
     public static final com.google.protobuf.Descriptors.Descriptor
         getDescriptor() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_DispatchAsk_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_PlacementRequest_descriptor;
     }
 
     @java.lang.Override
     protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
         internalGetFieldAccessorTable() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_DispatchAsk_fieldAccessorTable
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_PlacementRequest_fieldAccessorTable
           .ensureFieldAccessorsInitialized(
-              org.curranthaven.internal.transport.wire.DispatchAsk.class, org.curranthaven.internal.transport.wire.DispatchAsk.Builder.class);
+              org.curranthaven.internal.transport.wire.PlacementRequest.class, org.curranthaven.internal.transport.wire.PlacementRequest.Builder.class);
     }
 
-    // Construct using org.curranthaven.internal.transport.wire.DispatchAsk.newBuilder()
+    // Construct using org.curranthaven.internal.transport.wire.PlacementRequest.newBuilder()
     private Builder() {
 
     }
@@ -819,17 +819,17 @@
     @java.lang.Override
     public com.google.protobuf.Descriptors.Descriptor
         getDescriptorForType() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_DispatchAsk_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_PlacementRequest_descriptor;
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.DispatchAsk getDefaultInstanceForType() {
-      return org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance();
+    public org.curranthaven.internal.transport.wire.PlacementRequest getDefaultInstanceForType() {
+      return org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance();
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.DispatchAsk build() {
-      org.curranthaven.internal.transport.wire.DispatchAsk result = buildPartial();
+    public org.curranthaven.internal.transport.wire.PlacementRequest build() {
+      org.curranthaven.internal.transport.wire.PlacementRequest result = buildPartial();
       if (!result.isInitialized()) {
         throw newUninitializedMessageException(result);
       }
@@ -837,15 +837,15 @@
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.DispatchAsk buildPartial() {
-      org.curranthaven.internal.transport.wire.DispatchAsk result = new org.curranthaven.internal.transport.wire.DispatchAsk(this);
+    public org.curranthaven.internal.transport.wire.PlacementRequest buildPartial() {
+      org.curranthaven.internal.transport.wire.PlacementRequest result = new org.curranthaven.internal.transport.wire.PlacementRequest(this);
       buildPartialRepeatedFields(result);
       if (bitField0_ != 0) { buildPartial0(result); }
       onBuilt();
       return result;
     }
 
-    private void buildPartialRepeatedFields(org.curranthaven.internal.transport.wire.DispatchAsk result) {
+    private void buildPartialRepeatedFields(org.curranthaven.internal.transport.wire.PlacementRequest result) {
       if (partsBuilder_ == null) {
         if (((bitField0_ & 0x00001000) != 0)) {
           parts_ = java.util.Collections.unmodifiableList(parts_);
@@ -857,7 +857,7 @@
       }
     }
 
-    private void buildPartial0(org.curranthaven.internal.transport.wire.DispatchAsk result) {
+    private void buildPartial0(org.curranthaven.internal.transport.wire.PlacementRequest result) {
       int from_bitField0_ = bitField0_;
       if (((from_bitField0_ & 0x00000001) != 0)) {
         result.id_ = id_;
@@ -909,16 +909,16 @@
 
     @java.lang.Override
     public Builder mergeFrom(com.google.protobuf.Message other) {
-      if (other instanceof org.curranthaven.internal.transport.wire.DispatchAsk) {
-        return mergeFrom((org.curranthaven.internal.transport.wire.DispatchAsk)other);
+      if (other instanceof org.curranthaven.internal.transport.wire.PlacementRequest) {
+        return mergeFrom((org.curranthaven.internal.transport.wire.PlacementRequest)other);
       } else {
         super.mergeFrom(other);
         return this;
       }
     }
 
-    public Builder mergeFrom(org.curranthaven.internal.transport.wire.DispatchAsk other) {
-      if (other == org.curranthaven.internal.transport.wire.DispatchAsk.getDefaultInstance()) return this;
+    public Builder mergeFrom(org.curranthaven.internal.transport.wire.PlacementRequest other) {
+      if (other == org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance()) return this;
       if (other.getId() != 0L) {
         setId(other.getId());
       }
@@ -2135,23 +2135,23 @@
       return this;
     }
 
-    // @@protoc_insertion_point(builder_scope:curranthaven.DispatchAsk)
+    // @@protoc_insertion_point(builder_scope:curranthaven.PlacementRequest)
   }
 
-  // @@protoc_insertion_point(class_scope:curranthaven.DispatchAsk)
-  private static final org.curranthaven.internal.transport.wire.DispatchAsk DEFAULT_INSTANCE;
+  // @@protoc_insertion_point(class_scope:curranthaven.PlacementRequest)
+  private static final org.curranthaven.internal.transport.wire.PlacementRequest DEFAULT_INSTANCE;
   static {
-    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.DispatchAsk();
+    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.PlacementRequest();
   }
 
-  public static org.curranthaven.internal.transport.wire.DispatchAsk getDefaultInstance() {
+  public static org.curranthaven.internal.transport.wire.PlacementRequest getDefaultInstance() {
     return DEFAULT_INSTANCE;
   }
 
-  private static final com.google.protobuf.Parser<DispatchAsk>
-      PARSER = new com.google.protobuf.AbstractParser<DispatchAsk>() {
+  private static final com.google.protobuf.Parser<PlacementRequest>
+      PARSER = new com.google.protobuf.AbstractParser<PlacementRequest>() {
     @java.lang.Override
-    public DispatchAsk parsePartialFrom(
+    public PlacementRequest parsePartialFrom(
         com.google.protobuf.CodedInputStream input,
         com.google.protobuf.ExtensionRegistryLite extensionRegistry)
         throws com.google.protobuf.InvalidProtocolBufferException {
@@ -2170,17 +2170,17 @@
     }
   };
 
-  public static com.google.protobuf.Parser<DispatchAsk> parser() {
+  public static com.google.protobuf.Parser<PlacementRequest> parser() {
     return PARSER;
   }
 
   @java.lang.Override
-  public com.google.protobuf.Parser<DispatchAsk> getParserForType() {
+  public com.google.protobuf.Parser<PlacementRequest> getParserForType() {
     return PARSER;
   }
 
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.DispatchAsk getDefaultInstanceForType() {
+  public org.curranthaven.internal.transport.wire.PlacementRequest getDefaultInstanceForType() {
     return DEFAULT_INSTANCE;
   }
 
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchAskOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/PlacementRequestOrBuilder.java
@@ -6,8 +6,8 @@
 package org.curranthaven.internal.transport.wire;
 
 @com.google.protobuf.Generated
-public interface DispatchAskOrBuilder extends
-    // @@protoc_insertion_point(interface_extends:curranthaven.DispatchAsk)
+public interface PlacementRequestOrBuilder extends
+    // @@protoc_insertion_point(interface_extends:curranthaven.PlacementRequest)
     com.google.protobuf.MessageOrBuilder {
 
   /**
--- a/src/main/java/org/curranthaven/internal/transport/wire/SnapshotPiece.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SnapshotChunk.java
@@ -6,13 +6,13 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
- * Protobuf type {@code curranthaven.SnapshotPiece}
+ * Protobuf type {@code curranthaven.SnapshotChunk}
  */
 @com.google.protobuf.Generated
-public final class SnapshotPiece extends
+public final class SnapshotChunk extends
     com.google.protobuf.GeneratedMessage implements
-    // @@protoc_insertion_point(message_implements:curranthaven.SnapshotPiece)
-    SnapshotPieceOrBuilder {
+    // @@protoc_insertion_point(message_implements:curranthaven.SnapshotChunk)
+    SnapshotChunkOrBuilder {
 private static final long serialVersionUID = 0L;
   static {
     com.google.protobuf.RuntimeVersion.validateProtobufGencodeVersion(
@@ -21,33 +21,33 @@
       /* minor= */ 36,
       /* patch= */ 2,
       /* suffix= */ "",
-      "SnapshotPiece");
+      "SnapshotChunk");
   }
-  // Use SnapshotPiece.newBuilder() to construct.
-  private SnapshotPiece(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
+  // Use SnapshotChunk.newBuilder() to construct.
+  private SnapshotChunk(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
     super(builder);
   }
-  private SnapshotPiece() {
+  private SnapshotChunk() {
     voters_ = com.google.protobuf.ByteString.EMPTY;
     data_ = com.google.protobuf.ByteString.EMPTY;
   }
 
   public static final com.google.protobuf.Descriptors.Descriptor
       getDescriptor() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotPiece_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotChunk_descriptor;
   }
 
   @java.lang.Override
   public com.google.protobuf.Descriptors.Descriptor getDescriptorForType() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotPiece_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotChunk_descriptor;
   }
 
   @java.lang.Override
   protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internalGetFieldAccessorTable() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotPiece_fieldAccessorTable
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotChunk_fieldAccessorTable
         .ensureFieldAccessorsInitialized(
-            org.curranthaven.internal.transport.wire.SnapshotPiece.class, org.curranthaven.internal.transport.wire.SnapshotPiece.Builder.class);
+            org.curranthaven.internal.transport.wire.SnapshotChunk.class, org.curranthaven.internal.transport.wire.SnapshotChunk.Builder.class);
   }
 
   public static final int LAST_INDEX_FIELD_NUMBER = 1;
@@ -213,10 +213,10 @@
     if (obj == this) {
      return true;
     }
-    if (!(obj instanceof org.curranthaven.internal.transport.wire.SnapshotPiece)) {
+    if (!(obj instanceof org.curranthaven.internal.transport.wire.SnapshotChunk)) {
       return super.equals(obj);
     }
-    org.curranthaven.internal.transport.wire.SnapshotPiece other = (org.curranthaven.internal.transport.wire.SnapshotPiece) obj;
+    org.curranthaven.internal.transport.wire.SnapshotChunk other = (org.curranthaven.internal.transport.wire.SnapshotChunk) obj;
 
     if (getLastIndex()
         != other.getLastIndex()) return false;
@@ -267,44 +267,44 @@
     return hash;
   }
 
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(
       java.nio.ByteBuffer data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(
       java.nio.ByteBuffer data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(
       com.google.protobuf.ByteString data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(
       com.google.protobuf.ByteString data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(byte[] data)
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(byte[] data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(
       byte[] data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -312,26 +312,26 @@
         .parseWithIOException(PARSER, input, extensionRegistry);
   }
 
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseDelimitedFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseDelimitedFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input);
   }
 
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseDelimitedFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseDelimitedFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(
       com.google.protobuf.CodedInputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece parseFrom(
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk parseFrom(
       com.google.protobuf.CodedInputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -344,7 +344,7 @@
   public static Builder newBuilder() {
     return DEFAULT_INSTANCE.toBuilder();
   }
-  public static Builder newBuilder(org.curranthaven.internal.transport.wire.SnapshotPiece prototype) {
+  public static Builder newBuilder(org.curranthaven.internal.transport.wire.SnapshotChunk prototype) {
     return DEFAULT_INSTANCE.toBuilder().mergeFrom(prototype);
   }
   @java.lang.Override
@@ -360,26 +360,26 @@
     return builder;
   }
   /**
-   * Protobuf type {@code curranthaven.SnapshotPiece}
+   * Protobuf type {@code curranthaven.SnapshotChunk}
    */
   public static final class Builder extends
       com.google.protobuf.GeneratedMessage.Builder<Builder> implements
-      // @@protoc_insertion_point(builder_implements:curranthaven.SnapshotPiece)
-      org.curranthaven.internal.transport.wire.SnapshotPieceOrBuilder {
+      // @@protoc_insertion_point(builder_implements:curranthaven.SnapshotChunk)
+      org.curranthaven.internal.transport.wire.SnapshotChunkOrBuilder {
     public static final com.google.protobuf.Descriptors.Descriptor
         getDescriptor() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotPiece_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotChunk_descriptor;
     }
 
     @java.lang.Override
     protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
         internalGetFieldAccessorTable() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotPiece_fieldAccessorTable
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotChunk_fieldAccessorTable
           .ensureFieldAccessorsInitialized(
-              org.curranthaven.internal.transport.wire.SnapshotPiece.class, org.curranthaven.internal.transport.wire.SnapshotPiece.Builder.class);
+              org.curranthaven.internal.transport.wire.SnapshotChunk.class, org.curranthaven.internal.transport.wire.SnapshotChunk.Builder.class);
     }
 
-    // Construct using org.curranthaven.internal.transport.wire.SnapshotPiece.newBuilder()
+    // Construct using org.curranthaven.internal.transport.wire.SnapshotChunk.newBuilder()
     private Builder() {
 
     }
@@ -406,17 +406,17 @@
     @java.lang.Override
     public com.google.protobuf.Descriptors.Descriptor
         getDescriptorForType() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotPiece_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_SnapshotChunk_descriptor;
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.SnapshotPiece getDefaultInstanceForType() {
-      return org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance();
+    public org.curranthaven.internal.transport.wire.SnapshotChunk getDefaultInstanceForType() {
+      return org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance();
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.SnapshotPiece build() {
-      org.curranthaven.internal.transport.wire.SnapshotPiece result = buildPartial();
+    public org.curranthaven.internal.transport.wire.SnapshotChunk build() {
+      org.curranthaven.internal.transport.wire.SnapshotChunk result = buildPartial();
       if (!result.isInitialized()) {
         throw newUninitializedMessageException(result);
       }
@@ -424,14 +424,14 @@
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.SnapshotPiece buildPartial() {
-      org.curranthaven.internal.transport.wire.SnapshotPiece result = new org.curranthaven.internal.transport.wire.SnapshotPiece(this);
+    public org.curranthaven.internal.transport.wire.SnapshotChunk buildPartial() {
+      org.curranthaven.internal.transport.wire.SnapshotChunk result = new org.curranthaven.internal.transport.wire.SnapshotChunk(this);
       if (bitField0_ != 0) { buildPartial0(result); }
       onBuilt();
       return result;
     }
 
-    private void buildPartial0(org.curranthaven.internal.transport.wire.SnapshotPiece result) {
+    private void buildPartial0(org.curranthaven.internal.transport.wire.SnapshotChunk result) {
       int from_bitField0_ = bitField0_;
       if (((from_bitField0_ & 0x00000001) != 0)) {
         result.lastIndex_ = lastIndex_;
@@ -458,16 +458,16 @@
 
     @java.lang.Override
     public Builder mergeFrom(com.google.protobuf.Message other) {
-      if (other instanceof org.curranthaven.internal.transport.wire.SnapshotPiece) {
-        return mergeFrom((org.curranthaven.internal.transport.wire.SnapshotPiece)other);
+      if (other instanceof org.curranthaven.internal.transport.wire.SnapshotChunk) {
+        return mergeFrom((org.curranthaven.internal.transport.wire.SnapshotChunk)other);
       } else {
         super.mergeFrom(other);
         return this;
       }
     }
 
-    public Builder mergeFrom(org.curranthaven.internal.transport.wire.SnapshotPiece other) {
-      if (other == org.curranthaven.internal.transport.wire.SnapshotPiece.getDefaultInstance()) return this;
+    public Builder mergeFrom(org.curranthaven.internal.transport.wire.SnapshotChunk other) {
+      if (other == org.curranthaven.internal.transport.wire.SnapshotChunk.getDefaultInstance()) return this;
       if (other.getLastIndex() != 0L) {
         setLastIndex(other.getLastIndex());
       }
@@ -789,23 +789,23 @@
       return this;
     }
 
-    // @@protoc_insertion_point(builder_scope:curranthaven.SnapshotPiece)
+    // @@protoc_insertion_point(builder_scope:curranthaven.SnapshotChunk)
   }
 
-  // @@protoc_insertion_point(class_scope:curranthaven.SnapshotPiece)
-  private static final org.curranthaven.internal.transport.wire.SnapshotPiece DEFAULT_INSTANCE;
+  // @@protoc_insertion_point(class_scope:curranthaven.SnapshotChunk)
+  private static final org.curranthaven.internal.transport.wire.SnapshotChunk DEFAULT_INSTANCE;
   static {
-    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.SnapshotPiece();
+    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.SnapshotChunk();
   }
 
-  public static org.curranthaven.internal.transport.wire.SnapshotPiece getDefaultInstance() {
+  public static org.curranthaven.internal.transport.wire.SnapshotChunk getDefaultInstance() {
     return DEFAULT_INSTANCE;
   }
 
-  private static final com.google.protobuf.Parser<SnapshotPiece>
-      PARSER = new com.google.protobuf.AbstractParser<SnapshotPiece>() {
+  private static final com.google.protobuf.Parser<SnapshotChunk>
+      PARSER = new com.google.protobuf.AbstractParser<SnapshotChunk>() {
     @java.lang.Override
-    public SnapshotPiece parsePartialFrom(
+    public SnapshotChunk parsePartialFrom(
         com.google.protobuf.CodedInputStream input,
         com.google.protobuf.ExtensionRegistryLite extensionRegistry)
         throws com.google.protobuf.InvalidProtocolBufferException {
@@ -824,17 +824,17 @@
     }
   };
 
-  public static com.google.protobuf.Parser<SnapshotPiece> parser() {
+  public static com.google.protobuf.Parser<SnapshotChunk> parser() {
     return PARSER;
   }
 
   @java.lang.Override
-  public com.google.protobuf.Parser<SnapshotPiece> getParserForType() {
+  public com.google.protobuf.Parser<SnapshotChunk> getParserForType() {
     return PARSER;
   }
 
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.SnapshotPiece getDefaultInstanceForType() {
+  public org.curranthaven.internal.transport.wire.SnapshotChunk getDefaultInstanceForType() {
     return DEFAULT_INSTANCE;
   }
 
--- a/src/main/java/org/curranthaven/internal/transport/wire/SnapshotPieceOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SnapshotChunkOrBuilder.java
@@ -6,8 +6,8 @@
 package org.curranthaven.internal.transport.wire;
 
 @com.google.protobuf.Generated
-public interface SnapshotPieceOrBuilder extends
-    // @@protoc_insertion_point(interface_extends:curranthaven.SnapshotPiece)
+public interface SnapshotChunkOrBuilder extends
+    // @@protoc_insertion_point(interface_extends:curranthaven.SnapshotChunk)
     com.google.protobuf.MessageOrBuilder {
 
   /**
--- a/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
@@ -14,8 +14,8 @@
 import org.curranthaven.internal.catalog.ServiceSpec;
 import org.curranthaven.internal.catalog.ServiceWeight;
 import org.curranthaven.internal.transport.wire.BackendRecord;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -74,14 +74,14 @@
     return backend(id, "engines").toBuilder().setLeaving(true).setSequence(9).build();
   }
 
-  private RequestId ask(DispatchAsk.Builder ask, long nowMillis) {
+  private RequestId ask(PlacementRequest.Builder ask, long nowMillis) {
     RequestId key = new RequestId("gateway", nextId++);
     core.submit(key, ask.setId(key.id()).build(), nowMillis);
     return key;
   }
 
-  private static DispatchAsk.Builder draft(int promptTokens, int outputTokens) {
-    return DispatchAsk.newBuilder()
+  private static PlacementRequest.Builder draft(int promptTokens, int outputTokens) {
+    return PlacementRequest.newBuilder()
         .setService("engines")
         .setRoute("drafts")
         .setPriority(1)
@@ -94,8 +94,8 @@
         .setEngine(true);
   }
 
-  private static DispatchAsk.Builder plainCall() {
-    return DispatchAsk.newBuilder()
+  private static PlacementRequest.Builder plainCall() {
+    return PlacementRequest.newBuilder()
         .setService("plain")
         .setRoute("pages")
         .setTargetLeftMillis(400)
@@ -361,7 +361,7 @@
   @Test
   void a_new_scheduler_counts_what_another_one_placed() {
     core.updateBackend(backend("x", "engines"), 0);
-    DispatchAsk running = draft(9_000, 2_000).setId(77).build();
+    PlacementRequest running = draft(9_000, 2_000).setId(77).build();
     core.restoreRunning(new RequestId("gateway", 77), running, "x", 40, 0);
 
     ask(draft(6_000, 100), 1);
--- a/src/test/java/org/curranthaven/internal/relay/SchedulerLinkTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/SchedulerLinkTest.java
@@ -8,11 +8,11 @@
 import java.util.SplittableRandom;
 import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.transport.wire.BackendRecord;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchOrders;
 import org.curranthaven.internal.transport.wire.Envelope;
 import org.curranthaven.internal.transport.wire.GatewayStatus;
 import org.curranthaven.internal.transport.wire.Placement;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.curranthaven.internal.transport.wire.SchedulerView;
 import org.junit.jupiter.api.Test;
 
@@ -37,12 +37,12 @@
 
   /** A call that notes where it was placed. */
   private static final class Call implements RequestPlacer.PlacementListener {
-    private final DispatchAsk ask;
+    private final PlacementRequest ask;
     private String backend = "";
 
     Call(long id) {
       this.ask =
-          DispatchAsk.newBuilder()
+          PlacementRequest.newBuilder()
               .setId(id)
               .setService("plain")
               .setTargetLeftMillis(500)
@@ -64,7 +64,7 @@
     public void onMigrate(String target, String backup) {}
 
     @Override
-    public DispatchAsk placementRequest() {
+    public PlacementRequest placementRequest() {
       return ask;
     }
 
--- a/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
+++ b/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
@@ -12,12 +12,12 @@
 import org.curranthaven.internal.dispatch.RetryLimits;
 import org.curranthaven.internal.relay.GivenTime;
 import org.curranthaven.internal.transport.wire.BackendRecord;
-import org.curranthaven.internal.transport.wire.DispatchAsk;
 import org.curranthaven.internal.transport.wire.DispatchRequests;
 import org.curranthaven.internal.transport.wire.Envelope;
 import org.curranthaven.internal.transport.wire.GatewayStatus;
 import org.curranthaven.internal.transport.wire.HostRecord;
 import org.curranthaven.internal.transport.wire.OpenDispatch;
+import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.junit.jupiter.api.Test;
 
 class SchedulerTest {
@@ -145,8 +145,8 @@
     lead();
     scheduler.register(backend(1, false), new Answer()::accept);
     for (long id = 1; id <= 4; id++) {
-      DispatchAsk ask =
-          DispatchAsk.newBuilder()
+      PlacementRequest ask =
+          PlacementRequest.newBuilder()
               .setId(id)
               .setService("plain")
               .setTargetLeftMillis(500)
@@ -199,8 +199,8 @@
                     && message.getValue().getDispatchOrders().getPlacementsCount() > 0);
   }
 
-  private static DispatchAsk call(long id) {
-    return DispatchAsk.newBuilder()
+  private static PlacementRequest call(long id) {
+    return PlacementRequest.newBuilder()
         .setId(id)
         .setService("plain")
         .setTargetLeftMillis(5_000)
