--- a/src/main/java/org/curranthaven/internal/dispatch/Backends.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/Backends.java
@@ -115,7 +115,7 @@
   void forgetIfGone(BackendState state) {
     if (state.isLeaving() && state.calls.isEmpty()) {
       byId.remove(state.id());
-      ejector.forget(state.id());
+      ejector.remove(state.id());
       failureRateEjector.forget(state.id());
     }
   }
@@ -123,11 +123,11 @@
   // ---- how calls fared --------------------------------------------------------------------------
 
   void replied(BackendState backend) {
-    ejector.succeeded(backend.id());
+    ejector.recordSuccess(backend.id());
   }
 
   void answered(BackendState backend) {
-    ejector.succeeded(backend.id());
+    ejector.recordSuccess(backend.id());
     failureRateEjector.succeeded(backend.id());
   }
 
@@ -137,7 +137,7 @@
             .filter(other -> other.serves(backend.service()))
             .map(BackendState::id)
             .toList();
-    ejector.failed(backend.id(), peers, nowMillis);
+    ejector.recordFailure(backend.id(), peers, nowMillis);
     failureRateEjector.failed(backend.id(), peers, nowMillis);
   }
 }
--- a/src/main/java/org/curranthaven/internal/experiment/PolicyRun.java
+++ b/src/main/java/org/curranthaven/internal/experiment/PolicyRun.java
@@ -165,7 +165,7 @@
     for (int from = 0; from < HOSTS; from++) {
       RoutingEvent shares =
           new RoutingEvent.SharesReported(
-              "host-" + from, cores.get(from).takeShareUpdate(nowMillis + clockOffsetMillis[from]));
+              "host-" + from, cores.get(from).nextShareUpdate(nowMillis + clockOffsetMillis[from]));
       for (int to = 0; to < HOSTS; to++) {
         if (to != from) {
           handle(to, shares);
@@ -385,11 +385,13 @@
     return switch (event) {
       case RoutingEvent.Arrived arrived -> {
         RequestAttributes request = arrived.request();
-        yield new RoutingEvent.Arrived(request.arrivedAt(request.arrivedAtMillis() + offset));
+        yield new RoutingEvent.Arrived(
+            request.withArrivedAtMillis(request.arrivedAtMillis() + offset));
       }
       case RoutingEvent.BackendReported reported -> {
         BackendReport report = reported.report();
-        yield new RoutingEvent.BackendReported(report.sentAt(report.sentAtMillis() + offset));
+        yield new RoutingEvent.BackendReported(
+            report.withSentAtMillis(report.sentAtMillis() + offset));
       }
       default -> event;
     };
--- a/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
@@ -195,7 +195,7 @@
     body.put("max_tokens", facts.maxOutputTokens());
     body.put("priority", assignment.priority());
     body.put("generation_id", generation);
-    body.put("deadline_millis", Math.max(0, facts.answerDueMillis() - clock.nowMillis()));
+    body.put("deadline_millis", Math.max(0, facts.responseDueMillis() - clock.nowMillis()));
     if (relay.nextIndex() > 0) {
       body.set("resume", resume(generation).put("text", text.toString()));
     }
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
@@ -87,7 +87,7 @@
       boolean fresh)
       throws InterruptedException {
     Clock clock = context.clock();
-    long left = Math.max(MIN_ATTEMPT_MILLIS, first.answerDueMillis() - clock.nowMillis());
+    long left = Math.max(MIN_ATTEMPT_MILLIS, first.responseDueMillis() - clock.nowMillis());
     long timeout =
         serviceClass.repeatable()
             ? Math.min(left, Math.max(MIN_ATTEMPT_MILLIS, first.targets().firstReplyMillis()))
--- a/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
+++ b/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
@@ -253,7 +253,7 @@
         () -> {
           List<BackendView.Aged> aged = backends.aged(heardDirectly, clock.nowMillis());
           heardDirectly.clear();
-          return new Outgoing(aged, routing.takeShareUpdate(clock.nowMillis()));
+          return new Outgoing(aged, routing.nextShareUpdate(clock.nowMillis()));
         });
   }
 
@@ -341,7 +341,7 @@
       return 0;
     }
     int hosts = livePeers.count() + 1;
-    return call(() -> limiter.take(workspace.name(), limit, hosts, clock.nowMillis())).join();
+    return call(() -> limiter.tryAcquire(workspace.name(), limit, hosts, clock.nowMillis())).join();
   }
 
   @Override
@@ -441,7 +441,7 @@
       long revision,
       long servesForMillis,
       int queued,
-      Map<String, RoutingCore.ServerView> servers,
+      Map<String, RoutingCore.BackendLoadView> servers,
       Map<String, RoutingCore.ClassView> classes,
       List<BackendAnnouncement> backends) {}
 
@@ -456,7 +456,7 @@
               freshness.revision(),
               Math.max(0, servesUntilMillis - nowMillis),
               routing.queued(),
-              routing.serverViews(nowMillis),
+              routing.backendLoadViews(nowMillis),
               routing.classViews(),
               alive);
         });
--- a/src/main/java/org/curranthaven/internal/routing/BackendChooser.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendChooser.java
@@ -9,12 +9,12 @@
 
 /** Chooses a server for a request by a {@link Policy}. Not thread-safe. */
 final class BackendChooser {
-  private static final MemoryForecast NOTHING = new MemoryForecast();
+  private static final MemoryForecast EMPTY_FORECAST = new MemoryForecast();
 
   private final Policy policy;
   private final RandomGenerator random;
   private final HostTimeSlots timeSlots;
-  private int next;
+  private int nextRoundRobinIndex;
 
   BackendChooser(Policy policy, RandomGenerator random, HostTimeSlots turns) {
     this.policy = policy;
@@ -25,32 +25,35 @@
   /**
    * A request with what the choice needs beside it.
    *
-   * @param lengths distribution of its output length
+   * @param outputLengths distribution of its output length
    * @param headroomBlocks memory to leave free on each server for tighter classes
    */
-  record Candidate(RequestAttributes request, OutputLengths lengths, double headroomBlocks) {}
+  record ChoiceInput(
+      RequestAttributes request, OutputLengths outputLengths, double headroomBlocks) {}
 
   /**
    * A chosen server.
    *
-   * @param admissible number of servers that could have been chosen
+   * @param admissibleCount number of servers that could have been chosen
    * @param peakMemoryShare forecast peak of its memory
    */
-  record Choice(BackendServerState server, int admissible, double peakMemoryShare) {}
+  record Choice(BackendServerState backend, int admissibleCount, double peakMemoryShare) {}
 
   /** Returns the choice among {@code servers}, or null to hold the request. */
-  @Nullable Choice choose(Candidate candidate, List<BackendServerState> servers, long nowMillis) {
+  @Nullable Choice choose(ChoiceInput candidate, List<BackendServerState> servers, long nowMillis) {
     if (servers.isEmpty()) {
       return null;
     }
     return switch (policy) {
-      case Policy.RoundRobin ignored -> of(servers.get(next++ % servers.size()), servers);
+      case Policy.RoundRobin ignored ->
+          baselineChoice(servers.get(nextRoundRobinIndex++ % servers.size()), servers);
       case Policy.LeastOutstanding ignored ->
-          of(
-              Collections.min(servers, Comparator.comparingInt(BackendServerState::ownOpen)),
+          baselineChoice(
+              Collections.min(servers, Comparator.comparingInt(BackendServerState::ownOpenCount)),
               servers);
-      case Policy.LeastLoad ignored -> of(Collections.min(servers, BY_REPORTED_LOAD), servers);
-      case Policy.PowerOfTwo ignored -> of(betterOfTwo(servers), servers);
+      case Policy.LeastLoad ignored ->
+          baselineChoice(Collections.min(servers, BY_REPORTED_LOAD), servers);
+      case Policy.PowerOfTwo ignored -> baselineChoice(lessLoadedOfTwo(servers), servers);
       case Policy.Forecast forecast ->
           chooseByForecast(candidate, servers, forecast.options(), nowMillis);
     };
@@ -63,27 +66,28 @@
                       / Math.max(1, server.report().blocksTotal()))
           .thenComparingInt(server -> server.report().running() + server.report().waiting());
 
-  private static Choice of(BackendServerState server, List<BackendServerState> servers) {
+  private static Choice baselineChoice(
+      BackendServerState server, List<BackendServerState> servers) {
     return new Choice(server, servers.size(), 0);
   }
 
-  private BackendServerState betterOfTwo(List<BackendServerState> servers) {
+  private BackendServerState lessLoadedOfTwo(List<BackendServerState> servers) {
     BackendServerState first = servers.get(random.nextInt(servers.size()));
     BackendServerState second = servers.get(random.nextInt(servers.size()));
     return BY_REPORTED_LOAD.compare(first, second) <= 0 ? first : second;
   }
 
   private @Nullable Choice chooseByForecast(
-      Candidate candidate,
+      ChoiceInput candidate,
       List<BackendServerState> servers,
       ForecastOptions options,
       long nowMillis) {
     MemoryForecast added = new MemoryForecast();
     RequestAttributes request = candidate.request();
-    added.add(candidate.lengths(), request.promptTokens(), 0, request.maxOutputTokens());
-    List<Scored> admissible = new ArrayList<>();
+    added.add(candidate.outputLengths(), request.promptTokens(), 0, request.maxOutputTokens());
+    List<ScoredBackend> admissible = new ArrayList<>();
     for (BackendServerState server : servers) {
-      Scored scored = score(candidate, added, server, options, nowMillis);
+      ScoredBackend scored = score(candidate, added, server, options, nowMillis);
       if (scored != null) {
         admissible.add(scored);
       }
@@ -91,16 +95,17 @@
     if (admissible.isEmpty()) {
       return null;
     }
-    Scored best = Collections.min(sample(admissible, options), Comparator.comparing(Scored::cost));
-    return new Choice(best.server(), admissible.size(), best.peakShare());
+    ScoredBackend best =
+        Collections.min(sample(admissible, options), Comparator.comparing(ScoredBackend::cost));
+    return new Choice(best.backend(), admissible.size(), best.peakMemoryShare());
   }
 
-  private List<Scored> sample(List<Scored> admissible, ForecastOptions options) {
+  private List<ScoredBackend> sample(List<ScoredBackend> admissible, ForecastOptions options) {
     int wanted = options.sampledServers();
     if (wanted <= 0 || admissible.size() <= wanted) {
       return admissible;
     }
-    List<Scored> drawn = new ArrayList<>(wanted);
+    List<ScoredBackend> drawn = new ArrayList<>(wanted);
     for (int i = 0; i < wanted; i++) {
       int j = random.nextInt(i, admissible.size());
       Collections.swap(admissible, i, j);
@@ -109,17 +114,17 @@
     return drawn;
   }
 
-  private record Scored(BackendServerState server, double cost, double peakShare) {}
+  private record ScoredBackend(BackendServerState backend, double cost, double peakMemoryShare) {}
 
-  private @Nullable Scored score(
-      Candidate candidate,
+  private @Nullable ScoredBackend score(
+      ChoiceInput candidate,
       MemoryForecast added,
       BackendServerState server,
       ForecastOptions options,
       long nowMillis) {
     RequestAttributes request = candidate.request();
     BackendReport report = server.report();
-    int running = server.totalRunning();
+    int running = server.totalOpenCount();
     int batchLimit = batchLimit(report, options, nowMillis);
     if (running >= batchLimit) {
       return null;
@@ -129,27 +134,28 @@
     double peakShare = 0;
     if (report.blocksTotal() > 0) {
       double limit = options.memoryShare() * report.blocksTotal() - candidate.headroomBlocks();
-      if (running > 0 && server.blocksNow() + added.blocksNow() > limit) {
+      if (running > 0 && server.currentBlocks() + added.currentBlocks() > limit) {
         return null;
       }
       double peak =
-          server.forecast().peakBlocks(added, options.deviations(), server.unexplainedBlocks());
+          server.forecast().peakBlocks(added, options.deviations(), server.unattributedBlocks());
       if (running > 0 && peak > limit) {
         return null;
       }
-      roomForAll &= peak + others * added.peakBlocks(NOTHING, 0, 0) <= limit;
+      roomForAll &= peak + others * added.peakBlocks(EMPTY_FORECAST, 0, 0) <= limit;
       peakShare = peak / report.blocksTotal();
     }
-    if (!roomForAll && !timeSlots.hasTurn(report.name(), nowMillis, options.turnMillis())) {
+    if (!roomForAll && !timeSlots.ownsSlot(report.name(), nowMillis, options.turnMillis())) {
       return null;
     }
     double trust =
-        server.prefixTrust(request.prefixHash(), nowMillis, options.prefixHalfLifeMillis());
+        server.prefixCacheConfidence(
+            request.prefixHash(), nowMillis, options.prefixHalfLifeMillis());
     double batch = Math.max(1, report.maxBatch());
     double jitter = random.nextDouble() * 0.01;
     double cost =
         peakShare + running / batch - trust * options.prefixBonusRequests() / batch + jitter;
-    return new Scored(server, cost, peakShare);
+    return new ScoredBackend(server, cost, peakShare);
   }
 
   private static int batchLimit(BackendReport report, ForecastOptions options, long nowMillis) {
--- a/src/main/java/org/curranthaven/internal/routing/BackendReport.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendReport.java
@@ -32,7 +32,7 @@
   }
 
   /** Returns the same report with another time of sending. */
-  public BackendReport sentAt(long millis) {
+  public BackendReport withSentAtMillis(long millis) {
     return new BackendReport(
         name,
         dataCentre,
--- a/src/main/java/org/curranthaven/internal/routing/BackendServerState.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendServerState.java
@@ -11,12 +11,12 @@
   private static final int MAX_PREFIXES = 4_096;
 
   /** Weight of the newest gap in the running mean. */
-  private static final double GAP_WEIGHT = 0.1;
+  private static final double NEWEST_GAP_WEIGHT = 0.1;
 
-  private final Map<Long, OpenRequest> open = new LinkedHashMap<>();
-  private final Map<String, HostShare> shares = new HashMap<>();
+  private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
+  private final Map<String, HostShare> sharesByHost = new HashMap<>();
   private final MemoryForecast forecast = new MemoryForecast();
-  private final LinkedHashMap<Long, Long> prefixes =
+  private final LinkedHashMap<Long, Long> prefixSeenAtMillis =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -27,26 +27,26 @@
       };
   private BackendReport report;
   private boolean usable = true;
-  private double unexplainedBlocks;
-  private int unexplainedRunning;
-  private double gapMillis;
+  private double unattributedBlocks;
+  private int unattributedRequests;
+  private double meanTokenGapMillis;
 
   /** A request that this host has open on the server. */
   static final class OpenRequest {
     final RequestAttributes request;
-    final OutputLengths lengths;
+    final OutputLengths outputLengths;
     final long dispatchedAtMillis;
-    int produced;
+    int producedTokens;
     long lastTokenAtMillis;
 
     OpenRequest(RequestAttributes request, OutputLengths lengths, long dispatchedAtMillis) {
       this.request = request;
-      this.lengths = lengths;
+      this.outputLengths = lengths;
       this.dispatchedAtMillis = dispatchedAtMillis;
     }
 
-    int tokensNow() {
-      return request.promptTokens() + produced;
+    int currentTokens() {
+      return request.promptTokens() + producedTokens;
     }
   }
 
@@ -75,62 +75,69 @@
   }
 
   /** Takes a new report in and works out the load that no known request explains. */
-  void reported(BackendReport newReport) {
+  void updateReport(BackendReport newReport) {
     report = newReport;
     usable = true;
     double knownBlocks = 0;
     int known = 0;
-    for (OpenRequest request : open.values()) {
+    for (OpenRequest request : openRequests.values()) {
       if (request.dispatchedAtMillis <= newReport.sentAtMillis()) {
-        knownBlocks += MemoryForecast.blocksOf(request.tokensNow());
+        knownBlocks += MemoryForecast.blocksOf(request.currentTokens());
         known++;
       }
     }
-    for (HostShare share : shares.values()) {
-      knownBlocks += share.forecast().blocksNow();
+    for (HostShare share : sharesByHost.values()) {
+      knownBlocks += share.forecast().currentBlocks();
       known += share.running();
     }
-    unexplainedBlocks = Math.max(0, newReport.blocksUsed() - knownBlocks);
-    unexplainedRunning = Math.max(0, newReport.running() + newReport.waiting() - known);
+    unattributedBlocks = Math.max(0, newReport.blocksUsed() - knownBlocks);
+    unattributedRequests = Math.max(0, newReport.running() + newReport.waiting() - known);
     refreshForecast();
   }
 
   void setShare(String host, HostShare share) {
-    shares.put(host, share);
+    sharesByHost.put(host, share);
     refreshForecast();
   }
 
   void removeShare(String host) {
-    if (shares.remove(host) != null) {
+    if (sharesByHost.remove(host) != null) {
       refreshForecast();
     }
   }
 
-  void opened(OpenRequest request) {
-    open.put(request.request.id(), request);
+  void addOpenRequest(OpenRequest request) {
+    openRequests.put(request.request.id(), request);
     forecast.add(
-        request.lengths, request.tokensNow(), request.produced, request.request.maxOutputTokens());
+        request.outputLengths,
+        request.currentTokens(),
+        request.producedTokens,
+        request.request.maxOutputTokens());
   }
 
-  void progressed(long requestId, int tokens, long nowMillis) {
-    OpenRequest request = open.get(requestId);
-    if (request == null || tokens <= request.produced) {
+  void recordProgress(long requestId, int tokens, long nowMillis) {
+    OpenRequest request = openRequests.get(requestId);
+    if (request == null || tokens <= request.producedTokens) {
       return;
     }
-    if (request.produced > 0) {
-      double gap = (double) (nowMillis - request.lastTokenAtMillis) / (tokens - request.produced);
-      gapMillis = gapMillis == 0 ? gap : gapMillis + GAP_WEIGHT * (gap - gapMillis);
+    if (request.producedTokens > 0) {
+      double gap =
+          (double) (nowMillis - request.lastTokenAtMillis) / (tokens - request.producedTokens);
+      meanTokenGapMillis =
+          meanTokenGapMillis == 0
+              ? gap
+              : meanTokenGapMillis + NEWEST_GAP_WEIGHT * (gap - meanTokenGapMillis);
     }
-    request.produced = tokens;
+    request.producedTokens = tokens;
     request.lastTokenAtMillis = nowMillis;
   }
 
   @Nullable OpenRequest openRequest(long requestId) {
-    return open.get(requestId);
+    return openRequests.get(requestId);
   }
 
-  void closed(long requestId) {
-    if (open.remove(requestId) != null) {
+  void removeOpenRequest(long requestId) {
+    if (openRequests.remove(requestId) != null) {
       refreshForecast();
     }
   }
@@ -138,14 +145,14 @@
   /** Computes the forecast anew from all open requests and other hosts' shares. */
   void refreshForecast() {
     forecast.clear();
-    for (OpenRequest request : open.values()) {
+    for (OpenRequest request : openRequests.values()) {
       forecast.add(
-          request.lengths,
-          request.tokensNow(),
-          request.produced,
+          request.outputLengths,
+          request.currentTokens(),
+          request.producedTokens,
           request.request.maxOutputTokens());
     }
-    for (HostShare share : shares.values()) {
+    for (HostShare share : sharesByHost.values()) {
       forecast.add(share.forecast());
     }
   }
@@ -157,54 +164,54 @@
   /** Returns the forecast of this host's own requests only. */
   MemoryForecast ownForecast() {
     MemoryForecast own = new MemoryForecast();
-    for (OpenRequest request : open.values()) {
+    for (OpenRequest request : openRequests.values()) {
       own.add(
-          request.lengths,
-          request.tokensNow(),
-          request.produced,
+          request.outputLengths,
+          request.currentTokens(),
+          request.producedTokens,
           request.request.maxOutputTokens());
     }
     return own;
   }
 
   /** Returns the memory counted as used now, in blocks. */
-  double blocksNow() {
-    return forecast.blocksNow() + unexplainedBlocks;
+  double currentBlocks() {
+    return forecast.currentBlocks() + unattributedBlocks;
   }
 
-  double unexplainedBlocks() {
-    return unexplainedBlocks;
+  double unattributedBlocks() {
+    return unattributedBlocks;
   }
 
-  int ownOpen() {
-    return open.size();
+  int ownOpenCount() {
+    return openRequests.size();
   }
 
   /** Returns the requests counted on the server: own, other hosts' and unexplained ones. */
-  int totalRunning() {
-    int total = open.size() + unexplainedRunning;
-    for (HostShare share : shares.values()) {
+  int totalOpenCount() {
+    int total = openRequests.size() + unattributedRequests;
+    for (HostShare share : sharesByHost.values()) {
       total += share.running();
     }
     return total;
   }
 
-  double gapMillis() {
-    return gapMillis;
+  double meanTokenGapMillis() {
+    return meanTokenGapMillis;
   }
 
-  void prefixCached(long prefixHash, boolean present, long nowMillis) {
+  void recordPrefix(long prefixHash, boolean present, long nowMillis) {
     if (present) {
-      prefixes.remove(prefixHash);
-      prefixes.put(prefixHash, nowMillis);
+      prefixSeenAtMillis.remove(prefixHash);
+      prefixSeenAtMillis.put(prefixHash, nowMillis);
     } else {
-      prefixes.remove(prefixHash);
+      prefixSeenAtMillis.remove(prefixHash);
     }
   }
 
   /** Returns how far to trust that the server's cache holds the prefix, from 0 to 1. */
-  double prefixTrust(long prefixHash, long nowMillis, double halfLifeMillis) {
-    Long at = prefixHash == 0 ? null : prefixes.get(prefixHash);
+  double prefixCacheConfidence(long prefixHash, long nowMillis, double halfLifeMillis) {
+    Long at = prefixHash == 0 ? null : prefixSeenAtMillis.get(prefixHash);
     return at == null ? 0 : Math.pow(0.5, (nowMillis - at) / halfLifeMillis);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/ClassStats.java
+++ b/src/main/java/org/curranthaven/internal/routing/ClassStats.java
@@ -5,10 +5,10 @@
 /** Running figures of one class on one model. Not thread-safe. */
 final class ClassStats {
   private static final long WINDOW_MILLIS = 1_000;
-  private static final double WINDOW_WEIGHT = 0.3;
-  private static final double MISS_WEIGHT = 0.05;
+  private static final double NEWEST_WINDOW_WEIGHT = 0.3;
+  private static final double NEWEST_REQUEST_WEIGHT = 0.05;
 
-  final LengthModel lengths = new LengthModel();
+  final LengthModel outputLengths = new LengthModel();
   private Targets targets;
   private long windowStartMillis;
   private int windowArrivals;
@@ -27,29 +27,30 @@
     return targets;
   }
 
-  void arrived(RequestAttributes request) {
+  void recordArrival(RequestAttributes request) {
     targets = request.targets();
     windowArrivals++;
     meanPromptTokens =
         meanPromptTokens == 0
             ? request.promptTokens()
-            : meanPromptTokens + MISS_WEIGHT * (request.promptTokens() - meanPromptTokens);
+            : meanPromptTokens
+                + NEWEST_REQUEST_WEIGHT * (request.promptTokens() - meanPromptTokens);
   }
 
-  void dispatched(boolean late) {
+  void recordDispatch(boolean late) {
     windowDispatches++;
-    missShare += MISS_WEIGHT * ((late ? 1 : 0) - missShare);
+    missShare += NEWEST_REQUEST_WEIGHT * ((late ? 1 : 0) - missShare);
   }
 
-  void shed() {
-    missShare += MISS_WEIGHT * (1 - missShare);
+  void recordShed() {
+    missShare += NEWEST_REQUEST_WEIGHT * (1 - missShare);
   }
 
-  void advance(long nowMillis) {
+  void advanceWindow(long nowMillis) {
     while (nowMillis - windowStartMillis >= WINDOW_MILLIS) {
       windowStartMillis += WINDOW_MILLIS;
-      arrivalsPerSecond += WINDOW_WEIGHT * (windowArrivals - arrivalsPerSecond);
-      dispatchesPerSecond += WINDOW_WEIGHT * (windowDispatches - dispatchesPerSecond);
+      arrivalsPerSecond += NEWEST_WINDOW_WEIGHT * (windowArrivals - arrivalsPerSecond);
+      dispatchesPerSecond += NEWEST_WINDOW_WEIGHT * (windowDispatches - dispatchesPerSecond);
       windowArrivals = 0;
       windowDispatches = 0;
       if (nowMillis - windowStartMillis > 60 * WINDOW_MILLIS) {
@@ -72,7 +73,7 @@
   }
 
   /** Returns the memory that a typical request of the class takes by its end, in blocks. */
-  double typicalBlocks() {
-    return MemoryForecast.blocksOf((int) (meanPromptTokens + lengths.meanRemaining(0)));
+  double expectedFinalBlocks() {
+    return MemoryForecast.blocksOf((int) (meanPromptTokens + outputLengths.meanRemainingTokens(0)));
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/HostTimeSlots.java
+++ b/src/main/java/org/curranthaven/internal/routing/HostTimeSlots.java
@@ -35,7 +35,7 @@
   }
 
   /** Returns whether it is this host's turn at the server. */
-  boolean hasTurn(String server, long nowMillis, long turnMillis) {
+  boolean ownsSlot(String server, long nowMillis, long turnMillis) {
     if (turnMillis == 0 || hosts.size() == 1) {
       return true;
     }
--- a/src/main/java/org/curranthaven/internal/routing/LengthModel.java
+++ b/src/main/java/org/curranthaven/internal/routing/LengthModel.java
@@ -22,37 +22,38 @@
   /** Longest output that the model tells apart, in tokens. */
   static final int MAX_TOKENS = 65_536;
 
-  private static final int REFRESH_OUTPUTS = 16;
+  private static final int REBUILD_INTERVAL_OUTPUTS = 16;
   private static final int STEPS_PER_DOUBLING = 4;
-  private static final int TABLE_SIZE = 17 * STEPS_PER_DOUBLING + 1;
+  private static final int SURVIVAL_TABLE_SIZE = 17 * STEPS_PER_DOUBLING + 1;
 
-  private Histogram newer = new Histogram(MAX_TOKENS, 2);
-  private Histogram older = new Histogram(MAX_TOKENS, 2);
-  private final double[] survival = new double[TABLE_SIZE];
-  private int sinceRefresh;
+  private Histogram newerWindow = new Histogram(MAX_TOKENS, 2);
+  private Histogram olderWindow = new Histogram(MAX_TOKENS, 2);
+  private final double[] survivalTable = new double[SURVIVAL_TABLE_SIZE];
+  private int outputsSinceRebuild;
 
   /** Creates a model that has seen no output. */
   public LengthModel() {
-    refresh();
+    rebuildTable();
   }
 
   /** Notes the length of a complete output. */
   public void record(int tokens) {
-    newer.recordValue(Math.clamp(tokens, 1, MAX_TOKENS));
-    if (newer.getTotalCount() >= WINDOW_OUTPUTS) {
-      Histogram dropped = older;
-      older = newer;
+    newerWindow.recordValue(Math.clamp(tokens, 1, MAX_TOKENS));
+    if (newerWindow.getTotalCount() >= WINDOW_OUTPUTS) {
+      Histogram dropped = olderWindow;
+      olderWindow = newerWindow;
       dropped.reset();
-      newer = dropped;
+      newerWindow = dropped;
     }
-    if (++sinceRefresh >= REFRESH_OUTPUTS || outputs() < REFRESH_OUTPUTS) {
-      refresh();
+    if (++outputsSinceRebuild >= REBUILD_INTERVAL_OUTPUTS
+        || outputCount() < REBUILD_INTERVAL_OUTPUTS) {
+      rebuildTable();
     }
   }
 
   /** Returns the number of outputs the model rests on. */
-  public long outputs() {
-    return newer.getTotalCount() + older.getTotalCount();
+  public long outputCount() {
+    return newerWindow.getTotalCount() + olderWindow.getTotalCount();
   }
 
   @Override
@@ -60,20 +61,23 @@
     if (tokens <= 0) {
       return 1;
     }
-    double position = position(tokens);
-    int below = Math.min((int) position, TABLE_SIZE - 2);
+    double position = tablePosition(tokens);
+    int below = Math.min((int) position, SURVIVAL_TABLE_SIZE - 2);
     double fraction = Math.min(1, position - below);
-    return survival[below] + fraction * (survival[below + 1] - survival[below]);
+    return survivalTable[below] + fraction * (survivalTable[below + 1] - survivalTable[below]);
   }
 
-  private void refresh() {
-    sinceRefresh = 0;
-    double total = outputs() + PRIOR_WEIGHT;
-    for (int i = 0; i < TABLE_SIZE; i++) {
+  private void rebuildTable() {
+    outputsSinceRebuild = 0;
+    double total = outputCount() + PRIOR_WEIGHT;
+    for (int i = 0; i < SURVIVAL_TABLE_SIZE; i++) {
       int tokens = tokensAt(i);
       double prior = Math.exp(-tokens / PRIOR_MEAN_TOKENS);
-      survival[i] =
-          (countAbove(newer, tokens) + countAbove(older, tokens) + PRIOR_WEIGHT * prior + 1e-6)
+      survivalTable[i] =
+          (countAbove(newerWindow, tokens)
+                  + countAbove(olderWindow, tokens)
+                  + PRIOR_WEIGHT * prior
+                  + 1e-6)
               / (total + 1e-6);
     }
   }
@@ -88,7 +92,7 @@
     return (int) Math.round(Math.pow(2, (double) index / STEPS_PER_DOUBLING)) - 1;
   }
 
-  private static double position(int tokens) {
+  private static double tablePosition(int tokens) {
     return Math.log(tokens + 1.0) / Math.log(2) * STEPS_PER_DOUBLING;
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/MemoryForecast.java
+++ b/src/main/java/org/curranthaven/internal/routing/MemoryForecast.java
@@ -63,14 +63,14 @@
     int left = Math.max(1, maxOutputTokens - produced);
     for (int i = 0; i < HORIZON_TOKENS.length && HORIZON_TOKENS[i] < left; i++) {
       double p = i == 0 ? 1 : lengths.survival(produced + HORIZON_TOKENS[i]) / alive;
-      double blocks = blocksOf(tokensNow + Math.min(left, middleOf(i)));
+      double blocks = blocksOf(tokensNow + Math.min(left, intervalMidpoint(i)));
       meanBlocks[i] += p * blocks;
       varianceBlocks[i] += p * (1 - p) * blocks * blocks;
     }
   }
 
   /** Returns the middle of the stretch that begins at a horizon: memory grows within it. */
-  private static int middleOf(int i) {
+  private static int intervalMidpoint(int i) {
     int next = i + 1 < HORIZON_TOKENS.length ? HORIZON_TOKENS[i + 1] : HORIZON_TOKENS[i];
     return (HORIZON_TOKENS[i] + next) / 2;
   }
@@ -99,7 +99,7 @@
   }
 
   /** Returns the blocks used now. */
-  double blocksNow() {
+  double currentBlocks() {
     return meanBlocks[0];
   }
 
--- a/src/main/java/org/curranthaven/internal/routing/OutlierEjector.java
+++ b/src/main/java/org/curranthaven/internal/routing/OutlierEjector.java
@@ -10,7 +10,7 @@
  */
 public final class OutlierEjector {
   /** Failures without a success between them after which a server is ejected. */
-  static final int FAILURES_TO_EJECT = 3;
+  static final int CONSECUTIVE_FAILURES_TO_EJECT = 3;
 
   /** Largest share of servers that may be out at once. */
   static final double MAX_EJECTED_SHARE = 0.34;
@@ -21,47 +21,49 @@
   /** Longest time out, in milliseconds. */
   static final long MAX_EJECTION_MILLIS = 60_000;
 
-  private final Map<String, Tally> records = new HashMap<>();
+  private final Map<String, FailureHistory> historyByBackend = new HashMap<>();
 
-  private static final class Tally {
-    int failuresInRow;
+  private static final class FailureHistory {
+    int consecutiveFailures;
     int ejections;
     long ejectedUntilMillis;
   }
 
-  public void succeeded(String server) {
-    Tally record = records.get(server);
+  public void recordSuccess(String server) {
+    FailureHistory record = historyByBackend.get(server);
     if (record != null) {
-      record.failuresInRow = 0;
+      record.consecutiveFailures = 0;
       record.ejections = Math.max(0, record.ejections - 1);
     }
   }
 
-  public void failed(String server, Collection<String> peers, long nowMillis) {
-    Tally record = records.computeIfAbsent(server, name -> new Tally());
-    record.failuresInRow++;
+  public void recordFailure(String server, Collection<String> peers, long nowMillis) {
+    FailureHistory record = historyByBackend.computeIfAbsent(server, name -> new FailureHistory());
+    record.consecutiveFailures++;
     long ejected = peers.stream().filter(peer -> isEjected(peer, nowMillis)).count();
     boolean mayEject = (ejected + 1) <= Math.max(1, MAX_EJECTED_SHARE * peers.size());
-    if (record.failuresInRow >= FAILURES_TO_EJECT && mayEject && peers.size() > 1) {
+    if (record.consecutiveFailures >= CONSECUTIVE_FAILURES_TO_EJECT
+        && mayEject
+        && peers.size() > 1) {
       long length = FIRST_EJECTION_MILLIS << Math.min(record.ejections, 10);
       record.ejectedUntilMillis = nowMillis + Math.min(length, MAX_EJECTION_MILLIS);
       record.ejections++;
-      record.failuresInRow = 0;
+      record.consecutiveFailures = 0;
     }
   }
 
   public boolean isEjected(String server, long nowMillis) {
-    Tally record = records.get(server);
+    FailureHistory record = historyByBackend.get(server);
     return record != null && nowMillis < record.ejectedUntilMillis;
   }
 
   /** Returns when the server last came back into use; 0 when it was never out. */
-  public long returnedAtMillis(String server) {
-    Tally record = records.get(server);
+  public long lastEjectionEndMillis(String server) {
+    FailureHistory record = historyByBackend.get(server);
     return record == null ? 0 : record.ejectedUntilMillis;
   }
 
-  public void forget(String server) {
-    records.remove(server);
+  public void remove(String server) {
+    historyByBackend.remove(server);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/RequestAttributes.java
+++ b/src/main/java/org/curranthaven/internal/routing/RequestAttributes.java
@@ -54,7 +54,7 @@
   }
 
   /** Returns the same request with another time of arrival. */
-  public RequestAttributes arrivedAt(long millis) {
+  public RequestAttributes withArrivedAtMillis(long millis) {
     return new RequestAttributes(
         id,
         workspace,
@@ -74,7 +74,7 @@
   }
 
   /** Returns the time by which the whole answer is due. */
-  public long answerDueMillis() {
+  public long responseDueMillis() {
     return arrivedAtMillis + targets.answerMillis();
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/RequestQueue.java
+++ b/src/main/java/org/curranthaven/internal/routing/RequestQueue.java
@@ -14,33 +14,33 @@
  * who can still be answered in time, yet gets its turn. Not thread-safe.
  */
 final class RequestQueue {
-  private final TreeSet<Waiting> order =
-      new TreeSet<>(Comparator.comparingLong(Waiting::dueMillis).thenComparingLong(Waiting::id));
-  private final Map<Long, Waiting> byId = new HashMap<>();
+  private final TreeSet<Entry> byDueTime =
+      new TreeSet<>(Comparator.comparingLong(Entry::dueMillis).thenComparingLong(Entry::id));
+  private final Map<Long, Entry> byId = new HashMap<>();
 
   /** A request with the time at which it is due. */
-  record Waiting(RequestAttributes request, long dueMillis) {
+  record Entry(RequestAttributes request, long dueMillis) {
     long id() {
       return request.id();
     }
 
-    boolean overdue(long nowMillis) {
+    boolean isLate(long nowMillis) {
       return nowMillis > request.firstReplyDueMillis();
     }
   }
 
   void add(RequestAttributes request, long dueMillis) {
-    Waiting waiting = new Waiting(request, dueMillis);
+    Entry waiting = new Entry(request, dueMillis);
     byId.put(request.id(), waiting);
-    order.add(waiting);
+    byDueTime.add(waiting);
   }
 
   @Nullable RequestAttributes remove(long requestId) {
-    Waiting waiting = byId.remove(requestId);
+    Entry waiting = byId.remove(requestId);
     if (waiting == null) {
       return null;
     }
-    order.remove(waiting);
+    byDueTime.remove(waiting);
     return waiting.request();
   }
 
@@ -53,19 +53,19 @@
   }
 
   /** Gives requests that missed their due time the next one. */
-  void renewOverdue(long nowMillis) {
-    while (!order.isEmpty() && order.first().dueMillis() <= nowMillis) {
-      Waiting late = order.pollFirst();
+  void postponeLate(long nowMillis) {
+    while (!byDueTime.isEmpty() && byDueTime.first().dueMillis() <= nowMillis) {
+      Entry late = byDueTime.pollFirst();
       long target = late.request().targets().firstReplyMillis();
       long missed = (nowMillis - late.dueMillis()) / target + 1;
-      Waiting renewed = new Waiting(late.request(), late.dueMillis() + missed * target);
+      Entry renewed = new Entry(late.request(), late.dueMillis() + missed * target);
       byId.put(renewed.id(), renewed);
-      order.add(renewed);
+      byDueTime.add(renewed);
     }
   }
 
   /** Returns the waiting requests in order, as a copy. */
-  List<Waiting> inOrder() {
-    return new ArrayList<>(order);
+  List<Entry> inDueOrder() {
+    return new ArrayList<>(byDueTime);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/RoutingCore.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingCore.java
@@ -28,10 +28,10 @@
   public static final int MAX_QUEUED = 20_000;
 
   /** Requests of one model that may fail to find a server before the pass stops trying it. */
-  private static final int TRIES_PER_MODEL = 16;
+  private static final int MAX_FAILED_PLACEMENTS_PER_MODEL = 16;
 
   /** Largest share by which the due time of a class that misses its target is moved up. */
-  private static final double MAX_PRESSURE = 0.5;
+  private static final double MAX_DUE_TIME_REDUCTION = 0.5;
 
   /** Shortest time after which a shed caller is asked to come back, in milliseconds. */
   private static final long MIN_RETRY_AFTER_MILLIS = 500;
@@ -41,15 +41,15 @@
 
   private final Policy policy;
   private final BackendChooser chooser;
-  private final LongFunction<OutputLengths> trueLengths;
+  private final LongFunction<OutputLengths> actualLengths;
   private final RequestQueue queue = new RequestQueue();
   private final OutlierEjector ejector = new OutlierEjector();
-  private final Map<String, BackendServerState> servers = new LinkedHashMap<>();
-  private final Map<Long, BackendServerState> placements = new HashMap<>();
-  private final Map<ClassKey, ClassStats> stats = new HashMap<>();
+  private final Map<String, BackendServerState> backends = new LinkedHashMap<>();
+  private final Map<Long, BackendServerState> backendByRequestId = new HashMap<>();
+  private final Map<ClassKey, ClassStats> statsByClass = new HashMap<>();
   private final HostTimeSlots timeSlots;
   private final ShareUpdatePolicy shareUpdatePolicy = new ShareUpdatePolicy();
-  private final Map<String, Integer> serverCountByModel = new HashMap<>();
+  private final Map<String, Integer> backendCountByModel = new HashMap<>();
   private List<RoutingDecision> decisions = new ArrayList<>();
 
   private record ClassKey(String className, String model) {}
@@ -65,25 +65,26 @@
     this.policy = policy;
     this.timeSlots = new HostTimeSlots(host);
     this.chooser = new BackendChooser(policy, random, timeSlots);
-    this.trueLengths = trueLengths;
+    this.actualLengths = trueLengths;
   }
 
   /** Handles one event and returns what to do, in order. */
   public List<RoutingDecision> handle(RoutingEvent event, long nowMillis) {
     decisions = new ArrayList<>();
     switch (event) {
-      case RoutingEvent.Arrived arrival -> arrived(arrival.request(), nowMillis);
+      case RoutingEvent.Arrived arrival -> handleArrival(arrival.request(), nowMillis);
       case RoutingEvent.Abandoned abandoned -> queue.remove(abandoned.requestId());
       case RoutingEvent.Progressed progress ->
-          progressed(progress.requestId(), progress.tokens(), nowMillis);
-      case RoutingEvent.Finished end -> finished(end, nowMillis);
-      case RoutingEvent.BackendReported reported -> reported(reported.report(), nowMillis);
-      case RoutingEvent.BackendRemoved gone -> serverGone(gone.server());
+          handleProgress(progress.requestId(), progress.tokens(), nowMillis);
+      case RoutingEvent.Finished end -> handleFinish(end, nowMillis);
+      case RoutingEvent.BackendReported reported ->
+          handleBackendReport(reported.report(), nowMillis);
+      case RoutingEvent.BackendRemoved gone -> handleBackendRemoved(gone.server());
       case RoutingEvent.SharesReported reported ->
-          sharesReported(reported.host(), reported.update());
-      case RoutingEvent.HostRemoved gone -> hostGone(gone.host());
-      case RoutingEvent.PrefixCached cached -> prefixCached(cached, nowMillis);
-      case RoutingEvent.Tick ignored -> tick(nowMillis);
+          handleSharesReported(reported.host(), reported.update());
+      case RoutingEvent.HostRemoved gone -> handleHostRemoved(gone.host());
+      case RoutingEvent.PrefixCached cached -> handlePrefixCached(cached, nowMillis);
+      case RoutingEvent.Tick ignored -> handleTick(nowMillis);
     }
     return decisions;
   }
@@ -94,32 +95,32 @@
   }
 
   /** Returns what to tell the other hosts now of what this host has open on each server. */
-  public ShareUpdate takeShareUpdate(long nowMillis) {
-    return shareUpdatePolicy.take(ownShares(), nowMillis);
+  public ShareUpdate nextShareUpdate(long nowMillis) {
+    return shareUpdatePolicy.nextUpdate(ownShares(), nowMillis);
   }
 
   private List<HostShare> ownShares() {
-    return servers.values().stream()
-        .filter(server -> server.ownOpen() > 0)
-        .map(server -> new HostShare(server.name(), server.ownOpen(), server.ownForecast()))
+    return backends.values().stream()
+        .filter(server -> server.ownOpenCount() > 0)
+        .map(server -> new HostShare(server.name(), server.ownOpenCount(), server.ownForecast()))
         .toList();
   }
 
   /** Returns figures of each server for the state dump, by name. */
-  public Map<String, ServerView> serverViews(long nowMillis) {
-    Map<String, ServerView> views = new TreeMap<>();
-    for (BackendServerState server : servers.values()) {
+  public Map<String, BackendLoadView> backendLoadViews(long nowMillis) {
+    Map<String, BackendLoadView> views = new TreeMap<>();
+    for (BackendServerState server : backends.values()) {
       views.put(
           server.name(),
-          new ServerView(
+          new BackendLoadView(
               server.usable(),
               ejector.isEjected(server.name(), nowMillis),
-              server.ownOpen(),
-              server.totalRunning(),
+              server.ownOpenCount(),
+              server.totalOpenCount(),
               server.report().blocksTotal(),
               server.report().blocksUsed(),
-              server.forecast().peakBlocks(new MemoryForecast(), 2, server.unexplainedBlocks()),
-              server.gapMillis(),
+              server.forecast().peakBlocks(new MemoryForecast(), 2, server.unattributedBlocks()),
+              server.meanTokenGapMillis(),
               nowMillis - server.report().sentAtMillis()));
     }
     return views;
@@ -128,7 +129,7 @@
   /** Returns figures of each class and model for the state dump. */
   public Map<String, ClassView> classViews() {
     Map<String, ClassView> views = new TreeMap<>();
-    stats.forEach(
+    statsByClass.forEach(
         (key, value) ->
             views.put(
                 key.className() + "/" + key.model(),
@@ -136,13 +137,13 @@
                     value.arrivalsPerSecond(),
                     value.dispatchesPerSecond(),
                     value.missShare(),
-                    value.lengths.meanRemaining(0),
-                    value.lengths.outputs())));
+                    value.outputLengths.meanRemainingTokens(0),
+                    value.outputLengths.outputCount())));
     return views;
   }
 
   /** Figures of one server as the core sees it; blocks are memory blocks. */
-  public record ServerView(
+  public record BackendLoadView(
       boolean usable,
       boolean ejected,
       int ownOpen,
@@ -163,44 +164,45 @@
 
   // ---- events -----------------------------------------------------------------------------------
 
-  private void arrived(RequestAttributes request, long nowMillis) {
+  private void handleArrival(RequestAttributes request, long nowMillis) {
     ClassStats classStats = statsOf(request, nowMillis);
-    classStats.advance(nowMillis);
-    classStats.arrived(request);
+    classStats.advanceWindow(nowMillis);
+    classStats.recordArrival(request);
     if (queue.size() >= MAX_QUEUED) {
       shed(request, RoutingDecision.ShedReason.QUEUE_FULL, nowMillis);
       return;
     }
-    double pressure = MAX_PRESSURE * classStats.missShare();
+    double pressure = MAX_DUE_TIME_REDUCTION * classStats.missShare();
     long target = (long) (request.targets().firstReplyMillis() * (1 - pressure));
     queue.add(request, request.arrivedAtMillis() + Math.max(1, target));
     // What waits already found no server, and nothing else has changed since.
-    tryDispatch(request, servers.values(), nowMillis);
+    tryDispatch(request, backends.values(), nowMillis);
   }
 
-  private void progressed(long id, int tokens, long nowMillis) {
-    BackendServerState server = placements.get(id);
+  private void handleProgress(long id, int tokens, long nowMillis) {
+    BackendServerState server = backendByRequestId.get(id);
     if (server != null) {
-      server.progressed(id, tokens, nowMillis);
+      server.recordProgress(id, tokens, nowMillis);
     }
   }
 
-  private void finished(RoutingEvent.Finished end, long nowMillis) {
+  private void handleFinish(RoutingEvent.Finished end, long nowMillis) {
     long id = end.requestId();
-    BackendServerState server = placements.remove(id);
+    BackendServerState server = backendByRequestId.remove(id);
     if (server == null) {
       return;
     }
     BackendServerState.OpenRequest open = server.openRequest(id);
-    server.closed(id);
+    server.removeOpenRequest(id);
     switch (end.ending()) {
       case COMPLETED -> {
-        ejector.succeeded(server.name());
+        ejector.recordSuccess(server.name());
         if (open != null) {
-          statsOf(open.request, nowMillis).lengths.record(end.tokens());
+          statsOf(open.request, nowMillis).outputLengths.record(end.tokens());
         }
       }
-      case FAILED, REFUSED -> ejector.failed(server.name(), peersOf(server, open), nowMillis);
+      case FAILED, REFUSED ->
+          ejector.recordFailure(server.name(), peersOf(server, open), nowMillis);
       case CANCELLED -> {}
     }
     dispatchQueue(List.of(server), nowMillis);
@@ -212,45 +214,45 @@
         open == null
             ? server.report().models().stream().findFirst().orElse("")
             : open.request.model();
-    return servers.values().stream()
+    return backends.values().stream()
         .filter(other -> other.serves(model))
         .map(BackendServerState::name)
         .toList();
   }
 
-  private void reported(BackendReport report, long nowMillis) {
-    BackendServerState server = servers.get(report.name());
+  private void handleBackendReport(BackendReport report, long nowMillis) {
+    BackendServerState server = backends.get(report.name());
     boolean known =
         server != null && server.usable() && server.report().models().equals(report.models());
     if (server == null) {
       server = new BackendServerState(report);
-      servers.put(report.name(), server);
+      backends.put(report.name(), server);
     }
-    server.reported(report);
+    server.updateReport(report);
     if (!known) {
-      countServers();
+      recountBackends();
     }
     dispatchQueue(List.of(server), nowMillis);
   }
 
-  private void serverGone(String name) {
-    BackendServerState server = servers.get(name);
+  private void handleBackendRemoved(String name) {
+    BackendServerState server = backends.get(name);
     if (server == null) {
       return;
     }
     server.setUsable(false);
-    countServers();
-    if (server.ownOpen() == 0) {
-      servers.remove(name);
-      ejector.forget(name);
+    recountBackends();
+    if (server.ownOpenCount() == 0) {
+      backends.remove(name);
+      ejector.remove(name);
     }
   }
 
-  private void sharesReported(String host, ShareUpdate update) {
+  private void handleSharesReported(String host, ShareUpdate update) {
     timeSlots.add(host);
     Map<String, HostShare> byServer = new HashMap<>();
     update.shares().forEach(share -> byServer.put(share.server(), share));
-    for (BackendServerState server : servers.values()) {
+    for (BackendServerState server : backends.values()) {
       HostShare share = byServer.get(server.name());
       if (share == null && !update.full()) {
         continue;
@@ -263,25 +265,25 @@
     }
   }
 
-  private void hostGone(String host) {
+  private void handleHostRemoved(String host) {
     timeSlots.remove(host);
-    servers.values().forEach(server -> server.removeShare(host));
+    backends.values().forEach(server -> server.removeShare(host));
   }
 
-  private void prefixCached(RoutingEvent.PrefixCached cached, long nowMillis) {
-    BackendServerState server = servers.get(cached.server());
+  private void handlePrefixCached(RoutingEvent.PrefixCached cached, long nowMillis) {
+    BackendServerState server = backends.get(cached.server());
     if (server != null) {
-      server.prefixCached(cached.prefixHash(), cached.present(), nowMillis);
+      server.recordPrefix(cached.prefixHash(), cached.present(), nowMillis);
     }
   }
 
-  private void tick(long nowMillis) {
-    stats.values().forEach(classStats -> classStats.advance(nowMillis));
-    servers.values().forEach(BackendServerState::refreshForecast);
-    servers.values().removeIf(server -> !server.usable() && server.ownOpen() == 0);
-    queue.renewOverdue(nowMillis);
-    shedHopeless(nowMillis);
-    dispatchQueue(servers.values(), nowMillis);
+  private void handleTick(long nowMillis) {
+    statsByClass.values().forEach(classStats -> classStats.advanceWindow(nowMillis));
+    backends.values().forEach(BackendServerState::refreshForecast);
+    backends.values().removeIf(server -> !server.usable() && server.ownOpenCount() == 0);
+    queue.postponeLate(nowMillis);
+    shedUnservable(nowMillis);
+    dispatchQueue(backends.values(), nowMillis);
   }
 
   // ---- decisions --------------------------------------------------------------------------------
@@ -290,16 +292,17 @@
   private void dispatchQueue(Collection<BackendServerState> changed, long nowMillis) {
     Map<String, Integer> failedTries = new HashMap<>();
     Map<String, Long> reserved = new HashMap<>();
-    for (RequestQueue.Waiting waiting : queue.inOrder()) {
+    for (RequestQueue.Entry waiting : queue.inDueOrder()) {
       RequestAttributes request = waiting.request();
       int tries = failedTries.getOrDefault(request.model(), 0);
       long limit = reserved.getOrDefault(request.model(), Long.MAX_VALUE);
-      if (tries >= TRIES_PER_MODEL || request.targets().firstReplyMillis() >= limit) {
+      if (tries >= MAX_FAILED_PLACEMENTS_PER_MODEL
+          || request.targets().firstReplyMillis() >= limit) {
         continue;
       }
       if (!tryDispatch(request, changed, nowMillis)) {
         failedTries.merge(request.model(), 1, Integer::sum);
-        if (waiting.overdue(nowMillis)) {
+        if (waiting.isLate(nowMillis)) {
           reserved.merge(request.model(), request.targets().firstReplyMillis(), Math::min);
         }
       }
@@ -308,21 +311,21 @@
 
   private boolean tryDispatch(
       RequestAttributes request, Collection<BackendServerState> among, long nowMillis) {
-    List<BackendServerState> able = ableServers(request, among, nowMillis);
+    List<BackendServerState> able = eligibleBackends(request, among, nowMillis);
     OutputLengths lengths = lengthsOf(request, nowMillis);
-    BackendChooser.Candidate candidate =
-        new BackendChooser.Candidate(request, lengths, headroomBlocks(request));
+    BackendChooser.ChoiceInput candidate =
+        new BackendChooser.ChoiceInput(request, lengths, headroomBlocks(request));
     BackendChooser.Choice choice = chooser.choose(candidate, able, nowMillis);
     if (choice == null) {
       return false;
     }
-    BackendServerState server = choice.server();
-    int running = server.totalRunning();
+    BackendServerState server = choice.backend();
+    int running = server.totalOpenCount();
     queue.remove(request.id());
-    placements.put(request.id(), server);
-    server.opened(new BackendServerState.OpenRequest(request, lengths, nowMillis));
+    backendByRequestId.put(request.id(), server);
+    server.addOpenRequest(new BackendServerState.OpenRequest(request, lengths, nowMillis));
     long slack = request.firstReplyDueMillis() - nowMillis;
-    statsOf(request, nowMillis).dispatched(slack < 0);
+    statsOf(request, nowMillis).recordDispatch(slack < 0);
     decisions.add(
         new RoutingDecision.Dispatch(
             request.id(),
@@ -330,7 +333,7 @@
             priorityOf(request),
             new RoutingDecision.DispatchReason(
                 policy.policyName(),
-                choice.admissible(),
+                choice.admissibleCount(),
                 slack,
                 queue.size(),
                 choice.peakMemoryShare(),
@@ -338,7 +341,7 @@
     return true;
   }
 
-  private List<BackendServerState> ableServers(
+  private List<BackendServerState> eligibleBackends(
       RequestAttributes request, Collection<BackendServerState> among, long nowMillis) {
     List<BackendServerState> able = new ArrayList<>();
     List<BackendServerState> excluded = new ArrayList<>();
@@ -353,7 +356,7 @@
       }
     }
     // A pass over a part of the servers says nothing of the rest.
-    boolean allTried = among.size() == servers.size();
+    boolean allTried = among.size() == backends.size();
     return able.isEmpty() && allTried ? excluded : able;
   }
 
@@ -361,7 +364,7 @@
   private int priorityOf(RequestAttributes request) {
     long own = request.targets().firstReplyMillis();
     return (int)
-        stats.values().stream()
+        statsByClass.values().stream()
             .mapToLong(other -> other.targets().firstReplyMillis())
             .filter(target -> target < own)
             .distinct()
@@ -370,68 +373,68 @@
 
   /** Returns the memory to leave free on each server for the next arrivals of tighter classes. */
   private double headroomBlocks(RequestAttributes request) {
-    int serverCount = serverCountByModel.getOrDefault(request.model(), 0);
+    int serverCount = backendCountByModel.getOrDefault(request.model(), 0);
     if (!(policy instanceof Policy.Forecast forecast) || serverCount == 0) {
       return 0;
     }
     ForecastOptions options = forecast.options();
     double blocks = 0;
-    for (Map.Entry<ClassKey, ClassStats> entry : stats.entrySet()) {
+    for (Map.Entry<ClassKey, ClassStats> entry : statsByClass.entrySet()) {
       ClassStats other = entry.getValue();
       boolean tighter =
           other.targets().firstReplyMillis() < request.targets().firstReplyMillis()
               && entry.getKey().model().equals(request.model());
       if (tighter) {
         double arrivals = other.arrivalsPerSecond() * options.headroomMillis() / 1_000;
-        blocks += arrivals * timeSlots.count() * other.typicalBlocks();
+        blocks += arrivals * timeSlots.count() * other.expectedFinalBlocks();
       }
     }
     return blocks / serverCount;
   }
 
-  private void shedHopeless(long nowMillis) {
+  private void shedUnservable(long nowMillis) {
     if (!(policy instanceof Policy.Forecast forecast) || !forecast.options().shedding()) {
       return;
     }
-    for (RequestQueue.Waiting waiting : queue.inOrder()) {
+    for (RequestQueue.Entry waiting : queue.inDueOrder()) {
       RequestAttributes request = waiting.request();
-      if (!isServed(request.model()) && waiting.overdue(nowMillis)) {
+      if (!isServed(request.model()) && waiting.isLate(nowMillis)) {
         queue.remove(request.id());
         shed(request, RoutingDecision.ShedReason.NO_SERVER, nowMillis);
-      } else if (cannotFinish(request, nowMillis)) {
+      } else if (cannotMeetResponseTarget(request, nowMillis)) {
         queue.remove(request.id());
         shed(request, RoutingDecision.ShedReason.TARGET_UNREACHABLE, nowMillis);
       }
     }
   }
 
-  private void countServers() {
-    serverCountByModel.clear();
-    for (BackendServerState server : servers.values()) {
+  private void recountBackends() {
+    backendCountByModel.clear();
+    for (BackendServerState server : backends.values()) {
       if (server.usable()) {
-        server.report().models().forEach(m -> serverCountByModel.merge(m, 1, Integer::sum));
+        server.report().models().forEach(m -> backendCountByModel.merge(m, 1, Integer::sum));
       }
     }
   }
 
   private boolean isServed(String model) {
-    return serverCountByModel.containsKey(model);
+    return backendCountByModel.containsKey(model);
   }
 
   /** Returns whether an answer of ordinary length cannot be whole in time any more. */
-  private boolean cannotFinish(RequestAttributes request, long nowMillis) {
+  private boolean cannotMeetResponseTarget(RequestAttributes request, long nowMillis) {
     double target = request.targets().gapMillis();
-    double gap = Math.min(medianGapMillis(request.model()), target);
-    double run = lengthsOf(request, nowMillis).meanRemaining(0) * gap;
+    double gap = Math.min(medianTokenGapMillis(request.model()), target);
+    double run = lengthsOf(request, nowMillis).meanRemainingTokens(0) * gap;
     double shortestRun = Math.min(run, 0.5 * request.targets().answerMillis());
-    return nowMillis + shortestRun > request.answerDueMillis();
+    return nowMillis + shortestRun > request.responseDueMillis();
   }
 
-  private double medianGapMillis(String model) {
+  private double medianTokenGapMillis(String model) {
     double[] gaps =
-        servers.values().stream()
-            .filter(server -> server.serves(model) && server.gapMillis() > 0)
-            .mapToDouble(BackendServerState::gapMillis)
+        backends.values().stream()
+            .filter(server -> server.serves(model) && server.meanTokenGapMillis() > 0)
+            .mapToDouble(BackendServerState::meanTokenGapMillis)
             .sorted()
             .toArray();
     return gaps.length == 0 ? 0 : gaps[gaps.length / 2];
@@ -439,7 +442,7 @@
 
   private void shed(RequestAttributes request, RoutingDecision.ShedReason reason, long nowMillis) {
     ClassStats classStats = statsOf(request, nowMillis);
-    classStats.shed();
+    classStats.recordShed();
     double rate = Math.max(0.2, classStats.dispatchesPerSecond());
     long retryAfter =
         Math.clamp(
@@ -448,13 +451,13 @@
   }
 
   private ClassStats statsOf(RequestAttributes request, long nowMillis) {
-    return stats.computeIfAbsent(
+    return statsByClass.computeIfAbsent(
         new ClassKey(request.className(), request.model()),
         key -> new ClassStats(request.targets(), nowMillis));
   }
 
   private OutputLengths lengthsOf(RequestAttributes request, long nowMillis) {
     boolean oracle = policy instanceof Policy.Forecast forecast && forecast.options().oracle();
-    return oracle ? trueLengths.apply(request.id()) : statsOf(request, nowMillis).lengths;
+    return oracle ? actualLengths.apply(request.id()) : statsOf(request, nowMillis).outputLengths;
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/ShareUpdatePolicy.java
+++ b/src/main/java/org/curranthaven/internal/routing/ShareUpdatePolicy.java
@@ -11,31 +11,31 @@
  */
 final class ShareUpdatePolicy {
   /** Time between two tellings of all shares, in milliseconds. */
-  static final long FULL_MILLIS = 1_000;
+  static final long FULL_UPDATE_INTERVAL_MILLIS = 1_000;
 
-  private final Map<String, Integer> told = new HashMap<>();
-  private long nextFullMillis = Long.MIN_VALUE;
+  private final Map<String, Integer> sentRunningCounts = new HashMap<>();
+  private long nextFullUpdateMillis = Long.MIN_VALUE;
 
   /** Returns what to tell now, given all shares in force. */
-  ShareUpdate take(List<HostShare> shares, long nowMillis) {
-    if (nowMillis >= nextFullMillis) {
-      nextFullMillis = nowMillis + FULL_MILLIS;
-      told.clear();
-      shares.forEach(share -> told.put(share.server(), share.running()));
+  ShareUpdate nextUpdate(List<HostShare> shares, long nowMillis) {
+    if (nowMillis >= nextFullUpdateMillis) {
+      nextFullUpdateMillis = nowMillis + FULL_UPDATE_INTERVAL_MILLIS;
+      sentRunningCounts.clear();
+      shares.forEach(share -> sentRunningCounts.put(share.server(), share.running()));
       return new ShareUpdate(true, shares);
     }
     List<HostShare> changed = new ArrayList<>();
-    Map<String, Integer> before = new HashMap<>(told);
+    Map<String, Integer> before = new HashMap<>(sentRunningCounts);
     for (HostShare share : shares) {
       Integer known = before.remove(share.server());
       if (known == null || known != share.running()) {
         changed.add(share);
-        told.put(share.server(), share.running());
+        sentRunningCounts.put(share.server(), share.running());
       }
     }
     for (String server : before.keySet()) {
       changed.add(new HostShare(server, 0, new MemoryForecast()));
-      told.remove(server);
+      sentRunningCounts.remove(server);
     }
     return new ShareUpdate(false, changed);
   }
--- a/src/main/java/org/curranthaven/internal/routing/WorkspaceLimiter.java
+++ b/src/main/java/org/curranthaven/internal/routing/WorkspaceLimiter.java
@@ -20,11 +20,11 @@
   private final Map<String, Bucket> buckets = new HashMap<>();
 
   private static final class Bucket {
-    double saved = 1;
-    long filledAtMillis;
+    double tokens = 1;
+    long refilledAtMillis;
 
     Bucket(long nowMillis) {
-      this.filledAtMillis = nowMillis;
+      this.refilledAtMillis = nowMillis;
     }
   }
 
@@ -35,20 +35,20 @@
    * @param hosts number of hosts, this one included
    * @return 0 if the request is allowed, else the time to wait, in milliseconds
    */
-  public long take(String workspace, double requestsPerSecond, int hosts, long nowMillis) {
+  public long tryAcquire(String workspace, double requestsPerSecond, int hosts, long nowMillis) {
     if (requestsPerSecond <= 0) {
       return 0;
     }
     double perMillis = requestsPerSecond / Math.max(1, hosts) / MILLIS_PER_SECOND;
     Bucket bucket = buckets.computeIfAbsent(workspace, name -> new Bucket(nowMillis));
     double most = Math.max(1, perMillis * BURST_MILLIS);
-    double filled = bucket.saved + perMillis * (nowMillis - bucket.filledAtMillis);
-    bucket.saved = Math.min(most, filled);
-    bucket.filledAtMillis = nowMillis;
-    if (bucket.saved >= 1) {
-      bucket.saved--;
+    double filled = bucket.tokens + perMillis * (nowMillis - bucket.refilledAtMillis);
+    bucket.tokens = Math.min(most, filled);
+    bucket.refilledAtMillis = nowMillis;
+    if (bucket.tokens >= 1) {
+      bucket.tokens--;
       return 0;
     }
-    return (long) Math.ceil((1 - bucket.saved) / perMillis);
+    return (long) Math.ceil((1 - bucket.tokens) / perMillis);
   }
 }
--- a/src/test/java/org/curranthaven/internal/routing/LengthModelTest.java
+++ b/src/test/java/org/curranthaven/internal/routing/LengthModelTest.java
@@ -9,7 +9,7 @@
 class LengthModelTest {
   @Test
   void before_any_output_the_prior_mean_is_assumed() {
-    assertThat(new LengthModel().meanRemaining(0))
+    assertThat(new LengthModel().meanRemainingTokens(0))
         .isCloseTo(LengthModel.PRIOR_MEAN_TOKENS, within(40.0));
   }
 
@@ -22,8 +22,8 @@
     }
 
     assertThat(model.survival(20)).isCloseTo(0.5, within(0.05));
-    assertThat(model.meanRemaining(20)).isCloseTo(980, within(120.0));
-    assertThat(model.meanRemaining(0)).isCloseTo(505, within(80.0));
+    assertThat(model.meanRemainingTokens(20)).isCloseTo(980, within(120.0));
+    assertThat(model.meanRemainingTokens(0)).isCloseTo(505, within(80.0));
   }
 
   @Test
--- a/src/test/java/org/curranthaven/internal/routing/RoutingCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/routing/RoutingCoreTest.java
@@ -9,18 +9,19 @@
 import org.junit.jupiter.api.Test;
 
 class RoutingCoreTest {
-  private static final Targets DOOR = new Targets(400, 100, 5_000);
-  private static final Targets DRAFT = new Targets(4_000, 200, 600_000);
+  private static final Targets INTERACTIVE = new Targets(400, 100, 5_000);
+  private static final Targets BATCH = new Targets(4_000, 200, 600_000);
 
   private final RoutingCore core =
       new RoutingCore(
           "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(1));
 
-  static BackendReport server(String name, int blocks, int used, long nowMillis) {
-    return server(name, blocks, used, 0, nowMillis);
+  static BackendReport backendReport(String name, int blocks, int used, long nowMillis) {
+    return backendReport(name, blocks, used, 0, nowMillis);
   }
 
-  static BackendReport server(String name, int blocks, int used, int running, long nowMillis) {
+  static BackendReport backendReport(
+      String name, int blocks, int used, int running, long nowMillis) {
     return new BackendReport(
         name, "a", Set.of("story"), blocks, used, running, 0, 64, nowMillis, Long.MIN_VALUE / 2);
   }
@@ -37,18 +38,19 @@
         .toList();
   }
 
-  private List<RoutingDecision> arrive(long id, String className, Targets targets, long now) {
+  private List<RoutingDecision> handleArrival(
+      long id, String className, Targets targets, long now) {
     return core.handle(new RoutingEvent.Arrived(request(id, className, targets, now)), now);
   }
 
   @Test
   void a_request_goes_to_a_server_with_room() {
-    core.handle(new RoutingEvent.BackendReported(server("s1", 1_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(backendReport("s1", 1_000, 0, 0)), 0);
 
-    assertThat(dispatched(arrive(1, "draft", DRAFT, 0))).containsExactly(1L);
+    assertThat(dispatched(handleArrival(1, "draft", BATCH, 0))).containsExactly(1L);
   }
 
-  private int takenWhenReadySince(long loadedAtMillis, long nowMillis) {
+  private int dispatchedWhenReadySince(long loadedAtMillis, long nowMillis) {
     core.handle(
         new RoutingEvent.BackendReported(
             new BackendReport(
@@ -56,27 +58,27 @@
         nowMillis);
     int taken = 0;
     for (int id = 1; id <= 80; id++) {
-      taken += dispatched(arrive(id, "door", DOOR, nowMillis)).size();
+      taken += dispatched(handleArrival(id, "door", INTERACTIVE, nowMillis)).size();
     }
     return taken;
   }
 
   @Test
   void a_server_that_has_long_been_ready_takes_its_whole_batch() {
-    assertThat(takenWhenReadySince(Long.MIN_VALUE, 10_000)).isEqualTo(50);
+    assertThat(dispatchedWhenReadySince(Long.MIN_VALUE, 10_000)).isEqualTo(50);
   }
 
   @Test
   void a_server_that_has_just_become_ready_is_filled_gently() {
-    assertThat(takenWhenReadySince(9_000, 10_000)).isEqualTo(25);
+    assertThat(dispatchedWhenReadySince(9_000, 10_000)).isEqualTo(25);
   }
 
   @Test
   void a_request_is_held_rather_than_fill_the_memory_of_a_server_that_runs_others() {
-    core.handle(new RoutingEvent.BackendReported(server("s1", 30, 0, 0)), 0);
-    assertThat(dispatched(arrive(1, "draft", DRAFT, 0))).containsExactly(1L);
+    core.handle(new RoutingEvent.BackendReported(backendReport("s1", 30, 0, 0)), 0);
+    assertThat(dispatched(handleArrival(1, "draft", BATCH, 0))).containsExactly(1L);
 
-    assertThat(dispatched(arrive(2, "draft", DRAFT, 0))).isEmpty();
+    assertThat(dispatched(handleArrival(2, "draft", BATCH, 0))).isEmpty();
     assertThat(core.queued()).isEqualTo(1);
 
     List<RoutingDecision> decisions =
@@ -87,31 +89,31 @@
 
   @Test
   void the_class_with_the_least_time_left_goes_first() {
-    arrive(1, "draft", DRAFT, 0);
-    arrive(2, "door", DOOR, 10);
+    handleArrival(1, "draft", BATCH, 0);
+    handleArrival(2, "door", INTERACTIVE, 10);
 
     List<RoutingDecision> decisions =
-        core.handle(new RoutingEvent.BackendReported(server("s1", 5_000, 0, 20)), 20);
+        core.handle(new RoutingEvent.BackendReported(backendReport("s1", 5_000, 0, 20)), 20);
 
     assertThat(dispatched(decisions)).containsExactly(2L, 1L);
   }
 
   @Test
   void a_late_draft_does_not_go_before_a_guest_who_can_still_be_answered_in_time() {
-    core.handle(new RoutingEvent.BackendReported(server("s1", 5_000, 5_000, 1, 0)), 0);
-    arrive(1, "draft", DRAFT, 0);
+    core.handle(new RoutingEvent.BackendReported(backendReport("s1", 5_000, 5_000, 1, 0)), 0);
+    handleArrival(1, "draft", BATCH, 0);
     core.handle(new RoutingEvent.Tick(), 4_500);
-    arrive(2, "door", DOOR, 4_500);
+    handleArrival(2, "door", INTERACTIVE, 4_500);
 
     List<RoutingDecision> decisions =
-        core.handle(new RoutingEvent.BackendReported(server("s1", 5_000, 0, 4_510)), 4_510);
+        core.handle(new RoutingEvent.BackendReported(backendReport("s1", 5_000, 0, 4_510)), 4_510);
 
     assertThat(dispatched(decisions)).containsExactly(2L, 1L);
   }
 
   @Test
   void a_request_that_no_server_serves_is_given_up_with_a_time_to_come_back() {
-    arrive(1, "door", DOOR, 0);
+    handleArrival(1, "door", INTERACTIVE, 0);
     assertThat(core.handle(new RoutingEvent.Tick(), 300)).isEmpty();
 
     List<RoutingDecision> decisions = core.handle(new RoutingEvent.Tick(), 500);
@@ -128,43 +130,43 @@
 
   @Test
   void a_report_of_an_excluded_server_does_not_bring_a_request_back_to_it() {
-    core.handle(new RoutingEvent.BackendReported(server("lost", 5_000, 0, 0)), 0);
-    core.handle(new RoutingEvent.BackendReported(server("full", 5_000, 5_000, 1, 0)), 0);
-    RequestAttributes again = request(1, "door", DOOR, 0).attempt(1, 0, Set.of("lost"));
+    core.handle(new RoutingEvent.BackendReported(backendReport("lost", 5_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(backendReport("full", 5_000, 5_000, 1, 0)), 0);
+    RequestAttributes again = request(1, "door", INTERACTIVE, 0).attempt(1, 0, Set.of("lost"));
     core.handle(new RoutingEvent.Arrived(again), 0);
 
     List<RoutingDecision> decisions =
-        core.handle(new RoutingEvent.BackendReported(server("lost", 5_000, 0, 10)), 10);
+        core.handle(new RoutingEvent.BackendReported(backendReport("lost", 5_000, 0, 10)), 10);
 
     assertThat(dispatched(decisions)).isEmpty();
   }
 
   @Test
   void a_server_that_has_gone_gets_nothing() {
-    core.handle(new RoutingEvent.BackendReported(server("s1", 5_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(backendReport("s1", 5_000, 0, 0)), 0);
     core.handle(new RoutingEvent.BackendRemoved("s1"), 10);
 
-    assertThat(dispatched(arrive(1, "door", DOOR, 20))).isEmpty();
+    assertThat(dispatched(handleArrival(1, "door", INTERACTIVE, 20))).isEmpty();
   }
 
   @Test
   void a_server_that_keeps_failing_is_left_out_while_its_peers_are_sound() {
-    core.handle(new RoutingEvent.BackendReported(server("bad", 5_000, 0, 0)), 0);
-    for (int id = 1; id <= OutlierEjector.FAILURES_TO_EJECT; id++) {
-      arrive(id, "door", DOOR, 0);
-      core.handle(new RoutingEvent.BackendReported(server("good", 5_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(backendReport("bad", 5_000, 0, 0)), 0);
+    for (int id = 1; id <= OutlierEjector.CONSECUTIVE_FAILURES_TO_EJECT; id++) {
+      handleArrival(id, "door", INTERACTIVE, 0);
+      core.handle(new RoutingEvent.BackendReported(backendReport("good", 5_000, 0, 0)), 0);
       core.handle(new RoutingEvent.Finished(id, 0, RoutingEvent.RequestOutcome.FAILED), 0);
       core.handle(new RoutingEvent.BackendRemoved("good"), 0);
     }
-    core.handle(new RoutingEvent.BackendReported(server("good", 5_000, 4_000, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(backendReport("good", 5_000, 4_000, 0)), 0);
 
-    assertThat(serverOf(arrive(9, "door", DOOR, 10))).isEqualTo("good");
+    assertThat(chosenBackend(handleArrival(9, "door", INTERACTIVE, 10))).isEqualTo("good");
   }
 
   @Test
   void what_other_hosts_have_open_counts_against_a_servers_memory() {
-    core.handle(new RoutingEvent.BackendReported(server("s1", 1_000, 0, 0)), 0);
-    core.handle(new RoutingEvent.BackendReported(server("s2", 1_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(backendReport("s1", 1_000, 0, 0)), 0);
+    core.handle(new RoutingEvent.BackendReported(backendReport("s2", 1_000, 0, 0)), 0);
     double[] means = new double[MemoryForecast.HORIZON_TOKENS.length];
     java.util.Arrays.fill(means, 900);
     HostShare share = new HostShare("s1", 20, MemoryForecast.of(means, new double[means.length]));
@@ -172,11 +174,11 @@
         new RoutingEvent.SharesReported("host-2", new ShareUpdate(true, List.of(share))), 5);
 
     for (int id = 1; id <= 5; id++) {
-      assertThat(serverOf(arrive(id, "door", DOOR, 10))).isEqualTo("s2");
+      assertThat(chosenBackend(handleArrival(id, "door", INTERACTIVE, 10))).isEqualTo("s2");
     }
   }
 
-  private static String serverOf(List<RoutingDecision> decisions) {
+  private static String chosenBackend(List<RoutingDecision> decisions) {
     return decisions.stream()
         .filter(RoutingDecision.Dispatch.class::isInstance)
         .map(decision -> ((RoutingDecision.Dispatch) decision).server())
@@ -195,10 +197,10 @@
             "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(seed));
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 10; i++) {
-      core.handle(new RoutingEvent.BackendReported(server("s" + i, 500, i, 0)), 0);
+      core.handle(new RoutingEvent.BackendReported(backendReport("s" + i, 500, i, 0)), 0);
     }
     for (int i = 0; i < 200; i++) {
-      all.append(core.handle(new RoutingEvent.Arrived(request(i, "draft", DRAFT, i)), i));
+      all.append(core.handle(new RoutingEvent.Arrived(request(i, "draft", BATCH, i)), i));
     }
     return all.toString();
   }
--- a/src/test/java/org/curranthaven/internal/routing/WorkspaceLimiterTest.java
+++ b/src/test/java/org/curranthaven/internal/routing/WorkspaceLimiterTest.java
@@ -16,7 +16,7 @@
     }
     int allowed = 0;
     for (long now = 0; now < 10_000; now++) {
-      if (limiters.get((int) (now % hosts)).take("flood", 20, hosts, now) == 0) {
+      if (limiters.get((int) (now % hosts)).tryAcquire("flood", 20, hosts, now) == 0) {
         allowed++;
       }
     }
@@ -26,17 +26,17 @@
   @Test
   void one_workspace_does_not_use_up_another_ones_share() {
     WorkspaceLimiter limiter = new WorkspaceLimiter();
-    assertThat(limiter.take("flood", 1, 1, 0)).isZero();
-    assertThat(limiter.take("flood", 1, 1, 0)).isEqualTo(1_000);
+    assertThat(limiter.tryAcquire("flood", 1, 1, 0)).isZero();
+    assertThat(limiter.tryAcquire("flood", 1, 1, 0)).isEqualTo(1_000);
 
-    assertThat(limiter.take("other", 1, 1, 0)).isZero();
+    assertThat(limiter.tryAcquire("other", 1, 1, 0)).isZero();
   }
 
   @Test
   void a_workspace_without_a_limit_is_never_held() {
     WorkspaceLimiter limiter = new WorkspaceLimiter();
     for (int i = 0; i < 1_000; i++) {
-      assertThat(limiter.take("free", 0, 8, 0)).isZero();
+      assertThat(limiter.tryAcquire("free", 0, 8, 0)).isZero();
     }
   }
 }
