--- a/src/main/java/org/curranthaven/internal/routing/BackendChooser.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendChooser.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 import org.jspecify.annotations.Nullable;
 
-/** Chooses a server for a request by a {@link Policy}. Not thread-safe. */
+/** Chooses a backend server for a request according to a {@link Policy}. Not thread-safe. */
 final class BackendChooser {
   private static final MemoryForecast EMPTY_FORECAST = new MemoryForecast();
 
@@ -16,78 +16,81 @@
   private final HostTimeSlots timeSlots;
   private int nextRoundRobinIndex;
 
-  BackendChooser(Policy policy, RandomGenerator random, HostTimeSlots turns) {
+  BackendChooser(Policy policy, RandomGenerator random, HostTimeSlots timeSlots) {
     this.policy = policy;
-    this.timeSlots = turns;
+    this.timeSlots = timeSlots;
     this.random = random;
   }
 
   /**
-   * A request with what the choice needs beside it.
+   * A request and the further input of the choice.
    *
-   * @param outputLengths distribution of its output length
-   * @param headroomBlocks memory to leave free on each server for tighter classes
+   * @param outputLengths distribution of the request's output length
+   * @param headroomBlocks memory to leave free on each backend server for classes with shorter
+   *     targets, in blocks
    */
   record ChoiceInput(
       RequestAttributes request, OutputLengths outputLengths, double headroomBlocks) {}
 
   /**
-   * A chosen server.
+   * A chosen backend server.
    *
-   * @param admissibleCount number of servers that could have been chosen
-   * @param peakMemoryShare forecast peak of its memory
+   * @param admissibleCount number of backend servers that could have been chosen
+   * @param peakMemoryShare forecast peak memory use, as a share of the backend server's memory; 0
+   *     under a baseline policy
    */
   record Choice(BackendServerState backend, int admissibleCount, double peakMemoryShare) {}
 
-  /** Returns the choice among {@code servers}, or null to hold the request. */
-  @Nullable Choice choose(ChoiceInput candidate, List<BackendServerState> servers, long nowMillis) {
-    if (servers.isEmpty()) {
+  /** Returns a choice among {@code backends}, or null if the request must stay in the queue. */
+  @Nullable Choice choose(ChoiceInput input, List<BackendServerState> backends, long nowMillis) {
+    if (backends.isEmpty()) {
       return null;
     }
     return switch (policy) {
       case Policy.RoundRobin ignored ->
-          baselineChoice(servers.get(nextRoundRobinIndex++ % servers.size()), servers);
+          baselineChoice(backends.get(nextRoundRobinIndex++ % backends.size()), backends);
       case Policy.LeastOutstanding ignored ->
           baselineChoice(
-              Collections.min(servers, Comparator.comparingInt(BackendServerState::ownOpenCount)),
-              servers);
+              Collections.min(backends, Comparator.comparingInt(BackendServerState::ownOpenCount)),
+              backends);
       case Policy.LeastLoad ignored ->
-          baselineChoice(Collections.min(servers, BY_REPORTED_LOAD), servers);
-      case Policy.PowerOfTwo ignored -> baselineChoice(lessLoadedOfTwo(servers), servers);
+          baselineChoice(Collections.min(backends, BY_REPORTED_LOAD), backends);
+      case Policy.PowerOfTwo ignored -> baselineChoice(lessLoadedOfTwo(backends), backends);
       case Policy.Forecast forecast ->
-          chooseByForecast(candidate, servers, forecast.options(), nowMillis);
+          chooseByForecast(input, backends, forecast.options(), nowMillis);
     };
   }
 
   private static final Comparator<BackendServerState> BY_REPORTED_LOAD =
       Comparator.<BackendServerState>comparingDouble(
-              server ->
-                  (double) server.report().blocksUsed()
-                      / Math.max(1, server.report().blocksTotal()))
-          .thenComparingInt(server -> server.report().running() + server.report().waiting());
+              backend ->
+                  (double) backend.report().blocksUsed()
+                      / Math.max(1, backend.report().blocksTotal()))
+          .thenComparingInt(backend -> backend.report().running() + backend.report().waiting());
 
   private static Choice baselineChoice(
-      BackendServerState server, List<BackendServerState> servers) {
-    return new Choice(server, servers.size(), 0);
+      BackendServerState backend, List<BackendServerState> backends) {
+    return new Choice(backend, backends.size(), 0);
   }
 
-  private BackendServerState lessLoadedOfTwo(List<BackendServerState> servers) {
-    BackendServerState first = servers.get(random.nextInt(servers.size()));
-    BackendServerState second = servers.get(random.nextInt(servers.size()));
+  private BackendServerState lessLoadedOfTwo(List<BackendServerState> backends) {
+    BackendServerState first = backends.get(random.nextInt(backends.size()));
+    BackendServerState second = backends.get(random.nextInt(backends.size()));
     return BY_REPORTED_LOAD.compare(first, second) <= 0 ? first : second;
   }
 
   private @Nullable Choice chooseByForecast(
-      ChoiceInput candidate,
-      List<BackendServerState> servers,
+      ChoiceInput input,
+      List<BackendServerState> backends,
       ForecastOptions options,
       long nowMillis) {
-    MemoryForecast added = new MemoryForecast();
-    RequestAttributes request = candidate.request();
-    added.add(candidate.outputLengths(), request.promptTokens(), 0, request.maxOutputTokens());
+    MemoryForecast requestForecast = new MemoryForecast();
+    RequestAttributes request = input.request();
+    requestForecast.add(
+        input.outputLengths(), request.promptTokens(), 0, request.maxOutputTokens());
     List<ScoredBackend> admissible = new ArrayList<>();
-    for (BackendServerState server : servers) {
-      ScoredBackend scored = score(candidate, added, server, options, nowMillis);
+    for (BackendServerState backend : backends) {
+      ScoredBackend scored = score(input, requestForecast, backend, options, nowMillis);
       if (scored != null) {
         admissible.add(scored);
       }
@@ -100,72 +103,85 @@
     return new Choice(best.backend(), admissible.size(), best.peakMemoryShare());
   }
 
+  /** Returns a random sample of the admissible backend servers; reorders the list. */
   private List<ScoredBackend> sample(List<ScoredBackend> admissible, ForecastOptions options) {
-    int wanted = options.sampledServers();
-    if (wanted <= 0 || admissible.size() <= wanted) {
+    int sampleSize = options.sampledServers();
+    if (sampleSize <= 0 || admissible.size() <= sampleSize) {
       return admissible;
     }
-    List<ScoredBackend> drawn = new ArrayList<>(wanted);
-    for (int i = 0; i < wanted; i++) {
+    List<ScoredBackend> sample = new ArrayList<>(sampleSize);
+    for (int i = 0; i < sampleSize; i++) {
       int j = random.nextInt(i, admissible.size());
       Collections.swap(admissible, i, j);
-      drawn.add(admissible.get(i));
+      sample.add(admissible.get(i));
     }
-    return drawn;
+    return sample;
   }
 
+  /** An admissible backend server; the one with the lowest cost is preferred. */
   private record ScoredBackend(BackendServerState backend, double cost, double peakMemoryShare) {}
 
+  /** Returns the backend server with its cost, or null if it is not admissible. */
   private @Nullable ScoredBackend score(
-      ChoiceInput candidate,
-      MemoryForecast added,
-      BackendServerState server,
+      ChoiceInput input,
+      MemoryForecast requestForecast,
+      BackendServerState backend,
       ForecastOptions options,
       long nowMillis) {
-    RequestAttributes request = candidate.request();
-    BackendReport report = server.report();
-    int running = server.totalOpenCount();
+    RequestAttributes request = input.request();
+    BackendReport report = backend.report();
+    int openCount = backend.totalOpenCount();
     int batchLimit = batchLimit(report, options, nowMillis);
-    if (running >= batchLimit) {
+    if (openCount >= batchLimit) {
       return null;
     }
-    int others = timeSlots.count() - 1;
-    boolean roomForAll = running + others < batchLimit;
-    double peakShare = 0;
+    int otherHosts = timeSlots.count() - 1;
+    boolean fitsOneFromEachHost = openCount + otherHosts < batchLimit;
+    double peakMemoryShare = 0;
     if (report.blocksTotal() > 0) {
-      double limit = options.memoryShare() * report.blocksTotal() - candidate.headroomBlocks();
-      if (running > 0 && server.currentBlocks() + added.currentBlocks() > limit) {
+      double limitBlocks = options.memoryShare() * report.blocksTotal() - input.headroomBlocks();
+      if (openCount > 0
+          && backend.currentBlocks() + requestForecast.currentBlocks() > limitBlocks) {
         return null;
       }
-      double peak =
-          server.forecast().peakBlocks(added, options.deviations(), server.unattributedBlocks());
-      if (running > 0 && peak > limit) {
+      double peakBlocks =
+          backend
+              .forecast()
+              .peakBlocks(requestForecast, options.deviations(), backend.unattributedBlocks());
+      if (openCount > 0 && peakBlocks > limitBlocks) {
         return null;
       }
-      roomForAll &= peak + others * added.peakBlocks(EMPTY_FORECAST, 0, 0) <= limit;
-      peakShare = peak / report.blocksTotal();
+      fitsOneFromEachHost &=
+          peakBlocks + otherHosts * requestForecast.peakBlocks(EMPTY_FORECAST, 0, 0) <= limitBlocks;
+      peakMemoryShare = peakBlocks / report.blocksTotal();
     }
-    if (!roomForAll && !timeSlots.ownsSlot(report.name(), nowMillis, options.turnMillis())) {
+    if (!fitsOneFromEachHost
+        && !timeSlots.ownsSlot(report.name(), nowMillis, options.turnMillis())) {
       return null;
     }
-    double trust =
-        server.prefixCacheConfidence(
+    double prefixConfidence =
+        backend.prefixCacheConfidence(
             request.prefixHash(), nowMillis, options.prefixHalfLifeMillis());
-    double batch = Math.max(1, report.maxBatch());
+    double batchSize = Math.max(1, report.maxBatch());
     double jitter = random.nextDouble() * 0.01;
     double cost =
-        peakShare + running / batch - trust * options.prefixBonusRequests() / batch + jitter;
-    return new ScoredBackend(server, cost, peakShare);
+        peakMemoryShare
+            + openCount / batchSize
+            - prefixConfidence * options.prefixBonusRequests() / batchSize
+            + jitter;
+    return new ScoredBackend(backend, cost, peakMemoryShare);
   }
 
+  /** Returns how many requests the backend server may run now: fewer while it is in slow start. */
   private static int batchLimit(BackendReport report, ForecastOptions options, long nowMillis) {
     int limit = report.maxBatch() == 0 ? Integer.MAX_VALUE : report.maxBatch();
-    // No difference to a server that has been ready for ever may overflow.
+    // Compares by addition: the readiness time may be as low as Long.MIN_VALUE, for which the age
+    // would overflow.
     if (report.loadedAtMillis() + options.rampMillis() <= nowMillis) {
       return limit;
     }
-    double age = nowMillis - report.loadedAtMillis();
-    double share = Math.max(0.1, age / options.rampMillis());
-    return (int) Math.max(1, Math.min(limit, 1_000) * share);
+    double ageMillis = nowMillis - report.loadedAtMillis();
+    double rampedShare = Math.max(0.1, ageMillis / options.rampMillis());
+    return (int) Math.max(1, Math.min(limit, 1_000) * rampedShare);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/BackendReport.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendReport.java
@@ -3,18 +3,18 @@
 import java.util.Set;
 
 /**
- * Load of a backend server as it reported it.
+ * Load that a backend server reported.
  *
- * @param name name of the server
- * @param dataCentre data centre it stands in
- * @param models models it serves, or {@code service:NAME}
- * @param blocksTotal memory blocks in all; 0 for a plain service
- * @param blocksUsed memory blocks in use
- * @param running requests being decoded
- * @param waiting requests waiting inside the server
- * @param maxBatch most requests decoded at once
- * @param sentAtMillis when it was sent, on this host's clock
- * @param loadedAtMillis when the server became ready, on this host's clock
+ * @param name name of the backend server
+ * @param dataCentre data centre in which it runs
+ * @param models models that it serves, or {@code service:NAME} for a plain service
+ * @param blocksTotal total number of memory blocks; 0 for a plain service
+ * @param blocksUsed number of memory blocks in use
+ * @param running number of requests being decoded
+ * @param waiting number of requests queued inside the backend server
+ * @param maxBatch largest number of requests decoded at once; 0 means no limit
+ * @param sentAtMillis time at which the report was sent, on this host's clock
+ * @param loadedAtMillis time at which the backend server became ready, on this host's clock
  */
 public record BackendReport(
     String name,
@@ -31,7 +31,7 @@
     models = Set.copyOf(models);
   }
 
-  /** Returns the same report with another time of sending. */
+  /** Returns a copy of this report with another sending time. */
   public BackendReport withSentAtMillis(long millis) {
     return new BackendReport(
         name,
--- a/src/main/java/org/curranthaven/internal/routing/BackendServerState.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendServerState.java
@@ -5,17 +5,22 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** What this host knows of one server. Not thread-safe. */
+/** This host's view of one backend server: its load, open requests and cache. Not thread-safe. */
 final class BackendServerState {
-  /** Prefixes remembered for one server. */
+  /** Largest number of cached prefixes tracked for a backend server. */
   private static final int MAX_PREFIXES = 4_096;
 
-  /** Weight of the newest gap in the running mean. */
+  /** Weight of the newest gap in the moving average. */
   private static final double NEWEST_GAP_WEIGHT = 0.1;
 
   private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
+
+  /** Open requests of the other hosts on this backend server. */
   private final Map<String, HostShare> sharesByHost = new HashMap<>();
+
   private final MemoryForecast forecast = new MemoryForecast();
+
+  /** Time of the last cache event of each prefix hash, oldest first. */
   private final LinkedHashMap<Long, Long> prefixSeenAtMillis =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
@@ -25,13 +30,19 @@
           return size() > MAX_PREFIXES;
         }
       };
+
   private BackendReport report;
   private boolean usable = true;
+
+  /** Reported memory use that no known request accounts for, in blocks. */
   private double unattributedBlocks;
+
+  /** Reported requests that this host knows nothing else of. */
   private int unattributedRequests;
+
   private double meanTokenGapMillis;
 
-  /** A request that this host has open on the server. */
+  /** A request of this host that is open on the backend server. */
   static final class OpenRequest {
     final RequestAttributes request;
     final OutputLengths outputLengths;
@@ -74,24 +85,24 @@
     return usable && report.models().contains(model);
   }
 
-  /** Takes a new report in and works out the load that no known request explains. */
+  /** Handles a new report and computes the load that no known request accounts for. */
   void updateReport(BackendReport newReport) {
     report = newReport;
     usable = true;
     double knownBlocks = 0;
-    int known = 0;
-    for (OpenRequest request : openRequests.values()) {
-      if (request.dispatchedAtMillis <= newReport.sentAtMillis()) {
-        knownBlocks += MemoryForecast.blocksOf(request.currentTokens());
-        known++;
+    int knownRequests = 0;
+    for (OpenRequest openRequest : openRequests.values()) {
+      if (openRequest.dispatchedAtMillis <= newReport.sentAtMillis()) {
+        knownBlocks += MemoryForecast.blocksOf(openRequest.currentTokens());
+        knownRequests++;
       }
     }
     for (HostShare share : sharesByHost.values()) {
       knownBlocks += share.forecast().currentBlocks();
-      known += share.running();
+      knownRequests += share.running();
     }
     unattributedBlocks = Math.max(0, newReport.blocksUsed() - knownBlocks);
-    unattributedRequests = Math.max(0, newReport.running() + newReport.waiting() - known);
+    unattributedRequests = Math.max(0, newReport.running() + newReport.waiting() - knownRequests);
     refreshForecast();
   }
 
@@ -106,30 +117,32 @@
     }
   }
 
-  void addOpenRequest(OpenRequest request) {
-    openRequests.put(request.request.id(), request);
+  void addOpenRequest(OpenRequest openRequest) {
+    openRequests.put(openRequest.request.id(), openRequest);
     forecast.add(
-        request.outputLengths,
-        request.currentTokens(),
-        request.producedTokens,
-        request.request.maxOutputTokens());
+        openRequest.outputLengths,
+        openRequest.currentTokens(),
+        openRequest.producedTokens,
+        openRequest.request.maxOutputTokens());
   }
 
-  void recordProgress(long requestId, int tokens, long nowMillis) {
-    OpenRequest request = openRequests.get(requestId);
-    if (request == null || tokens <= request.producedTokens) {
+  /** Records that a request has produced {@code producedTokens} tokens so far. */
+  void recordProgress(long requestId, int producedTokens, long nowMillis) {
+    OpenRequest openRequest = openRequests.get(requestId);
+    if (openRequest == null || producedTokens <= openRequest.producedTokens) {
       return;
     }
-    if (request.producedTokens > 0) {
+    if (openRequest.producedTokens > 0) {
       double gap =
-          (double) (nowMillis - request.lastTokenAtMillis) / (tokens - request.producedTokens);
+          (double) (nowMillis - openRequest.lastTokenAtMillis)
+              / (producedTokens - openRequest.producedTokens);
       meanTokenGapMillis =
           meanTokenGapMillis == 0
               ? gap
               : meanTokenGapMillis + NEWEST_GAP_WEIGHT * (gap - meanTokenGapMillis);
     }
-    request.producedTokens = tokens;
-    request.lastTokenAtMillis = nowMillis;
+    openRequest.producedTokens = producedTokens;
+    openRequest.lastTokenAtMillis = nowMillis;
   }
 
   @Nullable OpenRequest openRequest(long requestId) {
@@ -142,15 +155,15 @@
     }
   }
 
-  /** Computes the forecast anew from all open requests and other hosts' shares. */
+  /** Recomputes the forecast from all open requests and other hosts' shares. */
   void refreshForecast() {
     forecast.clear();
-    for (OpenRequest request : openRequests.values()) {
+    for (OpenRequest openRequest : openRequests.values()) {
       forecast.add(
-          request.outputLengths,
-          request.currentTokens(),
-          request.producedTokens,
-          request.request.maxOutputTokens());
+          openRequest.outputLengths,
+          openRequest.currentTokens(),
+          openRequest.producedTokens,
+          openRequest.request.maxOutputTokens());
     }
     for (HostShare share : sharesByHost.values()) {
       forecast.add(share.forecast());
@@ -161,20 +174,20 @@
     return forecast;
   }
 
-  /** Returns the forecast of this host's own requests only. */
+  /** Returns the forecast of this host's open requests only. */
   MemoryForecast ownForecast() {
     MemoryForecast own = new MemoryForecast();
-    for (OpenRequest request : openRequests.values()) {
+    for (OpenRequest openRequest : openRequests.values()) {
       own.add(
-          request.outputLengths,
-          request.currentTokens(),
-          request.producedTokens,
-          request.request.maxOutputTokens());
+          openRequest.outputLengths,
+          openRequest.currentTokens(),
+          openRequest.producedTokens,
+          openRequest.request.maxOutputTokens());
     }
     return own;
   }
 
-  /** Returns the memory counted as used now, in blocks. */
+  /** Returns the estimated memory use at present, in blocks. */
   double currentBlocks() {
     return forecast.currentBlocks() + unattributedBlocks;
   }
@@ -183,11 +196,15 @@
     return unattributedBlocks;
   }
 
+  /** Returns the number of this host's open requests. */
   int ownOpenCount() {
     return openRequests.size();
   }
 
-  /** Returns the requests counted on the server: own, other hosts' and unexplained ones. */
+  /**
+   * Returns the estimated number of open requests: this host's, the other hosts' and those that
+   * only the report accounts for.
+   */
   int totalOpenCount() {
     int total = openRequests.size() + unattributedRequests;
     for (HostShare share : sharesByHost.values()) {
@@ -196,10 +213,12 @@
     return total;
   }
 
+  /** Returns the moving average of the time between two tokens; 0 if not yet known. */
   double meanTokenGapMillis() {
     return meanTokenGapMillis;
   }
 
+  /** Records whether the backend server's cache contains the prefix. */
   void recordPrefix(long prefixHash, boolean present, long nowMillis) {
     if (present) {
       prefixSeenAtMillis.remove(prefixHash);
@@ -209,9 +228,9 @@
     }
   }
 
-  /** Returns how far to trust that the server's cache holds the prefix, from 0 to 1. */
+  /** Returns the confidence that the backend server's cache contains the prefix, from 0 to 1. */
   double prefixCacheConfidence(long prefixHash, long nowMillis, double halfLifeMillis) {
-    Long at = prefixHash == 0 ? null : prefixSeenAtMillis.get(prefixHash);
-    return at == null ? 0 : Math.pow(0.5, (nowMillis - at) / halfLifeMillis);
+    Long seenAtMillis = prefixHash == 0 ? null : prefixSeenAtMillis.get(prefixHash);
+    return seenAtMillis == null ? 0 : Math.pow(0.5, (nowMillis - seenAtMillis) / halfLifeMillis);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/ClassStats.java
+++ b/src/main/java/org/curranthaven/internal/routing/ClassStats.java
@@ -2,10 +2,17 @@
 
 import org.curranthaven.api.Targets;
 
-/** Running figures of one class on one model. Not thread-safe. */
+/** Moving averages of the requests of one service class on one model. Not thread-safe. */
 final class ClassStats {
   private static final long WINDOW_MILLIS = 1_000;
+
+  /** Number of elapsed windows beyond which the remaining ones are skipped. */
+  private static final int MAX_CATCH_UP_WINDOWS = 60;
+
+  /** Weight of the newest window in the moving averages of rates. */
   private static final double NEWEST_WINDOW_WEIGHT = 0.3;
+
+  /** Weight of the newest request in the moving averages over requests. */
   private static final double NEWEST_REQUEST_WEIGHT = 0.05;
 
   final LengthModel outputLengths = new LengthModel();
@@ -42,10 +49,12 @@
     missShare += NEWEST_REQUEST_WEIGHT * ((late ? 1 : 0) - missShare);
   }
 
+  /** Records a shed request, which counts as a missed first-reply target. */
   void recordShed() {
     missShare += NEWEST_REQUEST_WEIGHT * (1 - missShare);
   }
 
+  /** Closes every window that has ended by {@code nowMillis} and updates the rates. */
   void advanceWindow(long nowMillis) {
     while (nowMillis - windowStartMillis >= WINDOW_MILLIS) {
       windowStartMillis += WINDOW_MILLIS;
@@ -53,13 +62,13 @@
       dispatchesPerSecond += NEWEST_WINDOW_WEIGHT * (windowDispatches - dispatchesPerSecond);
       windowArrivals = 0;
       windowDispatches = 0;
-      if (nowMillis - windowStartMillis > 60 * WINDOW_MILLIS) {
+      if (nowMillis - windowStartMillis > MAX_CATCH_UP_WINDOWS * WINDOW_MILLIS) {
         windowStartMillis = nowMillis;
       }
     }
   }
 
-  /** Returns the share of recent first replies that missed the target. */
+  /** Returns the share of recent requests that were dispatched late or shed. */
   double missShare() {
     return missShare;
   }
@@ -72,7 +81,7 @@
     return arrivalsPerSecond;
   }
 
-  /** Returns the memory that a typical request of the class takes by its end, in blocks. */
+  /** Returns the memory that a request of average length uses at its end, in blocks. */
   double expectedFinalBlocks() {
     return MemoryForecast.blocksOf((int) (meanPromptTokens + outputLengths.meanRemainingTokens(0)));
   }
--- a/src/main/java/org/curranthaven/internal/routing/ForecastOptions.java
+++ b/src/main/java/org/curranthaven/internal/routing/ForecastOptions.java
@@ -1,20 +1,22 @@
 package org.curranthaven.internal.routing;
 
 /**
- * Constants of the forecast policy and switches for its mechanisms.
+ * Parameters of the forecast policy and switches for its mechanisms.
  *
- * @param deviations standard deviations above the mean at which memory growth is forecast
- * @param memoryShare share of a server's memory that the forecast may reach
- * @param headroomMillis arrivals of tighter classes for which a looser class leaves memory free
- * @param sampledServers servers drawn at random from the admissible ones before the best is taken;
- *     0 means all
- * @param prefixBonusRequests running requests that a certain prefix hit is worth
- * @param prefixHalfLifeMillis age at which a cache event is trusted half as much
- * @param rampMillis time over which a server that has just become ready is filled
- * @param turnMillis length of the turns in which hosts, one after the other, may use a server that
- *     has no room for all of them to choose it at once; 0 lets every host choose at any time
- * @param shedding whether requests that cannot meet their target are given up early
- * @param oracle whether the core is told true lengths, for comparison only
+ * @param deviations number of standard deviations above the mean at which memory use is forecast
+ * @param memoryShare largest share of a backend server's memory that the forecast may reach
+ * @param headroomMillis time span whose expected arrivals of classes with shorter targets a class
+ *     leaves memory free for
+ * @param sampledServers number of backend servers sampled at random from the admissible ones, of
+ *     which the best is chosen; 0 means all
+ * @param prefixBonusRequests number of running requests that a certain prefix cache hit outweighs
+ * @param prefixHalfLifeMillis half-life of the confidence in a prefix cache event
+ * @param rampMillis slow-start time over which a newly ready backend server is filled
+ * @param turnMillis length of the time slots in which one host after the other may use a backend
+ *     server that lacks the capacity for one request from each of them; 0 lets every host choose it
+ *     at any time
+ * @param shedding whether requests that can no longer meet their target are shed early
+ * @param oracle whether the core uses the actual output lengths, for comparison only
  */
 public record ForecastOptions(
     double deviations,
@@ -28,17 +30,17 @@
     boolean shedding,
     boolean oracle) {
 
-  /** Returns the options in force. */
+  /** Returns the options that hosts use. */
   public static ForecastOptions standard() {
     return new ForecastOptions(2.5, 0.95, 500, 3, 2, 20_000, 2_000, 150, true, false);
   }
 
-  /** Returns the options of the oracle: exact lengths need no deviations. */
+  /** Returns the options of the oracle policy: exact lengths need no safety margin. */
   public static ForecastOptions oracleOptions() {
     return new ForecastOptions(0, 0.97, 500, 3, 2, 20_000, 2_000, 150, true, true);
   }
 
-  /** Returns the options with another {@code deviations}. */
+  /** Returns a copy with another {@code deviations}. */
   public ForecastOptions withDeviations(double value) {
     return new ForecastOptions(
         value,
@@ -53,7 +55,7 @@
         oracle);
   }
 
-  /** Returns the options with another {@code memoryShare}. */
+  /** Returns a copy with another {@code memoryShare}. */
   public ForecastOptions withMemoryShare(double value) {
     return new ForecastOptions(
         deviations,
@@ -68,7 +70,7 @@
         oracle);
   }
 
-  /** Returns the options with another {@code headroomMillis}. */
+  /** Returns a copy with another {@code headroomMillis}. */
   public ForecastOptions withHeadroomMillis(long value) {
     return new ForecastOptions(
         deviations,
@@ -83,7 +85,7 @@
         oracle);
   }
 
-  /** Returns the options with another {@code sampledServers}. */
+  /** Returns a copy with another {@code sampledServers}. */
   public ForecastOptions withSampledServers(int value) {
     return new ForecastOptions(
         deviations,
@@ -98,7 +100,7 @@
         oracle);
   }
 
-  /** Returns the options with another {@code prefixBonusRequests}. */
+  /** Returns a copy with another {@code prefixBonusRequests}. */
   public ForecastOptions withPrefixBonus(double value) {
     return new ForecastOptions(
         deviations,
@@ -113,7 +115,7 @@
         oracle);
   }
 
-  /** Returns the options with another {@code shedding}. */
+  /** Returns a copy with another {@code shedding}. */
   public ForecastOptions withShedding(boolean value) {
     return new ForecastOptions(
         deviations,
@@ -128,7 +130,7 @@
         oracle);
   }
 
-  /** Returns the options with another {@code turnMillis}. */
+  /** Returns a copy with another {@code turnMillis}. */
   public ForecastOptions withTurnMillis(long value) {
     return new ForecastOptions(
         deviations,
--- a/src/main/java/org/curranthaven/internal/routing/HostShare.java
+++ b/src/main/java/org/curranthaven/internal/routing/HostShare.java
@@ -1,10 +1,10 @@
 package org.curranthaven.internal.routing;
 
 /**
- * What one host has open on one server.
+ * The open requests of one host on one backend server.
  *
- * @param server name of the server
+ * @param server name of the backend server
  * @param running number of open requests
- * @param forecast memory that they are forecast to use
+ * @param forecast forecast of the memory that they use
  */
 public record HostShare(String server, int running, MemoryForecast forecast) {}
--- a/src/main/java/org/curranthaven/internal/routing/HostTimeSlots.java
+++ b/src/main/java/org/curranthaven/internal/routing/HostTimeSlots.java
@@ -3,12 +3,13 @@
 import java.util.TreeSet;
 
 /**
- * Turns in which the hosts of a fleet may use a server that has no room for all of them at once.
+ * Time slots in which the hosts of a fleet may use a backend server that lacks the capacity for one
+ * request from each of them.
  *
- * <p>Hosts learn of each other's choices with a lag, so that all of them would fill the same free
- * memory. Each server has one host at a time whose turn it is, found from the hosts' names and the
- * time alone. Where clocks differ, turns may overlap; on average still one host has the turn. Not
- * thread-safe.
+ * <p>Hosts learn of each other's decisions with a delay, so without slots all of them would fill
+ * the same free memory. For each backend server one host owns the current slot; the owner follows
+ * from the hosts' names and the time alone, without communication. Clock differences make slots of
+ * two hosts overlap at times, but on average one host owns the slot. Not thread-safe.
  */
 final class HostTimeSlots {
   private final String self;
@@ -23,24 +24,28 @@
     hosts.add(host);
   }
 
+  /** Removes a host; this host is never removed. */
   void remove(String host) {
     if (!host.equals(self)) {
       hosts.remove(host);
     }
   }
 
-  /** Returns the number of hosts, this one included. */
+  /** Returns the number of hosts, including this one. */
   int count() {
     return hosts.size();
   }
 
-  /** Returns whether it is this host's turn at the server. */
-  boolean ownsSlot(String server, long nowMillis, long turnMillis) {
-    if (turnMillis == 0 || hosts.size() == 1) {
+  /**
+   * Returns whether this host owns the backend server's current slot; always true with a single
+   * host or a slot length of 0.
+   */
+  boolean ownsSlot(String backend, long nowMillis, long slotMillis) {
+    if (slotMillis == 0 || hosts.size() == 1) {
       return true;
     }
-    long turn = Math.floorDiv(nowMillis, turnMillis) + server.hashCode();
-    int place = hosts.headSet(self).size();
-    return Math.floorMod(turn, hosts.size()) == place;
+    long slot = Math.floorDiv(nowMillis, slotMillis) + backend.hashCode();
+    int ownIndex = hosts.headSet(self).size();
+    return Math.floorMod(slot, hosts.size()) == ownIndex;
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/LengthModel.java
+++ b/src/main/java/org/curranthaven/internal/routing/LengthModel.java
@@ -3,27 +3,32 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Running distribution of output lengths of one class on one model.
+ * Empirical distribution of the output lengths of one service class on one model.
  *
- * <p>Before enough outputs were seen, it is blended with an exponential distribution whose mean is
- * {@link #PRIOR_MEAN_TOKENS}. Older outputs are forgotten: two windows are kept, and the older is
- * dropped when the newer is full. Not thread-safe.
+ * <p>The observed lengths are blended with an exponential prior distribution whose mean is {@link
+ * #PRIOR_MEAN_TOKENS}, so that estimates are usable before many outputs have been recorded. Old
+ * outputs are discarded: there are two windows, and the older one is cleared when the newer one is
+ * full. Not thread-safe.
  */
 public final class LengthModel implements OutputLengths {
-  /** Mean of the distribution assumed before any output was seen, in tokens. */
+  /** Mean of the prior distribution, in tokens. */
   static final double PRIOR_MEAN_TOKENS = 256;
 
-  /** Weight of that distribution, in outputs. */
+  /** Weight of the prior distribution, in outputs. */
   static final double PRIOR_WEIGHT = 4;
 
-  /** Outputs in a full window. */
+  /** Number of outputs in a full window. */
   static final int WINDOW_OUTPUTS = 2_000;
 
-  /** Longest output that the model tells apart, in tokens. */
+  /** Longest output that the model distinguishes, in tokens; longer ones count as this long. */
   static final int MAX_TOKENS = 65_536;
 
+  /** Number of outputs recorded between two rebuilds of the survival table. */
   private static final int REBUILD_INTERVAL_OUTPUTS = 16;
+
+  /** Table entries per doubling of the output length. */
   private static final int STEPS_PER_DOUBLING = 4;
+
   private static final int SURVIVAL_TABLE_SIZE = 17 * STEPS_PER_DOUBLING + 1;
 
   private Histogram newerWindow = new Histogram(MAX_TOKENS, 2);
@@ -31,19 +36,19 @@
   private final double[] survivalTable = new double[SURVIVAL_TABLE_SIZE];
   private int outputsSinceRebuild;
 
-  /** Creates a model that has seen no output. */
+  /** Creates a model without recorded outputs. */
   public LengthModel() {
     rebuildTable();
   }
 
-  /** Notes the length of a complete output. */
+  /** Records the length of a complete output. */
   public void record(int tokens) {
     newerWindow.recordValue(Math.clamp(tokens, 1, MAX_TOKENS));
     if (newerWindow.getTotalCount() >= WINDOW_OUTPUTS) {
-      Histogram dropped = olderWindow;
+      Histogram recycled = olderWindow;
       olderWindow = newerWindow;
-      dropped.reset();
-      newerWindow = dropped;
+      recycled.reset();
+      newerWindow = recycled;
     }
     if (++outputsSinceRebuild >= REBUILD_INTERVAL_OUTPUTS
         || outputCount() < REBUILD_INTERVAL_OUTPUTS) {
@@ -51,7 +56,7 @@
     }
   }
 
-  /** Returns the number of outputs the model rests on. */
+  /** Returns the number of recorded outputs that the model is based on. */
   public long outputCount() {
     return newerWindow.getTotalCount() + olderWindow.getTotalCount();
   }
@@ -62,14 +67,15 @@
       return 1;
     }
     double position = tablePosition(tokens);
-    int below = Math.min((int) position, SURVIVAL_TABLE_SIZE - 2);
-    double fraction = Math.min(1, position - below);
-    return survivalTable[below] + fraction * (survivalTable[below + 1] - survivalTable[below]);
+    int lowerIndex = Math.min((int) position, SURVIVAL_TABLE_SIZE - 2);
+    double fraction = Math.min(1, position - lowerIndex);
+    return survivalTable[lowerIndex]
+        + fraction * (survivalTable[lowerIndex + 1] - survivalTable[lowerIndex]);
   }
 
   private void rebuildTable() {
     outputsSinceRebuild = 0;
-    double total = outputCount() + PRIOR_WEIGHT;
+    double totalWeight = outputCount() + PRIOR_WEIGHT;
     for (int i = 0; i < SURVIVAL_TABLE_SIZE; i++) {
       int tokens = tokensAt(i);
       double prior = Math.exp(-tokens / PRIOR_MEAN_TOKENS);
@@ -78,7 +84,7 @@
                   + countAbove(olderWindow, tokens)
                   + PRIOR_WEIGHT * prior
                   + 1e-6)
-              / (total + 1e-6);
+              / (totalWeight + 1e-6);
     }
   }
 
@@ -92,6 +98,10 @@
     return (int) Math.round(Math.pow(2, (double) index / STEPS_PER_DOUBLING)) - 1;
   }
 
+  /**
+   * Returns the fractional index of a length in the survival table, the inverse of {@link
+   * #tokensAt}.
+   */
   private static double tablePosition(int tokens) {
     return Math.log(tokens + 1.0) / Math.log(2) * STEPS_PER_DOUBLING;
   }
--- a/src/main/java/org/curranthaven/internal/routing/MemoryForecast.java
+++ b/src/main/java/org/curranthaven/internal/routing/MemoryForecast.java
@@ -5,13 +5,14 @@
 import java.util.Arrays;
 
 /**
- * Forecast of the memory blocks that a set of running requests uses, at several numbers of further
- * tokens: mean and variance at each.
+ * Forecast of the memory blocks that a set of running requests will use: mean and variance at
+ * several horizons, each a number of further tokens.
  *
- * <p>Requests in a batch advance one token a step together, so that one horizon in tokens fits all.
+ * <p>All requests of a batch advance by one token per step, so one horizon in tokens applies to all
+ * of them. Not thread-safe.
  */
 public final class MemoryForecast {
-  /** Horizons of the forecast, in tokens from now. */
+  /** Horizons of the forecast, in further tokens per request. */
   static final int[] HORIZON_TOKENS = {
     0, 16, 32, 64, 96, 128, 192, 256, 384, 512, 768, 1_024, 1_536, 2_048, 3_072, 4_096, 6_144, 8_192
   };
@@ -22,10 +23,12 @@
   private final double[] meanBlocks = new double[HORIZON_TOKENS.length];
   private final double[] varianceBlocks = new double[HORIZON_TOKENS.length];
 
-  /** Creates the forecast of no request. */
+  /** Creates the forecast of an empty set of requests. */
   public MemoryForecast() {}
 
-  /** Creates a forecast from what {@link #means} and {@link #variances} returned elsewhere. */
+  /**
+   * Creates a forecast from the {@link #means} and {@link #variances} of another host's forecast.
+   */
   @JsonCreator
   public static MemoryForecast of(
       @JsonProperty("means") double[] means, @JsonProperty("variances") double[] variances) {
@@ -36,7 +39,7 @@
     return result;
   }
 
-  /** Returns mean blocks at each horizon. */
+  /** Returns the mean number of blocks at each horizon. */
   @JsonProperty
   public double[] means() {
     return Arrays.copyOf(meanBlocks, meanBlocks.length);
@@ -48,34 +51,44 @@
     return Arrays.copyOf(varianceBlocks, varianceBlocks.length);
   }
 
-  /** Sets the forecast to that of no request. */
+  /** Resets this to the forecast of an empty set of requests. */
   void clear() {
     Arrays.fill(meanBlocks, 0);
     Arrays.fill(varianceBlocks, 0);
   }
 
   /**
-   * Adds a request that holds {@code tokensNow} tokens, of which it produced {@code produced}, and
-   * whose length follows {@code lengths}.
+   * Adds a request.
+   *
+   * @param outputLengths distribution of its output length
+   * @param currentTokens tokens that it holds in memory, prompt included
+   * @param producedTokens output tokens produced so far
+   * @param maxOutputTokens largest output allowed, in tokens
    */
-  void add(OutputLengths lengths, int tokensNow, int produced, int maxOutputTokens) {
-    double alive = lengths.survival(produced);
-    int left = Math.max(1, maxOutputTokens - produced);
-    for (int i = 0; i < HORIZON_TOKENS.length && HORIZON_TOKENS[i] < left; i++) {
-      double p = i == 0 ? 1 : lengths.survival(produced + HORIZON_TOKENS[i]) / alive;
-      double blocks = blocksOf(tokensNow + Math.min(left, intervalMidpoint(i)));
-      meanBlocks[i] += p * blocks;
-      varianceBlocks[i] += p * (1 - p) * blocks * blocks;
+  void add(
+      OutputLengths outputLengths, int currentTokens, int producedTokens, int maxOutputTokens) {
+    double survivalSoFar = outputLengths.survival(producedTokens);
+    int remainingTokens = Math.max(1, maxOutputTokens - producedTokens);
+    for (int i = 0; i < HORIZON_TOKENS.length && HORIZON_TOKENS[i] < remainingTokens; i++) {
+      double stillRunning =
+          i == 0 ? 1 : outputLengths.survival(producedTokens + HORIZON_TOKENS[i]) / survivalSoFar;
+      double blocks = blocksOf(currentTokens + Math.min(remainingTokens, intervalMidpoint(i)));
+      meanBlocks[i] += stillRunning * blocks;
+      varianceBlocks[i] += stillRunning * (1 - stillRunning) * blocks * blocks;
     }
   }
 
-  /** Returns the middle of the stretch that begins at a horizon: memory grows within it. */
-  private static int intervalMidpoint(int i) {
-    int next = i + 1 < HORIZON_TOKENS.length ? HORIZON_TOKENS[i + 1] : HORIZON_TOKENS[i];
-    return (HORIZON_TOKENS[i] + next) / 2;
+  /**
+   * Returns the midpoint between a horizon and the next one, in tokens: memory grows within the
+   * interval.
+   */
+  private static int intervalMidpoint(int horizonIndex) {
+    int from = HORIZON_TOKENS[horizonIndex];
+    int to = horizonIndex + 1 < HORIZON_TOKENS.length ? HORIZON_TOKENS[horizonIndex + 1] : from;
+    return (from + to) / 2;
   }
 
-  /** Adds another forecast. */
+  /** Adds the requests of another forecast. */
   void add(MemoryForecast other) {
     for (int i = 0; i < HORIZON_TOKENS.length; i++) {
       meanBlocks[i] += other.meanBlocks[i];
@@ -84,9 +97,11 @@
   }
 
   /**
-   * Returns the highest forecast use of this and {@code added} together over all horizons, at
-   * {@code deviations} standard deviations above the mean, with {@code extraBlocks} used
-   * throughout.
+   * Returns the highest forecast memory use over all horizons, in blocks.
+   *
+   * @param added forecast of further requests that run at the same time
+   * @param deviations number of standard deviations above the mean
+   * @param extraBlocks blocks in use at every horizon besides those of the two forecasts
    */
   double peakBlocks(MemoryForecast added, double deviations, double extraBlocks) {
     double peak = 0;
@@ -98,12 +113,12 @@
     return peak + extraBlocks;
   }
 
-  /** Returns the blocks used now. */
+  /** Returns the number of blocks in use now. */
   double currentBlocks() {
     return meanBlocks[0];
   }
 
-  /** Returns the blocks that {@code tokens} tokens take. */
+  /** Returns the number of blocks that {@code tokens} tokens occupy. */
   public static int blocksOf(int tokens) {
     return (tokens + TOKENS_PER_BLOCK - 1) / TOKENS_PER_BLOCK;
   }
--- a/src/main/java/org/curranthaven/internal/routing/OutlierEjector.java
+++ b/src/main/java/org/curranthaven/internal/routing/OutlierEjector.java
@@ -5,20 +5,21 @@
 import java.util.Map;
 
 /**
- * Takes servers out of use that fail differently from their peers, never more than a bounded share
- * of them, each for a time that doubles when it fails again. Not thread-safe.
+ * Outlier detection: temporarily ejects backend servers that fail several times in a row, at most a
+ * bounded share of the peers at once. The duration doubles with each further ejection. Not
+ * thread-safe.
  */
 public final class OutlierEjector {
-  /** Failures without a success between them after which a server is ejected. */
+  /** Consecutive failures after which a backend server is ejected. */
   static final int CONSECUTIVE_FAILURES_TO_EJECT = 3;
 
-  /** Largest share of servers that may be out at once. */
+  /** Largest share of the peers that may be ejected at once; one may always be. */
   static final double MAX_EJECTED_SHARE = 0.34;
 
-  /** First time out, in milliseconds. */
+  /** Duration of the first ejection, in milliseconds. */
   static final long FIRST_EJECTION_MILLIS = 2_000;
 
-  /** Longest time out, in milliseconds. */
+  /** Longest duration of an ejection, in milliseconds. */
   static final long MAX_EJECTION_MILLIS = 60_000;
 
   private final Map<String, FailureHistory> historyByBackend = new HashMap<>();
@@ -29,41 +30,52 @@
     long ejectedUntilMillis;
   }
 
-  public void recordSuccess(String server) {
-    FailureHistory record = historyByBackend.get(server);
-    if (record != null) {
-      record.consecutiveFailures = 0;
-      record.ejections = Math.max(0, record.ejections - 1);
+  /**
+   * Records a success: ends the series of consecutive failures and undoes one doubling of the next
+   * ejection's duration.
+   */
+  public void recordSuccess(String backend) {
+    FailureHistory history = historyByBackend.get(backend);
+    if (history != null) {
+      history.consecutiveFailures = 0;
+      history.ejections = Math.max(0, history.ejections - 1);
     }
   }
 
-  public void recordFailure(String server, Collection<String> peers, long nowMillis) {
-    FailureHistory record = historyByBackend.computeIfAbsent(server, name -> new FailureHistory());
-    record.consecutiveFailures++;
-    long ejected = peers.stream().filter(peer -> isEjected(peer, nowMillis)).count();
-    boolean mayEject = (ejected + 1) <= Math.max(1, MAX_EJECTED_SHARE * peers.size());
-    if (record.consecutiveFailures >= CONSECUTIVE_FAILURES_TO_EJECT
+  /**
+   * Records a failure and ejects the backend server if it has reached the limit.
+   *
+   * @param peers backend servers that can take the same requests, including this one
+   */
+  public void recordFailure(String backend, Collection<String> peers, long nowMillis) {
+    FailureHistory history =
+        historyByBackend.computeIfAbsent(backend, name -> new FailureHistory());
+    history.consecutiveFailures++;
+    long ejectedPeers = peers.stream().filter(peer -> isEjected(peer, nowMillis)).count();
+    boolean mayEject = (ejectedPeers + 1) <= Math.max(1, MAX_EJECTED_SHARE * peers.size());
+    if (history.consecutiveFailures >= CONSECUTIVE_FAILURES_TO_EJECT
         && mayEject
         && peers.size() > 1) {
-      long length = FIRST_EJECTION_MILLIS << Math.min(record.ejections, 10);
-      record.ejectedUntilMillis = nowMillis + Math.min(length, MAX_EJECTION_MILLIS);
-      record.ejections++;
-      record.consecutiveFailures = 0;
+      long durationMillis = FIRST_EJECTION_MILLIS << Math.min(history.ejections, 10);
+      history.ejectedUntilMillis = nowMillis + Math.min(durationMillis, MAX_EJECTION_MILLIS);
+      history.ejections++;
+      history.consecutiveFailures = 0;
     }
   }
 
-  public boolean isEjected(String server, long nowMillis) {
-    FailureHistory record = historyByBackend.get(server);
-    return record != null && nowMillis < record.ejectedUntilMillis;
+  public boolean isEjected(String backend, long nowMillis) {
+    FailureHistory history = historyByBackend.get(backend);
+    return history != null && nowMillis < history.ejectedUntilMillis;
   }
 
-  /** Returns when the server last came back into use; 0 when it was never out. */
-  public long lastEjectionEndMillis(String server) {
-    FailureHistory record = historyByBackend.get(server);
-    return record == null ? 0 : record.ejectedUntilMillis;
+  /** Returns the end of the backend server's last ejection, past or future; 0 if there was none. */
+  public long lastEjectionEndMillis(String backend) {
+    FailureHistory history = historyByBackend.get(backend);
+    return history == null ? 0 : history.ejectedUntilMillis;
   }
 
-  public void remove(String server) {
-    historyByBackend.remove(server);
+  /** Discards the history of a backend server. */
+  public void remove(String backend) {
+    historyByBackend.remove(backend);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/OutputLengths.java
+++ b/src/main/java/org/curranthaven/internal/routing/OutputLengths.java
@@ -1,32 +1,32 @@
 package org.curranthaven.internal.routing;
 
-/** Distribution of the output length of a request. */
+/** Probability distribution of a request's output length, in tokens. */
 public sealed interface OutputLengths permits LengthModel, OutputLengths.Known {
-  /** Sums in {@link #meanRemainingTokens} stop where fewer outputs than this share remain. */
+  /** Survival probability below which the sum in {@link #meanRemainingTokens} is cut off. */
   double NEGLIGIBLE_SURVIVAL = 1e-3;
 
   /** Longest output considered, in tokens. */
   int MAX_TOKENS = 65_536;
 
-  /** Returns the share of outputs longer than {@code tokens}; above 0. */
+  /** Returns the probability that an output is longer than {@code tokens}; always above 0. */
   double survival(int tokens);
 
-  /** Returns the expected number of further tokens of an output that has {@code produced}. */
+  /** Returns the expected number of further tokens of an output of {@code produced} tokens. */
   default double meanRemainingTokens(int produced) {
-    double alive = survival(produced);
+    double survivalSoFar = survival(produced);
     double sum = 0;
     int step = 8;
     for (int from = produced; from < MAX_TOKENS; from += step, step += step / 2) {
-      double share = survival(from + step / 2) / alive;
-      sum += share * step;
-      if (share < NEGLIGIBLE_SURVIVAL) {
+      double conditionalSurvival = survival(from + step / 2) / survivalSoFar;
+      sum += conditionalSurvival * step;
+      if (conditionalSurvival < NEGLIGIBLE_SURVIVAL) {
         break;
       }
     }
     return sum;
   }
 
-  /** An output whose length is told beforehand, as only the oracle of an experiment is. */
+  /** An output of known length, which only the oracle policy of an experiment has. */
   record Known(int tokens) implements OutputLengths {
     @Override
     public double survival(int produced) {
--- a/src/main/java/org/curranthaven/internal/routing/Policy.java
+++ b/src/main/java/org/curranthaven/internal/routing/Policy.java
@@ -1,8 +1,11 @@
 package org.curranthaven.internal.routing;
 
-/** How a server is chosen. All but {@link Forecast} are baselines that never hold a request. */
+/**
+ * Policy by which a backend server is chosen. All but {@link Forecast} are baselines for
+ * experiments and dispatch a request at once whenever a backend server is eligible.
+ */
 public sealed interface Policy {
-  /** Returns the name by which experiments and explanations call the policy. */
+  /** Returns the name that identifies the policy in experiments and dispatch reasons. */
   default String policyName() {
     return switch (this) {
       case RoundRobin ignored -> "round-robin";
@@ -13,18 +16,21 @@
     };
   }
 
-  /** Each server in turn. */
+  /** Chooses the backend servers one after the other. */
   record RoundRobin() implements Policy {}
 
-  /** The server on which this host has the fewest requests open. */
+  /** Chooses the backend server on which this host has the fewest open requests. */
   record LeastOutstanding() implements Policy {}
 
-  /** The server that reported the least memory in use, then the fewest requests. */
+  /** Chooses the backend server that reported the least memory use, then the fewest requests. */
   record LeastLoad() implements Policy {}
 
-  /** The less loaded of two servers drawn at random. */
+  /** Chooses the less loaded of two random backend servers. */
   record PowerOfTwo() implements Policy {}
 
-  /** The policy in force: holds requests whose memory growth would cause a preemption. */
+  /**
+   * Chooses by forecast memory use, and queues a request whose memory growth would cause a
+   * preemption. Hosts use this policy.
+   */
   record Forecast(ForecastOptions options) implements Policy {}
 }
--- a/src/main/java/org/curranthaven/internal/routing/RequestAttributes.java
+++ b/src/main/java/org/curranthaven/internal/routing/RequestAttributes.java
@@ -4,18 +4,18 @@
 import org.curranthaven.api.Targets;
 
 /**
- * What is known of a request when it arrives; the length of its output is not.
+ * Attributes of a request that are known on its arrival; the output length is not among them.
  *
  * @param id number of the request on this host
- * @param workspace workspace that asks
- * @param className class of work
- * @param targets targets of the class
- * @param model model asked for, or {@code service:NAME} for a plain service
+ * @param workspace workspace that sent the request
+ * @param className name of the request's service class
+ * @param targets latency targets of the class
+ * @param model requested model, or {@code service:NAME} for a plain service
  * @param promptTokens length of the prompt, in tokens
  * @param maxOutputTokens largest output allowed, in tokens
- * @param prefixHash hash of the prompt's beginning, for prefix caches; 0 when there is none
- * @param arrivedAtMillis when the caller asked
- * @param excludedServers servers that refused or lost this request before
+ * @param prefixHash hash of the prompt's beginning, for prefix caches; 0 if there is none
+ * @param arrivedAtMillis time of arrival
+ * @param excludedServers backend servers that rejected or lost this request in earlier attempts
  */
 public record RequestAttributes(
     long id,
@@ -33,11 +33,11 @@
   }
 
   /**
-   * Returns the request for another attempt.
+   * Returns the attributes of another attempt of this request.
    *
    * @param newId number of the attempt
-   * @param tokensSoFar tokens that the attempt continues from; 0 for a new start
-   * @param excluded servers that the attempt should not go to
+   * @param tokensSoFar output tokens that the attempt continues from; 0 if it starts over
+   * @param excluded backend servers that the attempt should avoid
    */
   public RequestAttributes attempt(long newId, int tokensSoFar, Set<String> excluded) {
     return new RequestAttributes(
@@ -53,7 +53,7 @@
         excluded);
   }
 
-  /** Returns the same request with another time of arrival. */
+  /** Returns a copy of this request with another arrival time. */
   public RequestAttributes withArrivedAtMillis(long millis) {
     return new RequestAttributes(
         id,
@@ -68,12 +68,12 @@
         excludedServers);
   }
 
-  /** Returns the time by which the first reply is due. */
+  /** Returns the due time of the first reply. */
   public long firstReplyDueMillis() {
     return arrivedAtMillis + targets.firstReplyMillis();
   }
 
-  /** Returns the time by which the whole answer is due. */
+  /** Returns the due time of the complete response. */
   public long responseDueMillis() {
     return arrivedAtMillis + targets.answerMillis();
   }
--- a/src/main/java/org/curranthaven/internal/routing/RoutingCore.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingCore.java
@@ -12,8 +12,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses when and where each request runs. It owns no clock, thread or socket: events go in,
- * decisions come out, and the same events with the same random source give the same decisions.
+ * Decides when and on which backend server each request runs.
+ *
+ * <p>The core owns no clock, thread or socket: it maps events to decisions, and the same events
+ * with the same random source always give the same decisions.
  *
  * <pre>{@code
  * RoutingCore core = new RoutingCore("accra-1", new Policy.Forecast(ForecastOptions.standard()), random);
@@ -24,19 +26,25 @@
  * <p>Not thread-safe.
  */
 public final class RoutingCore {
-  /** Most requests that may wait; beyond it new ones are given up. */
+  /** Largest number of queued requests; further requests are shed. */
   public static final int MAX_QUEUED = 20_000;
 
-  /** Requests of one model that may fail to find a server before the pass stops trying it. */
+  /**
+   * Number of queued requests for one model that may find no backend server before a pass over the
+   * queue skips the remaining ones.
+   */
   private static final int MAX_FAILED_PLACEMENTS_PER_MODEL = 16;
 
-  /** Largest share by which the due time of a class that misses its target is moved up. */
+  /**
+   * Largest share by which the first-reply target is shortened when queueing a request of a class
+   * that misses its target; the reduction is proportional to the class's share of misses.
+   */
   private static final double MAX_DUE_TIME_REDUCTION = 0.5;
 
-  /** Shortest time after which a shed caller is asked to come back, in milliseconds. */
+  /** Shortest retry delay given to the caller of a shed request, in milliseconds. */
   private static final long MIN_RETRY_AFTER_MILLIS = 500;
 
-  /** Longest such time, in milliseconds. */
+  /** Longest retry delay given to the caller of a shed request, in milliseconds. */
   private static final long MAX_RETRY_AFTER_MILLIS = 30_000;
 
   private final Policy policy;
@@ -54,21 +62,28 @@
 
   private record ClassKey(String className, String model) {}
 
-  /** Creates the core of a host, which is not told true lengths. */
+  /** Creates the core of a host, where output lengths are not known in advance. */
   public RoutingCore(String host, Policy policy, RandomGenerator random) {
     this(host, policy, random, id -> new OutputLengths.Known(1));
   }
 
-  /** Creates a core whose policy, if it is an oracle, is told true lengths by request number. */
+  /**
+   * Creates a core for an experiment.
+   *
+   * @param actualLengths output lengths by request number, used only by the oracle policy
+   */
   public RoutingCore(
-      String host, Policy policy, RandomGenerator random, LongFunction<OutputLengths> trueLengths) {
+      String host,
+      Policy policy,
+      RandomGenerator random,
+      LongFunction<OutputLengths> actualLengths) {
     this.policy = policy;
     this.timeSlots = new HostTimeSlots(host);
     this.chooser = new BackendChooser(policy, random, timeSlots);
-    this.actualLengths = trueLengths;
+    this.actualLengths = actualLengths;
   }
 
-  /** Handles one event and returns what to do, in order. */
+  /** Handles one event and returns the decisions to carry out, in order. */
   public List<RoutingDecision> handle(RoutingEvent event, long nowMillis) {
     decisions = new ArrayList<>();
     switch (event) {
@@ -76,57 +91,61 @@
       case RoutingEvent.Abandoned abandoned -> queue.remove(abandoned.requestId());
       case RoutingEvent.Progressed progress ->
           handleProgress(progress.requestId(), progress.tokens(), nowMillis);
-      case RoutingEvent.Finished end -> handleFinish(end, nowMillis);
+      case RoutingEvent.Finished finished -> handleFinish(finished, nowMillis);
       case RoutingEvent.BackendReported reported ->
           handleBackendReport(reported.report(), nowMillis);
-      case RoutingEvent.BackendRemoved gone -> handleBackendRemoved(gone.server());
+      case RoutingEvent.BackendRemoved removed -> handleBackendRemoved(removed.server());
       case RoutingEvent.SharesReported reported ->
           handleSharesReported(reported.host(), reported.update());
-      case RoutingEvent.HostRemoved gone -> handleHostRemoved(gone.host());
-      case RoutingEvent.PrefixCached cached -> handlePrefixCached(cached, nowMillis);
+      case RoutingEvent.HostRemoved removed -> handleHostRemoved(removed.host());
+      case RoutingEvent.PrefixCached prefix -> handlePrefixCached(prefix, nowMillis);
       case RoutingEvent.Tick ignored -> handleTick(nowMillis);
     }
     return decisions;
   }
 
-  /** Returns the number of requests that wait. */
+  /** Returns the number of queued requests. */
   public int queued() {
     return queue.size();
   }
 
-  /** Returns what to tell the other hosts now of what this host has open on each server. */
+  /**
+   * Returns the update of this host's open requests to send to the other hosts now, and records it
+   * as sent.
+   */
   public ShareUpdate nextShareUpdate(long nowMillis) {
     return shareUpdatePolicy.nextUpdate(ownShares(), nowMillis);
   }
 
   private List<HostShare> ownShares() {
     return backends.values().stream()
-        .filter(server -> server.ownOpenCount() > 0)
-        .map(server -> new HostShare(server.name(), server.ownOpenCount(), server.ownForecast()))
+        .filter(backend -> backend.ownOpenCount() > 0)
+        .map(
+            backend -> new HostShare(backend.name(), backend.ownOpenCount(), backend.ownForecast()))
         .toList();
   }
 
-  /** Returns figures of each server for the state dump, by name. */
+  /** Returns load figures for the state dump, by backend server name. */
   public Map<String, BackendLoadView> backendLoadViews(long nowMillis) {
     Map<String, BackendLoadView> views = new TreeMap<>();
-    for (BackendServerState server : backends.values()) {
+    for (BackendServerState backend : backends.values()) {
       views.put(
-          server.name(),
+          backend.name(),
           new BackendLoadView(
-              server.usable(),
-              ejector.isEjected(server.name(), nowMillis),
-              server.ownOpenCount(),
-              server.totalOpenCount(),
-              server.report().blocksTotal(),
-              server.report().blocksUsed(),
-              server.forecast().peakBlocks(new MemoryForecast(), 2, server.unattributedBlocks()),
-              server.meanTokenGapMillis(),
-              nowMillis - server.report().sentAtMillis()));
+              backend.usable(),
+              ejector.isEjected(backend.name(), nowMillis),
+              backend.ownOpenCount(),
+              backend.totalOpenCount(),
+              backend.report().blocksTotal(),
+              backend.report().blocksUsed(),
+              backend.forecast().peakBlocks(new MemoryForecast(), 2, backend.unattributedBlocks()),
+              backend.meanTokenGapMillis(),
+              nowMillis - backend.report().sentAtMillis()));
     }
     return views;
   }
 
-  /** Returns figures of each class and model for the state dump. */
+  /** Returns statistics for the state dump, by class and model. */
   public Map<String, ClassView> classViews() {
     Map<String, ClassView> views = new TreeMap<>();
     statsByClass.forEach(
@@ -142,7 +161,19 @@
     return views;
   }
 
-  /** Figures of one server as the core sees it; blocks are memory blocks. */
+  /**
+   * Load of one backend server as the core sees it.
+   *
+   * @param usable whether the backend server is available
+   * @param ejected whether it is ejected as an outlier
+   * @param ownOpen number of this host's open requests
+   * @param counted estimated number of open requests of all hosts
+   * @param blocksTotal total number of memory blocks
+   * @param blocksUsedReported number of memory blocks in use as last reported
+   * @param blocksPeakForecast forecast peak memory use, in blocks
+   * @param gapMillis moving average of the time between two tokens; 0 if not yet known
+   * @param reportAgeMillis time since the last report was sent
+   */
   public record BackendLoadView(
       boolean usable,
       boolean ejected,
@@ -154,7 +185,12 @@
       double gapMillis,
       long reportAgeMillis) {}
 
-  /** Figures of one class on one model as the core sees it. */
+  /**
+   * Statistics of one service class on one model.
+   *
+   * @param missShare share of recent requests that were dispatched late or shed
+   * @param outputsSeen number of outputs on which the length distribution is based
+   */
   public record ClassView(
       double arrivalsPerSecond,
       double dispatchesPerSecond,
@@ -162,7 +198,7 @@
       double meanOutputTokens,
       long outputsSeen) {}
 
-  // ---- events -----------------------------------------------------------------------------------
+  // ---- event handlers ---------------------------------------------------------------------------
 
   private void handleArrival(RequestAttributes request, long nowMillis) {
     ClassStats classStats = statsOf(request, nowMillis);
@@ -172,48 +208,49 @@
       shed(request, RoutingDecision.ShedReason.QUEUE_FULL, nowMillis);
       return;
     }
-    double pressure = MAX_DUE_TIME_REDUCTION * classStats.missShare();
-    long target = (long) (request.targets().firstReplyMillis() * (1 - pressure));
-    queue.add(request, request.arrivedAtMillis() + Math.max(1, target));
-    // What waits already found no server, and nothing else has changed since.
+    double reduction = MAX_DUE_TIME_REDUCTION * classStats.missShare();
+    long targetMillis = (long) (request.targets().firstReplyMillis() * (1 - reduction));
+    queue.add(request, request.arrivedAtMillis() + Math.max(1, targetMillis));
+    // Only the new request: the others found no backend server, and nothing has changed since.
     tryDispatch(request, backends.values(), nowMillis);
   }
 
-  private void handleProgress(long id, int tokens, long nowMillis) {
-    BackendServerState server = backendByRequestId.get(id);
-    if (server != null) {
-      server.recordProgress(id, tokens, nowMillis);
+  private void handleProgress(long requestId, int tokens, long nowMillis) {
+    BackendServerState backend = backendByRequestId.get(requestId);
+    if (backend != null) {
+      backend.recordProgress(requestId, tokens, nowMillis);
     }
   }
 
-  private void handleFinish(RoutingEvent.Finished end, long nowMillis) {
-    long id = end.requestId();
-    BackendServerState server = backendByRequestId.remove(id);
-    if (server == null) {
+  private void handleFinish(RoutingEvent.Finished finished, long nowMillis) {
+    long requestId = finished.requestId();
+    BackendServerState backend = backendByRequestId.remove(requestId);
+    if (backend == null) {
       return;
     }
-    BackendServerState.OpenRequest open = server.openRequest(id);
-    server.removeOpenRequest(id);
-    switch (end.ending()) {
+    BackendServerState.OpenRequest openRequest = backend.openRequest(requestId);
+    backend.removeOpenRequest(requestId);
+    switch (finished.ending()) {
       case COMPLETED -> {
-        ejector.recordSuccess(server.name());
-        if (open != null) {
-          statsOf(open.request, nowMillis).outputLengths.record(end.tokens());
+        ejector.recordSuccess(backend.name());
+        if (openRequest != null) {
+          statsOf(openRequest.request, nowMillis).outputLengths.record(finished.tokens());
         }
       }
       case FAILED, REFUSED ->
-          ejector.recordFailure(server.name(), peersOf(server, open), nowMillis);
+          ejector.recordFailure(backend.name(), peersOf(backend, openRequest), nowMillis);
       case CANCELLED -> {}
     }
-    dispatchQueue(List.of(server), nowMillis);
+    dispatchQueue(List.of(backend), nowMillis);
   }
 
+  /** Returns the usable backend servers, this one included, that serve the same model. */
   private Collection<String> peersOf(
-      BackendServerState server, BackendServerState.@Nullable OpenRequest open) {
+      BackendServerState backend, BackendServerState.@Nullable OpenRequest openRequest) {
     String model =
-        open == null
-            ? server.report().models().stream().findFirst().orElse("")
-            : open.request.model();
+        openRequest == null
+            ? backend.report().models().stream().findFirst().orElse("")
+            : openRequest.request.model();
     return backends.values().stream()
         .filter(other -> other.serves(model))
         .map(BackendServerState::name)
@@ -221,28 +258,28 @@
   }
 
   private void handleBackendReport(BackendReport report, long nowMillis) {
-    BackendServerState server = backends.get(report.name());
-    boolean known =
-        server != null && server.usable() && server.report().models().equals(report.models());
-    if (server == null) {
-      server = new BackendServerState(report);
-      backends.put(report.name(), server);
+    BackendServerState backend = backends.get(report.name());
+    boolean unchanged =
+        backend != null && backend.usable() && backend.report().models().equals(report.models());
+    if (backend == null) {
+      backend = new BackendServerState(report);
+      backends.put(report.name(), backend);
     }
-    server.updateReport(report);
-    if (!known) {
+    backend.updateReport(report);
+    if (!unchanged) {
       recountBackends();
     }
-    dispatchQueue(List.of(server), nowMillis);
+    dispatchQueue(List.of(backend), nowMillis);
   }
 
   private void handleBackendRemoved(String name) {
-    BackendServerState server = backends.get(name);
-    if (server == null) {
+    BackendServerState backend = backends.get(name);
+    if (backend == null) {
       return;
     }
-    server.setUsable(false);
+    backend.setUsable(false);
     recountBackends();
-    if (server.ownOpenCount() == 0) {
+    if (backend.ownOpenCount() == 0) {
       backends.remove(name);
       ejector.remove(name);
     }
@@ -250,37 +287,37 @@
 
   private void handleSharesReported(String host, ShareUpdate update) {
     timeSlots.add(host);
-    Map<String, HostShare> byServer = new HashMap<>();
-    update.shares().forEach(share -> byServer.put(share.server(), share));
-    for (BackendServerState server : backends.values()) {
-      HostShare share = byServer.get(server.name());
+    Map<String, HostShare> shareByBackend = new HashMap<>();
+    update.shares().forEach(share -> shareByBackend.put(share.server(), share));
+    for (BackendServerState backend : backends.values()) {
+      HostShare share = shareByBackend.get(backend.name());
       if (share == null && !update.full()) {
         continue;
       }
       if (share == null || share.running() == 0) {
-        server.removeShare(host);
+        backend.removeShare(host);
       } else {
-        server.setShare(host, share);
+        backend.setShare(host, share);
       }
     }
   }
 
   private void handleHostRemoved(String host) {
     timeSlots.remove(host);
-    backends.values().forEach(server -> server.removeShare(host));
+    backends.values().forEach(backend -> backend.removeShare(host));
   }
 
-  private void handlePrefixCached(RoutingEvent.PrefixCached cached, long nowMillis) {
-    BackendServerState server = backends.get(cached.server());
-    if (server != null) {
-      server.recordPrefix(cached.prefixHash(), cached.present(), nowMillis);
+  private void handlePrefixCached(RoutingEvent.PrefixCached event, long nowMillis) {
+    BackendServerState backend = backends.get(event.server());
+    if (backend != null) {
+      backend.recordPrefix(event.prefixHash(), event.present(), nowMillis);
     }
   }
 
   private void handleTick(long nowMillis) {
     statsByClass.values().forEach(classStats -> classStats.advanceWindow(nowMillis));
     backends.values().forEach(BackendServerState::refreshForecast);
-    backends.values().removeIf(server -> !server.usable() && server.ownOpenCount() == 0);
+    backends.values().removeIf(backend -> !backend.usable() && backend.ownOpenCount() == 0);
     queue.postponeLate(nowMillis);
     shedUnservable(nowMillis);
     dispatchQueue(backends.values(), nowMillis);
@@ -288,117 +325,136 @@
 
   // ---- decisions --------------------------------------------------------------------------------
 
-  /** Tries the waiting requests in order on servers on which something has changed. */
+  /**
+   * Tries to dispatch the queued requests in order of due time to backend servers whose state has
+   * changed.
+   *
+   * <p>After a late request found no backend server, the capacity for its model is reserved:
+   * requests for the same model with the same or a longer first-reply target are skipped.
+   */
   private void dispatchQueue(Collection<BackendServerState> changed, long nowMillis) {
-    Map<String, Integer> failedTries = new HashMap<>();
-    Map<String, Long> reserved = new HashMap<>();
-    for (RequestQueue.Entry waiting : queue.inDueOrder()) {
-      RequestAttributes request = waiting.request();
-      int tries = failedTries.getOrDefault(request.model(), 0);
-      long limit = reserved.getOrDefault(request.model(), Long.MAX_VALUE);
-      if (tries >= MAX_FAILED_PLACEMENTS_PER_MODEL
-          || request.targets().firstReplyMillis() >= limit) {
+    Map<String, Integer> failuresByModel = new HashMap<>();
+    Map<String, Long> reservedTargetByModel = new HashMap<>();
+    for (RequestQueue.Entry entry : queue.inDueOrder()) {
+      RequestAttributes request = entry.request();
+      int failures = failuresByModel.getOrDefault(request.model(), 0);
+      long reservedTarget = reservedTargetByModel.getOrDefault(request.model(), Long.MAX_VALUE);
+      if (failures >= MAX_FAILED_PLACEMENTS_PER_MODEL
+          || request.targets().firstReplyMillis() >= reservedTarget) {
         continue;
       }
       if (!tryDispatch(request, changed, nowMillis)) {
-        failedTries.merge(request.model(), 1, Integer::sum);
-        if (waiting.isLate(nowMillis)) {
-          reserved.merge(request.model(), request.targets().firstReplyMillis(), Math::min);
+        failuresByModel.merge(request.model(), 1, Integer::sum);
+        if (entry.isLate(nowMillis)) {
+          reservedTargetByModel.merge(
+              request.model(), request.targets().firstReplyMillis(), Math::min);
         }
       }
     }
   }
 
+  /** Dispatches the request if the policy chooses one of the backend servers. */
   private boolean tryDispatch(
-      RequestAttributes request, Collection<BackendServerState> among, long nowMillis) {
-    List<BackendServerState> able = eligibleBackends(request, among, nowMillis);
-    OutputLengths lengths = lengthsOf(request, nowMillis);
-    BackendChooser.ChoiceInput candidate =
-        new BackendChooser.ChoiceInput(request, lengths, headroomBlocks(request));
-    BackendChooser.Choice choice = chooser.choose(candidate, able, nowMillis);
+      RequestAttributes request, Collection<BackendServerState> candidates, long nowMillis) {
+    List<BackendServerState> eligible = eligibleBackends(request, candidates, nowMillis);
+    OutputLengths outputLengths = lengthsOf(request, nowMillis);
+    BackendChooser.ChoiceInput choiceInput =
+        new BackendChooser.ChoiceInput(request, outputLengths, headroomBlocks(request));
+    BackendChooser.Choice choice = chooser.choose(choiceInput, eligible, nowMillis);
     if (choice == null) {
       return false;
     }
-    BackendServerState server = choice.backend();
-    int running = server.totalOpenCount();
+    BackendServerState backend = choice.backend();
+    int openCount = backend.totalOpenCount();
     queue.remove(request.id());
-    backendByRequestId.put(request.id(), server);
-    server.addOpenRequest(new BackendServerState.OpenRequest(request, lengths, nowMillis));
-    long slack = request.firstReplyDueMillis() - nowMillis;
-    statsOf(request, nowMillis).recordDispatch(slack < 0);
+    backendByRequestId.put(request.id(), backend);
+    backend.addOpenRequest(new BackendServerState.OpenRequest(request, outputLengths, nowMillis));
+    long slackMillis = request.firstReplyDueMillis() - nowMillis;
+    statsOf(request, nowMillis).recordDispatch(slackMillis < 0);
     decisions.add(
         new RoutingDecision.Dispatch(
             request.id(),
-            server.name(),
+            backend.name(),
             priorityOf(request),
             new RoutingDecision.DispatchReason(
                 policy.policyName(),
                 choice.admissibleCount(),
-                slack,
+                slackMillis,
                 queue.size(),
                 choice.peakMemoryShare(),
-                running)));
+                openCount)));
     return true;
   }
 
+  /**
+   * Returns the backend servers that may run the request. Those that the request excludes are
+   * returned only if no other backend server is eligible.
+   */
   private List<BackendServerState> eligibleBackends(
-      RequestAttributes request, Collection<BackendServerState> among, long nowMillis) {
-    List<BackendServerState> able = new ArrayList<>();
+      RequestAttributes request, Collection<BackendServerState> candidates, long nowMillis) {
+    List<BackendServerState> eligible = new ArrayList<>();
     List<BackendServerState> excluded = new ArrayList<>();
-    for (BackendServerState server : among) {
-      if (!server.serves(request.model()) || ejector.isEjected(server.name(), nowMillis)) {
+    for (BackendServerState backend : candidates) {
+      if (!backend.serves(request.model()) || ejector.isEjected(backend.name(), nowMillis)) {
         continue;
       }
-      if (request.excludedServers().contains(server.name())) {
-        excluded.add(server);
+      if (request.excludedServers().contains(backend.name())) {
+        excluded.add(backend);
       } else {
-        able.add(server);
+        eligible.add(backend);
       }
     }
-    // A pass over a part of the servers says nothing of the rest.
-    boolean allTried = among.size() == backends.size();
-    return able.isEmpty() && allTried ? excluded : able;
+    // If only some backend servers were considered, a non-excluded one may exist among the rest.
+    boolean allConsidered = candidates.size() == backends.size();
+    return eligible.isEmpty() && allConsidered ? excluded : eligible;
   }
 
-  /** Returns the rank of the class by its first-reply target: the tightest is 0. */
+  /** Returns the rank of the class by its first-reply target: the shortest target has rank 0. */
   private int priorityOf(RequestAttributes request) {
-    long own = request.targets().firstReplyMillis();
+    long ownTarget = request.targets().firstReplyMillis();
     return (int)
         statsByClass.values().stream()
             .mapToLong(other -> other.targets().firstReplyMillis())
-            .filter(target -> target < own)
+            .filter(target -> target < ownTarget)
             .distinct()
             .count();
   }
 
-  /** Returns the memory to leave free on each server for the next arrivals of tighter classes. */
+  /**
+   * Returns the memory to leave free on each backend server for the next arrivals of classes with
+   * shorter first-reply targets, in blocks.
+   */
   private double headroomBlocks(RequestAttributes request) {
-    int serverCount = backendCountByModel.getOrDefault(request.model(), 0);
-    if (!(policy instanceof Policy.Forecast forecast) || serverCount == 0) {
+    int backendCount = backendCountByModel.getOrDefault(request.model(), 0);
+    if (!(policy instanceof Policy.Forecast forecast) || backendCount == 0) {
       return 0;
     }
     ForecastOptions options = forecast.options();
     double blocks = 0;
     for (Map.Entry<ClassKey, ClassStats> entry : statsByClass.entrySet()) {
       ClassStats other = entry.getValue();
-      boolean tighter =
+      boolean shorterTarget =
           other.targets().firstReplyMillis() < request.targets().firstReplyMillis()
               && entry.getKey().model().equals(request.model());
-      if (tighter) {
-        double arrivals = other.arrivalsPerSecond() * options.headroomMillis() / 1_000;
-        blocks += arrivals * timeSlots.count() * other.expectedFinalBlocks();
+      if (shorterTarget) {
+        double expectedArrivals = other.arrivalsPerSecond() * options.headroomMillis() / 1_000;
+        blocks += expectedArrivals * timeSlots.count() * other.expectedFinalBlocks();
       }
     }
-    return blocks / serverCount;
+    return blocks / backendCount;
   }
 
+  /**
+   * Sheds late requests whose model no backend server serves, and requests that can no longer meet
+   * their response target.
+   */
   private void shedUnservable(long nowMillis) {
     if (!(policy instanceof Policy.Forecast forecast) || !forecast.options().shedding()) {
       return;
     }
-    for (RequestQueue.Entry waiting : queue.inDueOrder()) {
-      RequestAttributes request = waiting.request();
-      if (!isServed(request.model()) && waiting.isLate(nowMillis)) {
+    for (RequestQueue.Entry entry : queue.inDueOrder()) {
+      RequestAttributes request = entry.request();
+      if (!isServed(request.model()) && entry.isLate(nowMillis)) {
         queue.remove(request.id());
         shed(request, RoutingDecision.ShedReason.NO_SERVER, nowMillis);
       } else if (cannotMeetResponseTarget(request, nowMillis)) {
@@ -410,9 +466,12 @@
 
   private void recountBackends() {
     backendCountByModel.clear();
-    for (BackendServerState server : backends.values()) {
-      if (server.usable()) {
-        server.report().models().forEach(m -> backendCountByModel.merge(m, 1, Integer::sum));
+    for (BackendServerState backend : backends.values()) {
+      if (backend.usable()) {
+        backend
+            .report()
+            .models()
+            .forEach(model -> backendCountByModel.merge(model, 1, Integer::sum));
       }
     }
   }
@@ -421,19 +480,23 @@
     return backendCountByModel.containsKey(model);
   }
 
-  /** Returns whether an answer of ordinary length cannot be whole in time any more. */
+  /**
+   * Returns whether a response of average length can no longer be complete within the target. The
+   * generation is assumed to take at most half of the response target.
+   */
   private boolean cannotMeetResponseTarget(RequestAttributes request, long nowMillis) {
-    double target = request.targets().gapMillis();
-    double gap = Math.min(medianTokenGapMillis(request.model()), target);
-    double run = lengthsOf(request, nowMillis).meanRemainingTokens(0) * gap;
-    double shortestRun = Math.min(run, 0.5 * request.targets().answerMillis());
-    return nowMillis + shortestRun > request.responseDueMillis();
+    double targetGapMillis = request.targets().gapMillis();
+    double gapMillis = Math.min(medianTokenGapMillis(request.model()), targetGapMillis);
+    double generationMillis = lengthsOf(request, nowMillis).meanRemainingTokens(0) * gapMillis;
+    double minGenerationMillis = Math.min(generationMillis, 0.5 * request.targets().answerMillis());
+    return nowMillis + minGenerationMillis > request.responseDueMillis();
   }
 
+  /** Returns the median of the backend servers' token gaps; 0 if none is known. */
   private double medianTokenGapMillis(String model) {
     double[] gaps =
         backends.values().stream()
-            .filter(server -> server.serves(model) && server.meanTokenGapMillis() > 0)
+            .filter(backend -> backend.serves(model) && backend.meanTokenGapMillis() > 0)
             .mapToDouble(BackendServerState::meanTokenGapMillis)
             .sorted()
             .toArray();
@@ -443,11 +506,13 @@
   private void shed(RequestAttributes request, RoutingDecision.ShedReason reason, long nowMillis) {
     ClassStats classStats = statsOf(request, nowMillis);
     classStats.recordShed();
-    double rate = Math.max(0.2, classStats.dispatchesPerSecond());
-    long retryAfter =
+    double dispatchesPerSecond = Math.max(0.2, classStats.dispatchesPerSecond());
+    long retryAfterMillis =
         Math.clamp(
-            (long) (queue.size() * 1_000 / rate), MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
-    decisions.add(new RoutingDecision.Shed(request.id(), retryAfter, reason));
+            (long) (queue.size() * 1_000 / dispatchesPerSecond),
+            MIN_RETRY_AFTER_MILLIS,
+            MAX_RETRY_AFTER_MILLIS);
+    decisions.add(new RoutingDecision.Shed(request.id(), retryAfterMillis, reason));
   }
 
   private ClassStats statsOf(RequestAttributes request, long nowMillis) {
--- a/src/main/java/org/curranthaven/internal/routing/RoutingDecision.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingDecision.java
@@ -1,47 +1,48 @@
 package org.curranthaven.internal.routing;
 
-/** What a {@link RoutingCore} decides. */
+/** Output of a {@link RoutingCore}. */
 public sealed interface RoutingDecision {
   /**
-   * Sends the request to a server.
+   * Dispatches the request to a backend server.
    *
    * @param requestId number of the request
-   * @param server name of the server
-   * @param priority priority to ask of the engine; lower is served first
-   * @param reason the figures that the decision rested on
+   * @param server name of the backend server
+   * @param priority priority to request from the engine; lower values are served first
+   * @param reason figures on which the decision was based
    */
   record Dispatch(long requestId, String server, int priority, DispatchReason reason)
       implements RoutingDecision {}
 
   /**
-   * Gives the request up: it was not sent to any server.
+   * Sheds the request, which was not sent to any backend server.
    *
    * @param requestId number of the request
-   * @param retryAfterMillis when the caller should come back, in milliseconds from now
-   * @param reason why
+   * @param retryAfterMillis delay after which the caller should retry, in milliseconds
+   * @param reason why the request was shed
    */
   record Shed(long requestId, long retryAfterMillis, ShedReason reason)
       implements RoutingDecision {}
 
-  /** Why a request was given up. */
+  /** Reason for which a request was shed. */
   enum ShedReason {
-    /** No server serves the model. */
+    /** No backend server serves the model. */
     NO_SERVER,
-    /** The answer can no longer be complete within the class's target. */
+    /** The response can no longer be complete within the class's target. */
     TARGET_UNREACHABLE,
-    /** The queue is full. */
+    /** The queue of the host is full. */
     QUEUE_FULL
   }
 
   /**
-   * Figures behind a dispatch.
+   * Figures on which a dispatch was based.
    *
    * @param policy name of the policy
-   * @param candidates number of servers that were admissible
-   * @param slackMillis time left to the first-reply target
-   * @param queued requests that waited at that moment
-   * @param peakMemoryShare forecast peak of the server's memory at the policy's quantile
-   * @param running requests counted on the server
+   * @param candidates number of backend servers that the policy could have chosen
+   * @param slackMillis time left until the first reply is due; negative if the request is late
+   * @param queued number of requests left in the queue
+   * @param peakMemoryShare forecast peak memory use at the policy's quantile, as a share of the
+   *     backend server's memory
+   * @param running number of requests open on the backend server before this one
    */
   record DispatchReason(
       String policy,
--- a/src/main/java/org/curranthaven/internal/routing/RoutingEvent.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingEvent.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** What a {@link RoutingCore} is told. */
+/** Input of a {@link RoutingCore}. Traces contain events as JSON, with the type names below. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "event")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = RoutingEvent.Arrived.class, name = "arrived"),
@@ -18,45 +18,54 @@
   @JsonSubTypes.Type(value = RoutingEvent.Tick.class, name = "tick"),
 })
 public sealed interface RoutingEvent {
-  /** A caller asked. */
+  /** A request has arrived. */
   record Arrived(RequestAttributes request) implements RoutingEvent {}
 
-  /** The caller of a request that was not yet dispatched has gone. */
+  /** The caller of a request that is not yet dispatched no longer waits for it. */
   record Abandoned(long requestId) implements RoutingEvent {}
 
   /** A dispatched request has produced {@code tokens} tokens so far. */
   record Progressed(long requestId, int tokens) implements RoutingEvent {}
 
-  /** A dispatched request has ended on its server. */
+  /**
+   * A dispatched request has ended on its backend server.
+   *
+   * @param tokens number of output tokens produced
+   * @param ending outcome of the request
+   */
   record Finished(long requestId, int tokens, RequestOutcome ending) implements RoutingEvent {}
 
-  /** A server reported its load. */
+  /** A backend server has reported its load. */
   record BackendReported(BackendReport report) implements RoutingEvent {}
 
-  /** A server may not be used any longer. */
+  /** A backend server is no longer available. */
   record BackendRemoved(String server) implements RoutingEvent {}
 
-  /** Another host told what it has open on servers. */
+  /** Another host has sent an update of its open requests. */
   record SharesReported(String host, ShareUpdate update) implements RoutingEvent {}
 
-  /** Another host has gone, and what it had open with it. */
+  /** Another host was removed, and its open requests with it. */
   record HostRemoved(String host) implements RoutingEvent {}
 
-  /** A server's cache holds a prefix, or no longer does. */
+  /**
+   * A prefix was added to or evicted from a backend server's cache.
+   *
+   * @param present whether the cache now contains the prefix
+   */
   record PrefixCached(String server, long prefixHash, boolean present) implements RoutingEvent {}
 
-  /** Time has passed. */
+  /** Periodic event: updates statistics, sheds requests and retries queued ones. */
   record Tick() implements RoutingEvent {}
 
-  /** How a request ended on its server. */
+  /** Outcome of a dispatched request on its backend server. */
   enum RequestOutcome {
-    /** The whole answer came. */
+    /** The complete response was received. */
     COMPLETED,
-    /** The caller has gone or the request was cancelled. */
+    /** The caller disconnected or the request was cancelled. */
     CANCELLED,
-    /** The server refused to run it. */
+    /** The backend server rejected the request. */
     REFUSED,
-    /** The server failed or was lost. */
+    /** The backend server failed or the connection to it was lost. */
     FAILED
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/WorkspaceLimiter.java
+++ b/src/main/java/org/curranthaven/internal/routing/WorkspaceLimiter.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * Holds workspaces to their requests a second over all hosts: each host allows an equal share of
- * the limit, saved up for at most {@link #BURST_MILLIS}.
+ * Rate limiter that enforces each workspace's limit of requests a second over all hosts: each host
+ * allows an equal share of the limit from a token bucket that holds at most {@link #BURST_MILLIS}
+ * of that share.
  *
- * <p>Error: while a balancer spreads requests evenly, the fleet allows between the limit and the
- * limit plus one request a host at once; a workspace that reaches only k of n hosts gets k/n of its
- * limit. Not thread-safe.
+ * <p>Accuracy: while a load balancer spreads requests evenly, the fleet allows between the limit
+ * and the limit plus one simultaneous request per host; a workspace that reaches only k of n hosts
+ * gets k/n of its limit. Not thread-safe.
  */
 public final class WorkspaceLimiter {
-  /** Time for which an unused share is saved up, in milliseconds. */
+  /** Time over which an unused share accumulates, in milliseconds. */
   public static final long BURST_MILLIS = 1_000;
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -29,26 +30,26 @@
   }
 
   /**
-   * Takes a request of the workspace from its share.
+   * Takes one request out of the workspace's share if the limit allows it.
    *
    * @param requestsPerSecond limit over all hosts; 0 means no limit
-   * @param hosts number of hosts, this one included
-   * @return 0 if the request is allowed, else the time to wait, in milliseconds
+   * @param hosts number of hosts, including this one
+   * @return 0 if the request is allowed, else the delay after which it will be, in milliseconds
    */
   public long tryAcquire(String workspace, double requestsPerSecond, int hosts, long nowMillis) {
     if (requestsPerSecond <= 0) {
       return 0;
     }
-    double perMillis = requestsPerSecond / Math.max(1, hosts) / MILLIS_PER_SECOND;
+    double tokensPerMilli = requestsPerSecond / Math.max(1, hosts) / MILLIS_PER_SECOND;
     Bucket bucket = buckets.computeIfAbsent(workspace, name -> new Bucket(nowMillis));
-    double most = Math.max(1, perMillis * BURST_MILLIS);
-    double filled = bucket.tokens + perMillis * (nowMillis - bucket.refilledAtMillis);
-    bucket.tokens = Math.min(most, filled);
+    double capacity = Math.max(1, tokensPerMilli * BURST_MILLIS);
+    double refilled = bucket.tokens + tokensPerMilli * (nowMillis - bucket.refilledAtMillis);
+    bucket.tokens = Math.min(capacity, refilled);
     bucket.refilledAtMillis = nowMillis;
     if (bucket.tokens >= 1) {
       bucket.tokens--;
       return 0;
     }
-    return (long) Math.ceil((1 - bucket.tokens) / perMillis);
+    return (long) Math.ceil((1 - bucket.tokens) / tokensPerMilli);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/package-info.java
+++ b/src/main/java/org/curranthaven/internal/routing/package-info.java
@@ -1,4 +1,7 @@
-/** Choice of a backend server for each request, as a pure core. */
+/**
+ * Selection of a backend server for each request, as a deterministic core without threads, clocks
+ * or I/O.
+ */
 @NullMarked
 package org.curranthaven.internal.routing;
 
--- a/src/test/java/org/curranthaven/internal/routing/LengthModelTest.java
+++ b/src/test/java/org/curranthaven/internal/routing/LengthModelTest.java
@@ -8,13 +8,13 @@
 
 class LengthModelTest {
   @Test
-  void before_any_output_the_prior_mean_is_assumed() {
+  void mean_length_is_the_prior_mean_before_any_output() {
     assertThat(new LengthModel().meanRemainingTokens(0))
         .isCloseTo(LengthModel.PRIOR_MEAN_TOKENS, within(40.0));
   }
 
   @Test
-  void the_remaining_length_is_conditional_on_what_was_produced() {
+  void remaining_length_is_conditional_on_the_tokens_produced() {
     LengthModel model = new LengthModel();
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 1_000; i++) {
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void survival_never_rises_with_length() {
+  void survival_never_increases_with_length() {
     LengthModel model = new LengthModel();
     SplittableRandom random = new SplittableRandom(2);
     for (int i = 0; i < 500; i++) {
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void old_outputs_are_forgotten() {
+  void old_outputs_are_discarded() {
     LengthModel model = new LengthModel();
     for (int i = 0; i < LengthModel.WINDOW_OUTPUTS; i++) {
       model.record(1_000);
--- a/src/test/java/org/curranthaven/internal/routing/WorkspaceLimiterTest.java
+++ b/src/test/java/org/curranthaven/internal/routing/WorkspaceLimiterTest.java
@@ -8,15 +8,15 @@
 
 class WorkspaceLimiterTest {
   @Test
-  void a_flooding_workspace_is_held_to_its_limit_over_all_hosts_within_the_stated_error() {
+  void workspace_limit_holds_over_all_hosts_within_the_documented_accuracy() {
     int hosts = 8;
     List<WorkspaceLimiter> limiters = new ArrayList<>();
     for (int i = 0; i < hosts; i++) {
       limiters.add(new WorkspaceLimiter());
     }
     int allowed = 0;
-    for (long now = 0; now < 10_000; now++) {
-      if (limiters.get((int) (now % hosts)).tryAcquire("flood", 20, hosts, now) == 0) {
+    for (long nowMillis = 0; nowMillis < 10_000; nowMillis++) {
+      if (limiters.get((int) (nowMillis % hosts)).tryAcquire("busy", 20, hosts, nowMillis) == 0) {
         allowed++;
       }
     }
@@ -24,19 +24,19 @@
   }
 
   @Test
-  void one_workspace_does_not_use_up_another_ones_share() {
+  void workspace_at_its_limit_does_not_affect_another_workspace() {
     WorkspaceLimiter limiter = new WorkspaceLimiter();
-    assertThat(limiter.tryAcquire("flood", 1, 1, 0)).isZero();
-    assertThat(limiter.tryAcquire("flood", 1, 1, 0)).isEqualTo(1_000);
+    assertThat(limiter.tryAcquire("busy", 1, 1, 0)).isZero();
+    assertThat(limiter.tryAcquire("busy", 1, 1, 0)).isEqualTo(1_000);
 
     assertThat(limiter.tryAcquire("other", 1, 1, 0)).isZero();
   }
 
   @Test
-  void a_workspace_without_a_limit_is_never_held() {
+  void workspace_without_a_limit_is_always_allowed() {
     WorkspaceLimiter limiter = new WorkspaceLimiter();
     for (int i = 0; i < 1_000; i++) {
-      assertThat(limiter.tryAcquire("free", 0, 8, 0)).isZero();
+      assertThat(limiter.tryAcquire("unlimited", 0, 8, 0)).isZero();
     }
   }
 }
