--- a/src/main/java/org/curranthaven/internal/routing/BackendChooser.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendChooser.java
@@ -7,83 +7,90 @@
 import java.util.random.RandomGenerator;
 import org.jspecify.annotations.Nullable;
 
-/** Chooses a server for a request by a {@link Policy}. Not thread-safe. */
+/** Chooses a backend server for a request according to a {@link Policy}. Not thread-safe. */
 final class BackendChooser {
-  private static final MemoryForecast NOTHING = new MemoryForecast();
+  private static final MemoryForecast EMPTY_FORECAST = new MemoryForecast();
 
   private final Policy policy;
   private final RandomGenerator random;
   private final HostTimeSlots timeSlots;
-  private int next;
+  private int nextRoundRobinIndex;
 
-  BackendChooser(Policy policy, RandomGenerator random, HostTimeSlots turns) {
+  BackendChooser(Policy policy, RandomGenerator random, HostTimeSlots timeSlots) {
     this.policy = policy;
-    this.timeSlots = turns;
+    this.timeSlots = timeSlots;
     this.random = random;
   }
 
   /**
-   * A request with what the choice needs beside it.
+   * A request and the further input of the choice.
    *
-   * @param lengths distribution of its output length
-   * @param headroomBlocks memory to leave free on each server for tighter classes
+   * @param outputLengths distribution of the request's output length
+   * @param headroomBlocks memory to leave free on each backend server for classes with shorter
+   *     targets, in blocks
    */
-  record Candidate(RequestAttributes request, OutputLengths lengths, double headroomBlocks) {}
+  record ChoiceInput(
+      RequestAttributes request, OutputLengths outputLengths, double headroomBlocks) {}
 
   /**
-   * A chosen server.
+   * A chosen backend server.
    *
-   * @param admissible number of servers that could have been chosen
-   * @param peakMemoryShare forecast peak of its memory
+   * @param admissibleCount number of backend servers that could have been chosen
+   * @param peakMemoryShare forecast peak memory use, as a share of the backend server's memory; 0
+   *     under a baseline policy
    */
-  record Choice(BackendServerState server, int admissible, double peakMemoryShare) {}
+  record Choice(BackendServerState backend, int admissibleCount, double peakMemoryShare) {}
 
-  /** Returns the choice among {@code servers}, or null to hold the request. */
-  @Nullable Choice choose(Candidate candidate, List<BackendServerState> servers, long nowMillis) {
-    if (servers.isEmpty()) {
+  /** Returns a choice among {@code backends}, or null if the request must stay in the queue. */
+  @Nullable Choice choose(ChoiceInput input, List<BackendServerState> backends, long nowMillis) {
+    if (backends.isEmpty()) {
       return null;
     }
     return switch (policy) {
-      case Policy.RoundRobin ignored -> of(servers.get(next++ % servers.size()), servers);
+      case Policy.RoundRobin ignored ->
+          baselineChoice(backends.get(nextRoundRobinIndex++ % backends.size()), backends);
       case Policy.LeastOutstanding ignored ->
-          of(
-              Collections.min(servers, Comparator.comparingInt(BackendServerState::ownOpen)),
-              servers);
-      case Policy.LeastLoad ignored -> of(Collections.min(servers, BY_REPORTED_LOAD), servers);
-      case Policy.PowerOfTwo ignored -> of(betterOfTwo(servers), servers);
+          baselineChoice(
+              Collections.min(backends, Comparator.comparingInt(BackendServerState::ownOpenCount)),
+              backends);
+      case Policy.LeastLoad ignored ->
+          baselineChoice(Collections.min(backends, BY_REPORTED_LOAD), backends);
+      case Policy.PowerOfTwo ignored -> baselineChoice(lessLoadedOfTwo(backends), backends);
       case Policy.Forecast forecast ->
-          chooseByForecast(candidate, servers, forecast.options(), nowMillis);
+          chooseByForecast(input, backends, forecast.options(), nowMillis);
     };
   }
 
   private static final Comparator<BackendServerState> BY_REPORTED_LOAD =
       Comparator.<BackendServerState>comparingDouble(
-              server ->
-                  (double) server.report().blocksUsed()
-                      / Math.max(1, server.report().blocksTotal()))
-          .thenComparingInt(server -> server.report().running() + server.report().waiting());
+              backend ->
+                  (double) backend.report().blocksUsed()
+                      / Math.max(1, backend.report().blocksTotal()))
+          .thenComparingInt(backend -> backend.report().running() + backend.report().waiting());
 
-  private static Choice of(BackendServerState server, List<BackendServerState> servers) {
-    return new Choice(server, servers.size(), 0);
+  private static Choice baselineChoice(
+      BackendServerState backend, List<BackendServerState> backends) {
+    return new Choice(backend, backends.size(), 0);
   }
 
-  private BackendServerState betterOfTwo(List<BackendServerState> servers) {
-    BackendServerState first = servers.get(random.nextInt(servers.size()));
-    BackendServerState second = servers.get(random.nextInt(servers.size()));
+  private BackendServerState lessLoadedOfTwo(List<BackendServerState> backends) {
+    BackendServerState first = backends.get(random.nextInt(backends.size()));
+    BackendServerState second = backends.get(random.nextInt(backends.size()));
     return BY_REPORTED_LOAD.compare(first, second) <= 0 ? first : second;
   }
 
   private @Nullable Choice chooseByForecast(
-      Candidate candidate,
-      List<BackendServerState> servers,
+      ChoiceInput input,
+      List<BackendServerState> backends,
       ForecastOptions options,
       long nowMillis) {
-    MemoryForecast added = new MemoryForecast();
-    RequestAttributes request = candidate.request();
-    added.add(candidate.lengths(), request.promptTokens(), 0, request.maxOutputTokens());
-    List<Scored> admissible = new ArrayList<>();
-    for (BackendServerState server : servers) {
-      Scored scored = score(candidate, added, server, options, nowMillis);
+    MemoryForecast requestForecast = new MemoryForecast();
+    RequestAttributes request = input.request();
+    requestForecast.add(
+        input.outputLengths(), request.promptTokens(), 0, request.maxOutputTokens());
+    List<ScoredBackend> admissible = new ArrayList<>();
+    for (BackendServerState backend : backends) {
+      ScoredBackend scored = score(input, requestForecast, backend, options, nowMillis);
       if (scored != null) {
         admissible.add(scored);
       }
@@ -91,75 +98,90 @@
     if (admissible.isEmpty()) {
       return null;
     }
-    Scored best = Collections.min(sample(admissible, options), Comparator.comparing(Scored::cost));
-    return new Choice(best.server(), admissible.size(), best.peakShare());
+    ScoredBackend best =
+        Collections.min(sample(admissible, options), Comparator.comparing(ScoredBackend::cost));
+    return new Choice(best.backend(), admissible.size(), best.peakMemoryShare());
   }
 
-  private List<Scored> sample(List<Scored> admissible, ForecastOptions options) {
-    int wanted = options.sampledServers();
-    if (wanted <= 0 || admissible.size() <= wanted) {
+  /** Returns a random sample of the admissible backend servers; reorders the list. */
+  private List<ScoredBackend> sample(List<ScoredBackend> admissible, ForecastOptions options) {
+    int sampleSize = options.sampledServers();
+    if (sampleSize <= 0 || admissible.size() <= sampleSize) {
       return admissible;
     }
-    List<Scored> drawn = new ArrayList<>(wanted);
-    for (int i = 0; i < wanted; i++) {
+    List<ScoredBackend> sample = new ArrayList<>(sampleSize);
+    for (int i = 0; i < sampleSize; i++) {
       int j = random.nextInt(i, admissible.size());
       Collections.swap(admissible, i, j);
-      drawn.add(admissible.get(i));
+      sample.add(admissible.get(i));
     }
-    return drawn;
+    return sample;
   }
 
-  private record Scored(BackendServerState server, double cost, double peakShare) {}
+  /** An admissible backend server; the one with the lowest cost is preferred. */
+  private record ScoredBackend(BackendServerState backend, double cost, double peakMemoryShare) {}
 
-  private @Nullable Scored score(
-      Candidate candidate,
-      MemoryForecast added,
-      BackendServerState server,
+  /** Returns the backend server with its cost, or null if it is not admissible. */
+  private @Nullable ScoredBackend score(
+      ChoiceInput input,
+      MemoryForecast requestForecast,
+      BackendServerState backend,
       ForecastOptions options,
       long nowMillis) {
-    RequestAttributes request = candidate.request();
-    BackendReport report = server.report();
-    int running = server.totalRunning();
+    RequestAttributes request = input.request();
+    BackendReport report = backend.report();
+    int openCount = backend.totalOpenCount();
     int batchLimit = batchLimit(report, options, nowMillis);
-    if (running >= batchLimit) {
+    if (openCount >= batchLimit) {
       return null;
     }
-    int others = timeSlots.count() - 1;
-    boolean roomForAll = running + others < batchLimit;
-    double peakShare = 0;
+    int otherHosts = timeSlots.count() - 1;
+    boolean fitsOneFromEachHost = openCount + otherHosts < batchLimit;
+    double peakMemoryShare = 0;
     if (report.blocksTotal() > 0) {
-      double limit = options.memoryShare() * report.blocksTotal() - candidate.headroomBlocks();
-      if (running > 0 && server.blocksNow() + added.blocksNow() > limit) {
+      double limitBlocks = options.memoryShare() * report.blocksTotal() - input.headroomBlocks();
+      if (openCount > 0
+          && backend.currentBlocks() + requestForecast.currentBlocks() > limitBlocks) {
         return null;
       }
-      double peak =
-          server.forecast().peakBlocks(added, options.deviations(), server.unexplainedBlocks());
-      if (running > 0 && peak > limit) {
+      double peakBlocks =
+          backend
+              .forecast()
+              .peakBlocks(requestForecast, options.deviations(), backend.unattributedBlocks());
+      if (openCount > 0 && peakBlocks > limitBlocks) {
         return null;
       }
-      roomForAll &= peak + others * added.peakBlocks(NOTHING, 0, 0) <= limit;
-      peakShare = peak / report.blocksTotal();
+      fitsOneFromEachHost &=
+          peakBlocks + otherHosts * requestForecast.peakBlocks(EMPTY_FORECAST, 0, 0) <= limitBlocks;
+      peakMemoryShare = peakBlocks / report.blocksTotal();
     }
-    if (!roomForAll && !timeSlots.hasTurn(report.name(), nowMillis, options.turnMillis())) {
+    if (!fitsOneFromEachHost
+        && !timeSlots.ownsSlot(report.name(), nowMillis, options.turnMillis())) {
       return null;
     }
-    double trust =
-        server.prefixTrust(request.prefixHash(), nowMillis, options.prefixHalfLifeMillis());
-    double batch = Math.max(1, report.maxBatch());
+    double prefixConfidence =
+        backend.prefixCacheConfidence(
+            request.prefixHash(), nowMillis, options.prefixHalfLifeMillis());
+    double batchSize = Math.max(1, report.maxBatch());
     double jitter = random.nextDouble() * 0.01;
     double cost =
-        peakShare + running / batch - trust * options.prefixBonusRequests() / batch + jitter;
-    return new Scored(server, cost, peakShare);
+        peakMemoryShare
+            + openCount / batchSize
+            - prefixConfidence * options.prefixBonusRequests() / batchSize
+            + jitter;
+    return new ScoredBackend(backend, cost, peakMemoryShare);
   }
 
+  /** Returns how many requests the backend server may run now: fewer while it is in slow start. */
   private static int batchLimit(BackendReport report, ForecastOptions options, long nowMillis) {
     int limit = report.maxBatch() == 0 ? Integer.MAX_VALUE : report.maxBatch();
-    // No difference to a server that has been ready for ever may overflow.
+    // Compares by addition: the readiness time may be as low as Long.MIN_VALUE, for which the age
+    // would overflow.
     if (report.loadedAtMillis() + options.rampMillis() <= nowMillis) {
       return limit;
     }
-    double age = nowMillis - report.loadedAtMillis();
-    double share = Math.max(0.1, age / options.rampMillis());
-    return (int) Math.max(1, Math.min(limit, 1_000) * share);
+    double ageMillis = nowMillis - report.loadedAtMillis();
+    double rampedShare = Math.max(0.1, ageMillis / options.rampMillis());
+    return (int) Math.max(1, Math.min(limit, 1_000) * rampedShare);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/BackendServerState.java
+++ b/src/main/java/org/curranthaven/internal/routing/BackendServerState.java
@@ -5,18 +5,23 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** What this host knows of one server. Not thread-safe. */
+/** This host's view of one backend server: its load, open requests and cache. Not thread-safe. */
 final class BackendServerState {
-  /** Prefixes remembered for one server. */
+  /** Largest number of cached prefixes tracked for a backend server. */
   private static final int MAX_PREFIXES = 4_096;
 
-  /** Weight of the newest gap in the running mean. */
-  private static final double GAP_WEIGHT = 0.1;
+  /** Weight of the newest gap in the moving average. */
+  private static final double NEWEST_GAP_WEIGHT = 0.1;
+
+  private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
+
+  /** Open requests of the other hosts on this backend server. */
+  private final Map<String, HostShare> sharesByHost = new HashMap<>();
 
-  private final Map<Long, OpenRequest> open = new LinkedHashMap<>();
-  private final Map<String, HostShare> shares = new HashMap<>();
   private final MemoryForecast forecast = new MemoryForecast();
-  private final LinkedHashMap<Long, Long> prefixes =
+
+  /** Time of the last cache event of each prefix hash, oldest first. */
+  private final LinkedHashMap<Long, Long> prefixSeenAtMillis =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -25,28 +30,34 @@
           return size() > MAX_PREFIXES;
         }
       };
+
   private BackendReport report;
   private boolean usable = true;
-  private double unexplainedBlocks;
-  private int unexplainedRunning;
-  private double gapMillis;
 
-  /** A request that this host has open on the server. */
+  /** Reported memory use that no known request accounts for, in blocks. */
+  private double unattributedBlocks;
+
+  /** Reported requests that this host knows nothing else of. */
+  private int unattributedRequests;
+
+  private double meanTokenGapMillis;
+
+  /** A request of this host that is open on the backend server. */
   static final class OpenRequest {
     final RequestAttributes request;
-    final OutputLengths lengths;
+    final OutputLengths outputLengths;
     final long dispatchedAtMillis;
-    int produced;
+    int producedTokens;
     long lastTokenAtMillis;
 
     OpenRequest(RequestAttributes request, OutputLengths lengths, long dispatchedAtMillis) {
       this.request = request;
-      this.lengths = lengths;
+      this.outputLengths = lengths;
       this.dispatchedAtMillis = dispatchedAtMillis;
     }
 
-    int tokensNow() {
-      return request.promptTokens() + produced;
+    int currentTokens() {
+      return request.promptTokens() + producedTokens;
     }
   }
 
@@ -74,78 +85,87 @@
     return usable && report.models().contains(model);
   }
 
-  /** Takes a new report in and works out the load that no known request explains. */
-  void reported(BackendReport newReport) {
+  /** Handles a new report and computes the load that no known request accounts for. */
+  void updateReport(BackendReport newReport) {
     report = newReport;
     usable = true;
     double knownBlocks = 0;
-    int known = 0;
-    for (OpenRequest request : open.values()) {
-      if (request.dispatchedAtMillis <= newReport.sentAtMillis()) {
-        knownBlocks += MemoryForecast.blocksOf(request.tokensNow());
-        known++;
+    int knownRequests = 0;
+    for (OpenRequest openRequest : openRequests.values()) {
+      if (openRequest.dispatchedAtMillis <= newReport.sentAtMillis()) {
+        knownBlocks += MemoryForecast.blocksOf(openRequest.currentTokens());
+        knownRequests++;
       }
     }
-    for (HostShare share : shares.values()) {
-      knownBlocks += share.forecast().blocksNow();
-      known += share.running();
+    for (HostShare share : sharesByHost.values()) {
+      knownBlocks += share.forecast().currentBlocks();
+      knownRequests += share.running();
     }
-    unexplainedBlocks = Math.max(0, newReport.blocksUsed() - knownBlocks);
-    unexplainedRunning = Math.max(0, newReport.running() + newReport.waiting() - known);
+    unattributedBlocks = Math.max(0, newReport.blocksUsed() - knownBlocks);
+    unattributedRequests = Math.max(0, newReport.running() + newReport.waiting() - knownRequests);
     refreshForecast();
   }
 
   void setShare(String host, HostShare share) {
-    shares.put(host, share);
+    sharesByHost.put(host, share);
     refreshForecast();
   }
 
   void removeShare(String host) {
-    if (shares.remove(host) != null) {
+    if (sharesByHost.remove(host) != null) {
       refreshForecast();
     }
   }
 
-  void opened(OpenRequest request) {
-    open.put(request.request.id(), request);
+  void addOpenRequest(OpenRequest openRequest) {
+    openRequests.put(openRequest.request.id(), openRequest);
     forecast.add(
-        request.lengths, request.tokensNow(), request.produced, request.request.maxOutputTokens());
+        openRequest.outputLengths,
+        openRequest.currentTokens(),
+        openRequest.producedTokens,
+        openRequest.request.maxOutputTokens());
   }
 
-  void progressed(long requestId, int tokens, long nowMillis) {
-    OpenRequest request = open.get(requestId);
-    if (request == null || tokens <= request.produced) {
+  /** Records that a request has produced {@code producedTokens} tokens so far. */
+  void recordProgress(long requestId, int producedTokens, long nowMillis) {
+    OpenRequest openRequest = openRequests.get(requestId);
+    if (openRequest == null || producedTokens <= openRequest.producedTokens) {
       return;
     }
-    if (request.produced > 0) {
-      double gap = (double) (nowMillis - request.lastTokenAtMillis) / (tokens - request.produced);
-      gapMillis = gapMillis == 0 ? gap : gapMillis + GAP_WEIGHT * (gap - gapMillis);
+    if (openRequest.producedTokens > 0) {
+      double gap =
+          (double) (nowMillis - openRequest.lastTokenAtMillis)
+              / (producedTokens - openRequest.producedTokens);
+      meanTokenGapMillis =
+          meanTokenGapMillis == 0
+              ? gap
+              : meanTokenGapMillis + NEWEST_GAP_WEIGHT * (gap - meanTokenGapMillis);
     }
-    request.produced = tokens;
-    request.lastTokenAtMillis = nowMillis;
+    openRequest.producedTokens = producedTokens;
+    openRequest.lastTokenAtMillis = nowMillis;
   }
 
   @Nullable OpenRequest openRequest(long requestId) {
-    return open.get(requestId);
+    return openRequests.get(requestId);
   }
 
-  void closed(long requestId) {
-    if (open.remove(requestId) != null) {
+  void removeOpenRequest(long requestId) {
+    if (openRequests.remove(requestId) != null) {
       refreshForecast();
     }
   }
 
-  /** Computes the forecast anew from all open requests and other hosts' shares. */
+  /** Recomputes the forecast from all open requests and other hosts' shares. */
   void refreshForecast() {
     forecast.clear();
-    for (OpenRequest request : open.values()) {
+    for (OpenRequest openRequest : openRequests.values()) {
       forecast.add(
-          request.lengths,
-          request.tokensNow(),
-          request.produced,
-          request.request.maxOutputTokens());
+          openRequest.outputLengths,
+          openRequest.currentTokens(),
+          openRequest.producedTokens,
+          openRequest.request.maxOutputTokens());
     }
-    for (HostShare share : shares.values()) {
+    for (HostShare share : sharesByHost.values()) {
       forecast.add(share.forecast());
     }
   }
@@ -154,57 +174,63 @@
     return forecast;
   }
 
-  /** Returns the forecast of this host's own requests only. */
+  /** Returns the forecast of this host's open requests only. */
   MemoryForecast ownForecast() {
     MemoryForecast own = new MemoryForecast();
-    for (OpenRequest request : open.values()) {
+    for (OpenRequest openRequest : openRequests.values()) {
       own.add(
-          request.lengths,
-          request.tokensNow(),
-          request.produced,
-          request.request.maxOutputTokens());
+          openRequest.outputLengths,
+          openRequest.currentTokens(),
+          openRequest.producedTokens,
+          openRequest.request.maxOutputTokens());
     }
     return own;
   }
 
-  /** Returns the memory counted as used now, in blocks. */
-  double blocksNow() {
-    return forecast.blocksNow() + unexplainedBlocks;
+  /** Returns the estimated memory use at present, in blocks. */
+  double currentBlocks() {
+    return forecast.currentBlocks() + unattributedBlocks;
   }
 
-  double unexplainedBlocks() {
-    return unexplainedBlocks;
+  double unattributedBlocks() {
+    return unattributedBlocks;
   }
 
-  int ownOpen() {
-    return open.size();
+  /** Returns the number of this host's open requests. */
+  int ownOpenCount() {
+    return openRequests.size();
   }
 
-  /** Returns the requests counted on the server: own, other hosts' and unexplained ones. */
-  int totalRunning() {
-    int total = open.size() + unexplainedRunning;
-    for (HostShare share : shares.values()) {
+  /**
+   * Returns the estimated number of open requests: this host's, the other hosts' and those that
+   * only the report accounts for.
+   */
+  int totalOpenCount() {
+    int total = openRequests.size() + unattributedRequests;
+    for (HostShare share : sharesByHost.values()) {
       total += share.running();
     }
     return total;
   }
 
-  double gapMillis() {
-    return gapMillis;
+  /** Returns the moving average of the time between two tokens; 0 if not yet known. */
+  double meanTokenGapMillis() {
+    return meanTokenGapMillis;
   }
 
-  void prefixCached(long prefixHash, boolean present, long nowMillis) {
+  /** Records whether the backend server's cache contains the prefix. */
+  void recordPrefix(long prefixHash, boolean present, long nowMillis) {
     if (present) {
-      prefixes.remove(prefixHash);
-      prefixes.put(prefixHash, nowMillis);
+      prefixSeenAtMillis.remove(prefixHash);
+      prefixSeenAtMillis.put(prefixHash, nowMillis);
     } else {
-      prefixes.remove(prefixHash);
+      prefixSeenAtMillis.remove(prefixHash);
     }
   }
 
-  /** Returns how far to trust that the server's cache holds the prefix, from 0 to 1. */
-  double prefixTrust(long prefixHash, long nowMillis, double halfLifeMillis) {
-    Long at = prefixHash == 0 ? null : prefixes.get(prefixHash);
-    return at == null ? 0 : Math.pow(0.5, (nowMillis - at) / halfLifeMillis);
+  /** Returns the confidence that the backend server's cache contains the prefix, from 0 to 1. */
+  double prefixCacheConfidence(long prefixHash, long nowMillis, double halfLifeMillis) {
+    Long seenAtMillis = prefixHash == 0 ? null : prefixSeenAtMillis.get(prefixHash);
+    return seenAtMillis == null ? 0 : Math.pow(0.5, (nowMillis - seenAtMillis) / halfLifeMillis);
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/ClassStats.java
+++ b/src/main/java/org/curranthaven/internal/routing/ClassStats.java
@@ -2,13 +2,20 @@
 
 import org.curranthaven.api.Targets;
 
-/** Running figures of one class on one model. Not thread-safe. */
+/** Moving averages of the requests of one service class on one model. Not thread-safe. */
 final class ClassStats {
   private static final long WINDOW_MILLIS = 1_000;
-  private static final double WINDOW_WEIGHT = 0.3;
-  private static final double MISS_WEIGHT = 0.05;
 
-  final LengthModel lengths = new LengthModel();
+  /** Number of elapsed windows beyond which the remaining ones are skipped. */
+  private static final int MAX_CATCH_UP_WINDOWS = 60;
+
+  /** Weight of the newest window in the moving averages of rates. */
+  private static final double NEWEST_WINDOW_WEIGHT = 0.3;
+
+  /** Weight of the newest request in the moving averages over requests. */
+  private static final double NEWEST_REQUEST_WEIGHT = 0.05;
+
+  final LengthModel outputLengths = new LengthModel();
   private Targets targets;
   private long windowStartMillis;
   private int windowArrivals;
@@ -27,38 +34,41 @@
     return targets;
   }
 
-  void arrived(RequestAttributes request) {
+  void recordArrival(RequestAttributes request) {
     targets = request.targets();
     windowArrivals++;
     meanPromptTokens =
         meanPromptTokens == 0
             ? request.promptTokens()
-            : meanPromptTokens + MISS_WEIGHT * (request.promptTokens() - meanPromptTokens);
+            : meanPromptTokens
+                + NEWEST_REQUEST_WEIGHT * (request.promptTokens() - meanPromptTokens);
   }
 
-  void dispatched(boolean late) {
+  void recordDispatch(boolean late) {
     windowDispatches++;
-    missShare += MISS_WEIGHT * ((late ? 1 : 0) - missShare);
+    missShare += NEWEST_REQUEST_WEIGHT * ((late ? 1 : 0) - missShare);
   }
 
-  void shed() {
-    missShare += MISS_WEIGHT * (1 - missShare);
+  /** Records a shed request, which counts as a missed first-reply target. */
+  void recordShed() {
+    missShare += NEWEST_REQUEST_WEIGHT * (1 - missShare);
   }
 
-  void advance(long nowMillis) {
+  /** Closes every window that has ended by {@code nowMillis} and updates the rates. */
+  void advanceWindow(long nowMillis) {
     while (nowMillis - windowStartMillis >= WINDOW_MILLIS) {
       windowStartMillis += WINDOW_MILLIS;
-      arrivalsPerSecond += WINDOW_WEIGHT * (windowArrivals - arrivalsPerSecond);
-      dispatchesPerSecond += WINDOW_WEIGHT * (windowDispatches - dispatchesPerSecond);
+      arrivalsPerSecond += NEWEST_WINDOW_WEIGHT * (windowArrivals - arrivalsPerSecond);
+      dispatchesPerSecond += NEWEST_WINDOW_WEIGHT * (windowDispatches - dispatchesPerSecond);
       windowArrivals = 0;
       windowDispatches = 0;
-      if (nowMillis - windowStartMillis > 60 * WINDOW_MILLIS) {
+      if (nowMillis - windowStartMillis > MAX_CATCH_UP_WINDOWS * WINDOW_MILLIS) {
         windowStartMillis = nowMillis;
       }
     }
   }
 
-  /** Returns the share of recent first replies that missed the target. */
+  /** Returns the share of recent requests that were dispatched late or shed. */
   double missShare() {
     return missShare;
   }
@@ -71,8 +81,8 @@
     return arrivalsPerSecond;
   }
 
-  /** Returns the memory that a typical request of the class takes by its end, in blocks. */
-  double typicalBlocks() {
-    return MemoryForecast.blocksOf((int) (meanPromptTokens + lengths.meanRemaining(0)));
+  /** Returns the memory that a request of average length uses at its end, in blocks. */
+  double expectedFinalBlocks() {
+    return MemoryForecast.blocksOf((int) (meanPromptTokens + outputLengths.meanRemainingTokens(0)));
   }
 }
--- a/src/main/java/org/curranthaven/internal/routing/ShareUpdatePolicy.java
+++ b/src/main/java/org/curranthaven/internal/routing/ShareUpdatePolicy.java
@@ -6,36 +6,38 @@
 import java.util.Map;
 
 /**
- * Chooses which of a host's shares to tell the others: those whose number of requests has changed,
- * and all of them once a second. Not thread-safe.
+ * Decides which of a host's shares go into the next update to the other hosts: those whose number
+ * of requests has changed since the last update, and all of them once a second. Not thread-safe.
  */
 final class ShareUpdatePolicy {
-  /** Time between two tellings of all shares, in milliseconds. */
-  static final long FULL_MILLIS = 1_000;
+  /** Interval between two full updates, in milliseconds. */
+  static final long FULL_UPDATE_INTERVAL_MILLIS = 1_000;
 
-  private final Map<String, Integer> told = new HashMap<>();
-  private long nextFullMillis = Long.MIN_VALUE;
+  /** Number of running requests last sent, by backend server. */
+  private final Map<String, Integer> sentRunningCounts = new HashMap<>();
 
-  /** Returns what to tell now, given all shares in force. */
-  ShareUpdate take(List<HostShare> shares, long nowMillis) {
-    if (nowMillis >= nextFullMillis) {
-      nextFullMillis = nowMillis + FULL_MILLIS;
-      told.clear();
-      shares.forEach(share -> told.put(share.server(), share.running()));
+  private long nextFullUpdateMillis = Long.MIN_VALUE;
+
+  /** Returns the update to send now, given all current shares, and records it as sent. */
+  ShareUpdate nextUpdate(List<HostShare> shares, long nowMillis) {
+    if (nowMillis >= nextFullUpdateMillis) {
+      nextFullUpdateMillis = nowMillis + FULL_UPDATE_INTERVAL_MILLIS;
+      sentRunningCounts.clear();
+      shares.forEach(share -> sentRunningCounts.put(share.server(), share.running()));
       return new ShareUpdate(true, shares);
     }
     List<HostShare> changed = new ArrayList<>();
-    Map<String, Integer> before = new HashMap<>(told);
+    Map<String, Integer> withoutShare = new HashMap<>(sentRunningCounts);
     for (HostShare share : shares) {
-      Integer known = before.remove(share.server());
-      if (known == null || known != share.running()) {
+      Integer sentCount = withoutShare.remove(share.server());
+      if (sentCount == null || sentCount != share.running()) {
         changed.add(share);
-        told.put(share.server(), share.running());
+        sentRunningCounts.put(share.server(), share.running());
       }
     }
-    for (String server : before.keySet()) {
-      changed.add(new HostShare(server, 0, new MemoryForecast()));
-      told.remove(server);
+    for (String backend : withoutShare.keySet()) {
+      changed.add(new HostShare(backend, 0, new MemoryForecast()));
+      sentRunningCounts.remove(backend);
     }
     return new ShareUpdate(false, changed);
   }
