--- a/src/main/java/org/curranthaven/internal/bench/RestartBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/RestartBench.java
@@ -38,11 +38,11 @@
       long start = System.nanoTime();
       FleetState state = new FleetState();
       try (GroupStorage storage = GroupStorage.open(folder)) {
-        SnapshotFile snapshot = storage.loaded().snapshot();
+        SnapshotFile snapshot = storage.loadedState().snapshot();
         if (snapshot.getLastIndex() > 0) {
           state.restore(snapshot.getState());
         }
-        for (LogEntry entry : storage.loaded().entries()) {
+        for (LogEntry entry : storage.loadedState().entries()) {
           state.apply(entry.getIndex(), entry.getData());
         }
       }
--- a/src/main/java/org/curranthaven/internal/check/GroupRun.java
+++ b/src/main/java/org/curranthaven/internal/check/GroupRun.java
@@ -112,7 +112,7 @@
   private void found() {
     VoterSet.Builder voters = VoterSet.newBuilder();
     nodes.forEach(node -> voters.addVoters(node.voter()));
-    LogEntry founding = StoredState.foundingEntry(voters.build());
+    LogEntry founding = StoredState.bootstrapEntry(voters.build());
     for (Node node : nodes) {
       node.disk.persist(new RaftDecision.AppendEntries(List.of(founding)));
       node.disk.persist(new RaftDecision.SaveHardState(1, ""));
--- a/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
@@ -102,7 +102,7 @@
   public void withState(Consumer<FleetState> reader) {
     consensus.execute(
         () -> {
-          if (consensus.machine(GROUP) instanceof FleetState state) {
+          if (consensus.stateMachine(GROUP) instanceof FleetState state) {
             reader.accept(state);
           }
         });
@@ -110,7 +110,7 @@
 
   @Override
   public void applied(int groupId, long index, long nowMillis) {
-    if (groupId != GROUP || !(consensus.machine(GROUP) instanceof FleetState state)) {
+    if (groupId != GROUP || !(consensus.stateMachine(GROUP) instanceof FleetState state)) {
       return;
     }
     if (state.current().revision() > announcedRevision) {
@@ -165,7 +165,7 @@
 
   private void answer(HostRecord from, FreshnessRequest request, long nowMillis) {
     RaftCore core = consensus.core(GROUP);
-    if (core == null || !(consensus.machine(GROUP) instanceof FleetState state)) {
+    if (core == null || !(consensus.stateMachine(GROUP) instanceof FleetState state)) {
       return;
     }
     if (core.hasLease(nowMillis)) {
@@ -204,7 +204,10 @@
     long revision = state.current().revision();
     boolean votes = VoterSets.isVoter(core.voters(), consensus.identity());
     boolean granted =
-        votes && consensus.appliedAll(GROUP) && request.getRevision() == revision && revision > 0;
+        votes
+            && consensus.isFullyApplied(GROUP)
+            && request.getRevision() == revision
+            && revision > 0;
     if (granted) {
       leasesGiven.merge(from.getName(), nowMillis + FreshnessCore.LEASE_MILLIS, Math::max);
     }
--- a/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
+++ b/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
@@ -36,31 +36,31 @@
  * the cores decide, and only then sends, applies and answers. All public methods are thread-safe.
  */
 public final class ConsensusLoop implements Child {
-  private static final long TICK_MILLIS = 40;
-  private static final long VOTER_POLICY_MILLIS = 250;
-  private static final long REOPEN_MILLIS = 1_000;
-  private static final int MAX_BATCH = 2_048;
+  private static final long TICK_INTERVAL_MILLIS = 40;
+  private static final long VOTER_CHECK_INTERVAL_MILLIS = 250;
+  private static final long REOPEN_DELAY_MILLIS = 1_000;
+  private static final int MAX_BATCH_TASKS = 2_048;
 
   private final DataFolder folder;
   private final int groupCount;
-  private final Set<String> foundingContacts;
-  private final int votersWanted;
-  private final IntFunction<StateMachine> machines;
+  private final Set<String> bootstrapContacts;
+  private final int targetVoterCount;
+  private final IntFunction<StateMachine> stateMachineFactory;
   private final Supplier<HostRecord> self;
-  private final Supplier<Collection<HostRecord>> connected;
+  private final Supplier<Collection<HostRecord>> connectedHosts;
   private final BiConsumer<String, ConsensusBatch> sender;
   private final Clock clock;
   private final RandomGenerator random;
   private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
   private final Map<Integer, Replica> replicas = new TreeMap<>();
   private final Map<Integer, Long> reopenAtMillis = new HashMap<>();
-  private final Map<Long, Consumer<CommandReply>> waiters = new HashMap<>();
+  private final Map<Long, Consumer<CommandReply>> replyCallbacks = new HashMap<>();
   private final Map<String, ConsensusBatch.Builder> outgoing = new HashMap<>();
   private final AtomicLong nextRequestId = new AtomicLong(1);
   private final List<GroupObserver> observers = new ArrayList<>();
   private volatile String storageFailure = "";
   private long nextTickMillis;
-  private long nextVoterPolicyMillis;
+  private long nextVoterCheckMillis;
   private long syncs;
 
   /**
@@ -68,42 +68,42 @@
    *
    * @param folder data folder
    * @param groupCount number of groups, group 0 included
-   * @param foundingContacts peer addresses of the control hosts that must all be empty for the
+   * @param bootstrapContacts peer addresses of the control hosts that must all be empty for the
    *     groups to be founded; empty if this host may only join
-   * @param votersWanted number of voters of each group
-   * @param machines makes the state machine of a group
+   * @param targetVoterCount number of voters of each group
+   * @param stateMachineFactory makes the state machine of a group
    * @param self describes this host
-   * @param connected control hosts that are connected now
+   * @param connectedHosts control hosts that are connected now
    * @param sender sends a batch to the host with an identity; may drop it
    */
-  public record Wiring(
+  public record Dependencies(
       DataFolder folder,
       int groupCount,
-      Set<String> foundingContacts,
-      int votersWanted,
-      IntFunction<StateMachine> machines,
+      Set<String> bootstrapContacts,
+      int targetVoterCount,
+      IntFunction<StateMachine> stateMachineFactory,
       Supplier<HostRecord> self,
-      Supplier<Collection<HostRecord>> connected,
+      Supplier<Collection<HostRecord>> connectedHosts,
       BiConsumer<String, ConsensusBatch> sender,
       Clock clock,
       RandomGenerator random) {}
 
   /** Creates the loop; it starts with {@link #run}. */
-  public ConsensusLoop(Wiring wiring) {
+  public ConsensusLoop(Dependencies wiring) {
     this.folder = wiring.folder();
     this.groupCount = wiring.groupCount();
-    this.foundingContacts = Set.copyOf(wiring.foundingContacts());
-    this.votersWanted = wiring.votersWanted();
-    this.machines = wiring.machines();
+    this.bootstrapContacts = Set.copyOf(wiring.bootstrapContacts());
+    this.targetVoterCount = wiring.targetVoterCount();
+    this.stateMachineFactory = wiring.stateMachineFactory();
     this.self = wiring.self();
-    this.connected = wiring.connected();
+    this.connectedHosts = wiring.connectedHosts();
     this.sender = wiring.sender();
     this.clock = wiring.clock();
     this.random = wiring.random();
   }
 
   /** Adds an observer; to be called before {@link #run}. */
-  public void observe(GroupObserver observer) {
+  public void addObserver(GroupObserver observer) {
     observers.add(observer);
   }
 
@@ -127,7 +127,7 @@
             return;
           }
           long requestId = nextRequestId.getAndIncrement();
-          waiters.put(requestId, answer);
+          replyCallbacks.put(requestId, answer);
           replica.handle(new RaftEvent.Propose(requestId, command), clock.nowMillis());
         });
   }
@@ -160,15 +160,15 @@
   }
 
   /** Returns the state machine of a group, or null while this host holds no replica of it. */
-  public @Nullable StateMachine machine(int groupId) {
+  public @Nullable StateMachine stateMachine(int groupId) {
     Replica replica = replicas.get(groupId);
-    return replica == null ? null : replica.machine;
+    return replica == null ? null : replica.stateMachine;
   }
 
   /** Returns whether every entry in this host's log of the group is applied. */
-  public boolean appliedAll(int groupId) {
+  public boolean isFullyApplied(int groupId) {
     Replica replica = replicas.get(groupId);
-    return replica != null && replica.appliedAll();
+    return replica != null && replica.isFullyApplied();
   }
 
   /** Returns the number of times the loop has synced files. */
@@ -177,7 +177,7 @@
   }
 
   /** Returns whether this host holds a replica of any group. */
-  public boolean formed() {
+  public boolean hasReplicas() {
     return !replicas.isEmpty();
   }
 
@@ -214,27 +214,27 @@
   private void runBatch() throws InterruptedException {
     long wait = Math.max(0, nextTickMillis - clock.nowMillis());
     Runnable task = tasks.poll(wait, TimeUnit.MILLISECONDS);
-    for (int i = 0; task != null && i < MAX_BATCH; i++) {
+    for (int i = 0; task != null && i < MAX_BATCH_TASKS; i++) {
       task.run();
-      task = i + 1 < MAX_BATCH ? tasks.poll() : null;
+      task = i + 1 < MAX_BATCH_TASKS ? tasks.poll() : null;
     }
     long nowMillis = clock.nowMillis();
     if (nowMillis >= nextTickMillis) {
-      nextTickMillis = nowMillis + TICK_MILLIS;
+      nextTickMillis = nowMillis + TICK_INTERVAL_MILLIS;
       tick(nowMillis);
     }
     finishBatch(nowMillis);
   }
 
   private void tick(long nowMillis) {
-    reopenFailed(nowMillis);
+    reopenFailedGroups(nowMillis);
     replicas.values().forEach(replica -> replica.handle(new RaftEvent.Tick(), nowMillis));
-    if (nowMillis >= nextVoterPolicyMillis) {
-      nextVoterPolicyMillis = nowMillis + VOTER_POLICY_MILLIS;
+    if (nowMillis >= nextVoterCheckMillis) {
+      nextVoterCheckMillis = nowMillis + VOTER_CHECK_INTERVAL_MILLIS;
       if (replicas.isEmpty() && reopenAtMillis.isEmpty()) {
-        foundIfAlone(nowMillis);
+        bootstrapIfAllowed(nowMillis);
       }
-      replicas.values().forEach(replica -> changeVoters(replica, nowMillis));
+      replicas.values().forEach(replica -> proposeVoterChange(replica, nowMillis));
     }
     observers.forEach(observer -> observer.tick(nowMillis));
   }
@@ -243,23 +243,23 @@
     for (Replica replica : List.copyOf(replicas.values())) {
       replica.handle(new RaftEvent.BatchEnded(), nowMillis);
       try {
-        List<RaftDecision> released = replica.takeDurable();
+        List<RaftDecision> released = replica.persistAndDrain();
         if (released.stream().anyMatch(RaftDecision.Persist.class::isInstance)) {
           syncs++;
         }
-        released.forEach(decision -> carryOut(replica, decision, nowMillis));
+        released.forEach(decision -> executeDecision(replica, decision, nowMillis));
         replica.snapshotIfDue(nowMillis);
       } catch (ClosedByInterruptException e) {
         throw new InterruptedException("asked to stop while storing");
       } catch (IOException e) {
-        giveUp(replica, e, nowMillis);
+        closeFailedReplica(replica, e, nowMillis);
       }
     }
     outgoing.forEach((identity, batch) -> sender.accept(identity, batch.build()));
     outgoing.clear();
   }
 
-  private void carryOut(Replica replica, RaftDecision decision, long nowMillis) {
+  private void executeDecision(Replica replica, RaftDecision decision, long nowMillis) {
     switch (decision) {
       case RaftDecision.Persist stored -> {}
       case RaftDecision.Send send ->
@@ -268,7 +268,7 @@
               .addMessages(send.message());
       case RaftDecision.Apply apply -> {
         ByteString result = replica.apply(apply.entry());
-        answer(apply.requestId(), CommandStatus.COMMAND_STATUS_APPLIED, result, "");
+        completeProposal(apply.requestId(), CommandStatus.COMMAND_STATUS_APPLIED, result, "");
         for (GroupObserver observer : observers) {
           observer.applied(replica.groupId, apply.entry().getIndex(), nowMillis);
         }
@@ -279,13 +279,14 @@
         observers.forEach(observer -> observer.applied(replica.groupId, index, nowMillis));
       }
       case RaftDecision.RejectedProposal rejected ->
-          answer(
+          completeProposal(
               rejected.requestId(),
               CommandStatus.COMMAND_STATUS_NOT_LEADER,
               ByteString.EMPTY,
               leaderHost(replica.groupId));
       case RaftDecision.UnknownProposal unknown ->
-          answer(unknown.requestId(), CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "");
+          completeProposal(
+              unknown.requestId(), CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "");
       case RaftDecision.RoleChanged change -> {
         Logger.info("group {}: {} in term {}", replica.groupId, change.role(), change.term());
         observers.forEach(observer -> observer.roleChanged(replica.groupId, change, nowMillis));
@@ -293,8 +294,9 @@
     }
   }
 
-  private void answer(long requestId, CommandStatus status, ByteString result, String leader) {
-    Consumer<CommandReply> waiter = requestId == 0 ? null : waiters.remove(requestId);
+  private void completeProposal(
+      long requestId, CommandStatus status, ByteString result, String leader) {
+    Consumer<CommandReply> waiter = requestId == 0 ? null : replyCallbacks.remove(requestId);
     if (waiter != null) {
       waiter.accept(reply(status, result, leader));
     }
@@ -334,20 +336,21 @@
               groupId,
               folder.identity(),
               RaftTiming.standard(),
-              storage.loaded(),
+              storage.loadedState(),
               random,
               nowMillis);
-      replicas.put(groupId, new Replica(groupId, core, machines.apply(groupId), storage));
+      replicas.put(
+          groupId, new Replica(groupId, core, stateMachineFactory.apply(groupId), storage));
       reopenAtMillis.remove(groupId);
       if (reopenAtMillis.isEmpty()) {
         storageFailure = "";
       }
     } catch (IOException e) {
-      storageFailed(groupId, e, nowMillis);
+      recordStorageFailure(groupId, e, nowMillis);
     }
   }
 
-  private void reopenFailed(long nowMillis) {
+  private void reopenFailedGroups(long nowMillis) {
     for (Map.Entry<Integer, Long> entry : Map.copyOf(reopenAtMillis).entrySet()) {
       if (nowMillis >= entry.getValue()) {
         open(entry.getKey());
@@ -356,49 +359,49 @@
   }
 
   /** Drops a replica whose files failed: what is in memory may be ahead of the disk. */
-  private void giveUp(Replica replica, IOException cause, long nowMillis) {
+  private void closeFailedReplica(Replica replica, IOException cause, long nowMillis) {
     replicas.remove(replica.groupId);
     replica.close();
-    storageFailed(replica.groupId, cause, nowMillis);
+    recordStorageFailure(replica.groupId, cause, nowMillis);
     RaftDecision.RoleChanged stopped =
         new RaftDecision.RoleChanged(RaftRole.FOLLOWER, replica.core.term(), "");
     observers.forEach(observer -> observer.roleChanged(replica.groupId, stopped, nowMillis));
-    List<Consumer<CommandReply>> open = List.copyOf(waiters.values());
-    waiters.clear();
+    List<Consumer<CommandReply>> open = List.copyOf(replyCallbacks.values());
+    replyCallbacks.clear();
     open.forEach(
         waiter -> waiter.accept(reply(CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "")));
   }
 
-  private void storageFailed(int groupId, IOException cause, long nowMillis) {
+  private void recordStorageFailure(int groupId, IOException cause, long nowMillis) {
     String reason = "group " + groupId + " cannot be stored: " + cause.getMessage();
     if (!reason.equals(storageFailure)) {
       Logger.error("{}", reason);
     }
     storageFailure = reason;
-    reopenAtMillis.put(groupId, nowMillis + REOPEN_MILLIS);
+    reopenAtMillis.put(groupId, nowMillis + REOPEN_DELAY_MILLIS);
   }
 
-  private void foundIfAlone(long nowMillis) {
-    if (!Formation.mayFound(self.get(), foundingContacts, connected.get())) {
+  private void bootstrapIfAllowed(long nowMillis) {
+    if (!GroupBootstrap.mayBootstrap(self.get(), bootstrapContacts, connectedHosts.get())) {
       return;
     }
-    Logger.info("{} are all empty: founding the groups", foundingContacts);
+    Logger.info("{} are all empty: founding the groups", bootstrapContacts);
     VoterSet founders = VoterSet.newBuilder().addVoters(voter(self.get())).build();
     for (int groupId = 0; groupId < groupCount; groupId++) {
       try (GroupStorage storage = GroupStorage.open(folder.groupFolder(groupId))) {
         storage.persist(
-            new RaftDecision.AppendEntries(List.of(StoredState.foundingEntry(founders))));
+            new RaftDecision.AppendEntries(List.of(StoredState.bootstrapEntry(founders))));
         storage.persist(new RaftDecision.SaveHardState(1, ""));
         storage.sync();
       } catch (IOException e) {
-        storageFailed(groupId, e, nowMillis);
+        recordStorageFailure(groupId, e, nowMillis);
         return;
       }
       open(groupId);
     }
   }
 
-  private void changeVoters(Replica replica, long nowMillis) {
+  private void proposeVoterChange(Replica replica, long nowMillis) {
     RaftCore core = replica.core;
     if (core.role() != RaftRole.LEADER || !core.votersCommitted()) {
       return;
@@ -406,12 +409,12 @@
     List<Voter> candidates = new ArrayList<>();
     candidates.add(voter(self.get()));
     Set<String> seen = new HashSet<>(Set.of(folder.identity()));
-    for (HostRecord host : connected.get()) {
+    for (HostRecord host : connectedHosts.get()) {
       if (seen.add(host.getIdentity())) {
         candidates.add(voter(host));
       }
     }
-    VoterChange.next(core, votersWanted, folder.identity(), candidates, nowMillis)
+    VoterChange.next(core, targetVoterCount, folder.identity(), candidates, nowMillis)
         .ifPresent(set -> replica.handle(new RaftEvent.ProposeVoters(set), nowMillis));
   }
 
--- a/src/main/java/org/curranthaven/internal/consensus/DataFolder.java
+++ b/src/main/java/org/curranthaven/internal/consensus/DataFolder.java
@@ -65,7 +65,7 @@
       return Outcome.failed(
           ResultCode.DATA_FOLDER_LOCKED, "data folder " + path + " is used by another process");
     }
-    DataFolder folder = new DataFolder(path, readOrMakeIdentity(path), channel);
+    DataFolder folder = new DataFolder(path, readOrCreateIdentity(path), channel);
     try {
       for (int groupId : folder.groupIds()) {
         GroupStorage.open(folder.groupFolder(groupId)).close();
@@ -84,7 +84,7 @@
     }
   }
 
-  private static String readOrMakeIdentity(Path path) throws IOException {
+  private static String readOrCreateIdentity(Path path) throws IOException {
     Path file = path.resolve(IDENTITY_NAME);
     if (Files.exists(file)) {
       return Files.readString(file).strip();
--- a/src/main/java/org/curranthaven/internal/consensus/FollowerProgress.java
+++ b/src/main/java/org/curranthaven/internal/consensus/FollowerProgress.java
@@ -6,7 +6,7 @@
   long matchIndex;
 
   /** Latest sending time, on the leader's clock, of a message that the replica answered. */
-  long lastAnsweredSentAtMillis;
+  long lastAcknowledgedSendMillis;
 
   /** Offset of the snapshot piece awaited next; below 0 when no snapshot is being sent. */
   long snapshotOffset = -1;
@@ -18,7 +18,7 @@
     this.nextIndex = nextIndex;
   }
 
-  void answered(long sentAtMillis) {
-    lastAnsweredSentAtMillis = Math.max(lastAnsweredSentAtMillis, sentAtMillis);
+  void acknowledged(long sentAtMillis) {
+    lastAcknowledgedSendMillis = Math.max(lastAcknowledgedSendMillis, sentAtMillis);
   }
 }
--- a/src/main/java/org/curranthaven/internal/consensus/Formation.java
+++ b/src/main/java/org/curranthaven/internal/consensus/GroupBootstrap.java
@@ -12,8 +12,8 @@
  * of these are connected and empty: then nothing can have been accepted anywhere. Otherwise it
  * waits until a leader takes it in.
  */
-final class Formation {
-  private Formation() {}
+final class GroupBootstrap {
+  private GroupBootstrap() {}
 
   /**
    * Returns whether {@code self} may found the groups.
@@ -21,7 +21,7 @@
    * @param contacts peer addresses of the control hosts in the settings, the same on each of them
    * @param connectedControl control hosts that are connected, this one excluded
    */
-  static boolean mayFound(
+  static boolean mayBootstrap(
       HostRecord self, Collection<String> contacts, Collection<HostRecord> connectedControl) {
     Set<String> present =
         connectedControl.stream().map(HostRecord::getPeerAddress).collect(Collectors.toSet());
--- a/src/main/java/org/curranthaven/internal/consensus/GroupStorage.java
+++ b/src/main/java/org/curranthaven/internal/consensus/GroupStorage.java
@@ -38,11 +38,11 @@
   private long segmentNumber;
   private long term;
   private String votedFor;
-  private StoredState loaded;
+  private StoredState loadedState;
 
   private GroupStorage(Path folder, StoredState loaded, long segmentNumber, FileChannel segment) {
     this.folder = folder;
-    this.loaded = loaded;
+    this.loadedState = loaded;
     this.term = loaded.term();
     this.votedFor = loaded.votedFor();
     this.segmentNumber = segmentNumber;
@@ -64,19 +64,19 @@
       boolean last = i == segments.size() - 1;
       RecordFiles.readSegment(segments.get(i), last, replay::add);
     }
-    long number = segments.isEmpty() ? 1 : numberOf(segments.getLast());
+    long number = segments.isEmpty() ? 1 : segmentNumberOf(segments.getLast());
     FileChannel channel = openSegment(folder, number);
     return new GroupStorage(folder, replay.state(folder), number, channel);
   }
 
   /** Returns what the folder held when it was opened. */
-  public StoredState loaded() {
-    return loaded;
+  public StoredState loadedState() {
+    return loadedState;
   }
 
   /** Forgets the state read on opening, so that its memory can be used. */
-  void releaseLoaded() {
-    loaded = StoredState.empty();
+  void releaseLoadedState() {
+    loadedState = StoredState.empty();
   }
 
   /** Carries out a decision; it lasts once {@link #sync} has returned. */
@@ -85,11 +85,11 @@
       case RaftDecision.SaveHardState save -> saveHardState(save.term(), save.votedFor());
       case RaftDecision.AppendEntries append -> {
         for (LogEntry entry : append.entries()) {
-          write(LogRecord.newBuilder().setEntry(entry).build());
+          addToBatch(LogRecord.newBuilder().setEntry(entry).build());
         }
       }
       case RaftDecision.TruncateFrom truncate ->
-          write(LogRecord.newBuilder().setTruncateFrom(truncate.index()).build());
+          addToBatch(LogRecord.newBuilder().setTruncateFrom(truncate.index()).build());
       case RaftDecision.SaveSnapshot save -> saveSnapshot(save.snapshot(), save.replacesLog());
     }
   }
@@ -111,7 +111,7 @@
   private void saveHardState(long newTerm, String vote) throws IOException {
     term = newTerm;
     votedFor = vote;
-    write(hardState());
+    addToBatch(hardState());
   }
 
   private LogRecord hardState() {
@@ -121,7 +121,7 @@
   }
 
   /** Adds a record to the batch that the next flush writes. */
-  private void write(LogRecord record) throws IOException {
+  private void addToBatch(LogRecord record) throws IOException {
     record.writeDelimitedTo(batch);
   }
 
@@ -154,7 +154,7 @@
     RecordFiles.syncFolder(folder);
     startSegment();
     if (replacesLog) {
-      write(LogRecord.newBuilder().setTruncateFrom(0).build());
+      addToBatch(LogRecord.newBuilder().setTruncateFrom(0).build());
       flush();
       segment.force(false);
     }
@@ -166,7 +166,7 @@
     segment.close();
     segment = next;
     segmentNumber++;
-    write(hardState());
+    addToBatch(hardState());
     flush();
     segment.force(true);
     RecordFiles.syncFolder(folder);
@@ -174,7 +174,7 @@
 
   private void deleteCoveredSegments(long snapshotIndex) throws IOException {
     for (Path path : segments(folder)) {
-      if (numberOf(path) == segmentNumber || lastIndexIn(path) > snapshotIndex) {
+      if (segmentNumberOf(path) == segmentNumber || lastIndexIn(path) > snapshotIndex) {
         return;
       }
       Files.delete(path);
@@ -218,7 +218,7 @@
         StandardOpenOption.APPEND);
   }
 
-  private static long numberOf(Path segment) {
+  private static long segmentNumberOf(Path segment) {
     return Long.parseLong(segment.getFileName().toString().substring(SEGMENT_PREFIX.length()));
   }
 
--- a/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
@@ -46,13 +46,13 @@
   static final int MAX_ENTRIES_IN_FLIGHT = 8_192;
 
   /** A pre-vote is repeated after one to this many heartbeat times. */
-  static final int PRE_VOTE_RETRY = 3;
+  static final int PRE_VOTE_RETRY_MAX_HEARTBEATS = 3;
 
   /** Most entries that a learner may lack when it becomes a voter. */
   static final long MAX_PROMOTION_LAG_ENTRIES = 1_000;
 
   /** Size of one piece of a snapshot, in bytes. */
-  static final int SNAPSHOT_PIECE_BYTES = 256 * 1024;
+  static final int SNAPSHOT_CHUNK_BYTES = 256 * 1024;
 
   private final int groupId;
   private final String self;
@@ -177,9 +177,9 @@
   }
 
   /** Returns when the replica last answered, on this leader's clock; 0 when unknown. */
-  public long lastAnsweredMillis(String identity) {
+  public long lastAcknowledgedMillis(String identity) {
     FollowerProgress progress = followers.get(identity);
-    return progress == null ? 0 : progress.lastAnsweredSentAtMillis;
+    return progress == null ? 0 : progress.lastAcknowledgedSendMillis;
   }
 
   /** Returns whether this replica leads and no other can have been elected yet. */
@@ -187,7 +187,7 @@
     return role == RaftRole.LEADER
         && !transferring
         && commitIndex >= termStartIndex
-        && nowMillis < quorumAnsweredMillis(nowMillis) + timing.leaseMillis();
+        && nowMillis < quorumAcknowledgedMillis(nowMillis) + timing.leaseMillis();
   }
 
   // ---- time -------------------------------------------------------------------------------------
@@ -202,7 +202,7 @@
 
   private void tickLeader(long nowMillis) {
     boolean quorumSilent =
-        nowMillis - quorumAnsweredMillis(nowMillis) > timing.electionTimeoutMinMillis();
+        nowMillis - quorumAcknowledgedMillis(nowMillis) > timing.electionTimeoutMinMillis();
     boolean transferFailed = transferring && nowMillis >= transferDeadlineMillis;
     if (quorumSilent || transferFailed) {
       becomeFollower(term, "", nowMillis);
@@ -215,10 +215,10 @@
   }
 
   /** Returns the latest time at which a quorum of voters, this one included, is known to listen. */
-  private long quorumAnsweredMillis(long nowMillis) {
+  private long quorumAcknowledgedMillis(long nowMillis) {
     long[] times =
         VoterSets.voterIds(log.voters()).stream()
-            .mapToLong(id -> id.equals(self) ? nowMillis : lastAnsweredMillis(id))
+            .mapToLong(id -> id.equals(self) ? nowMillis : lastAcknowledgedMillis(id))
             .sorted()
             .toArray();
     return times.length == 0 ? 0 : times[(times.length - 1) / 2];
@@ -243,7 +243,8 @@
       electionDeadlineMillis =
           nowMillis
               + random.nextLong(
-                  timing.heartbeatMillis(), PRE_VOTE_RETRY * timing.heartbeatMillis());
+                  timing.heartbeatMillis(),
+                  PRE_VOTE_RETRY_MAX_HEARTBEATS * timing.heartbeatMillis());
     } else {
       term++;
       votedFor = self;
@@ -285,9 +286,9 @@
     nextHeartbeatMillis = nowMillis + timing.heartbeatMillis();
     changeRole(RaftRole.LEADER, self);
     refreshFollowers();
-    followers.values().forEach(progress -> progress.answered(nowMillis));
+    followers.values().forEach(progress -> progress.acknowledged(nowMillis));
     termStartIndex = log.lastIndex() + 1;
-    appendHere(EntryKind.ENTRY_KIND_NOOP, ByteString.EMPTY);
+    appendLocally(EntryKind.ENTRY_KIND_NOOP, ByteString.EMPTY);
     advanceCommit();
   }
 
@@ -325,7 +326,7 @@
     }
   }
 
-  private boolean heardFromLeaderRecently(long nowMillis) {
+  private boolean hasRecentLeaderContact(long nowMillis) {
     return role == RaftRole.LEADER
         || nowMillis - lastLeaderContactMillis < timing.electionTimeoutMinMillis();
   }
@@ -337,7 +338,7 @@
             || (request.getLastTerm() == log.lastTerm()
                 && request.getLastIndex() >= log.lastIndex());
     if (request.getPreVote()) {
-      boolean granted = requestTerm > term && upToDate && !heardFromLeaderRecently(nowMillis);
+      boolean granted = requestTerm > term && upToDate && !hasRecentLeaderContact(nowMillis);
       VoteReply reply = VoteReply.newBuilder().setPreVote(true).setGranted(granted).build();
       send(from, message(granted ? requestTerm : term).setVoteReply(reply));
       return;
@@ -381,7 +382,7 @@
       case APPEND_REPLY ->
           receiveAppendReply(from, message.getTerm(), message.getAppendReply(), nowMillis);
       case SNAPSHOT_PIECE ->
-          receiveSnapshotPiece(from, message.getTerm(), message.getSnapshotPiece(), nowMillis);
+          receiveSnapshotChunk(from, message.getTerm(), message.getSnapshotPiece(), nowMillis);
       case SNAPSHOT_REPLY ->
           receiveSnapshotReply(from, message.getTerm(), message.getSnapshotReply(), nowMillis);
       case TIMEOUT_NOW -> receiveTimeoutNow(from, message.getTerm(), nowMillis);
@@ -396,7 +397,7 @@
       if (request.getPreVote()) {
         return true;
       }
-      if (heardFromLeaderRecently(nowMillis) && !request.getLeadershipTransfer()) {
+      if (hasRecentLeaderContact(nowMillis) && !request.getLeadershipTransfer()) {
         return false;
       }
     }
@@ -441,7 +442,7 @@
     List<LogEntry> added = new ArrayList<>();
     for (LogEntry entry : received) {
       boolean present = entry.getIndex() <= log.snapshotIndex();
-      if (!present && added.isEmpty() && log.holds(entry.getIndex())) {
+      if (!present && added.isEmpty() && log.contains(entry.getIndex())) {
         present = log.termAt(entry.getIndex()) == entry.getTerm();
         if (!present) {
           truncateFrom(entry.getIndex());
@@ -472,7 +473,7 @@
         AppendReply.newBuilder()
             .setAccepted(accepted)
             .setMatchIndex(matched)
-            .setLastIndex(log.holds(request.getPreviousIndex()) ? commitIndex : log.lastIndex())
+            .setLastIndex(log.contains(request.getPreviousIndex()) ? commitIndex : log.lastIndex())
             .setEchoedSentAtMillis(request.getSentAtMillis())
             .build();
     send(to, message(term).setAppendReply(reply));
@@ -483,7 +484,7 @@
     if (role != RaftRole.LEADER || replyTerm != term || progress == null) {
       return;
     }
-    progress.answered(reply.getEchoedSentAtMillis());
+    progress.acknowledged(reply.getEchoedSentAtMillis());
     if (reply.getAccepted()) {
       progress.matchIndex = Math.max(progress.matchIndex, reply.getMatchIndex());
       progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
@@ -506,7 +507,7 @@
       decisions.add(new RaftDecision.RejectedProposal(requestId));
       return;
     }
-    long index = appendHere(EntryKind.ENTRY_KIND_COMMAND, command);
+    long index = appendLocally(EntryKind.ENTRY_KIND_COMMAND, command);
     requestIdByIndex.put(index, requestId);
   }
 
@@ -520,7 +521,7 @@
             && VoterSets.differByAtMostOneVoter(log.voters(), proposed)
             && newVotersCaughtUp(proposed, nowMillis);
     if (allowed) {
-      appendHere(EntryKind.ENTRY_KIND_VOTERS, proposed.toByteString());
+      appendLocally(EntryKind.ENTRY_KIND_VOTERS, proposed.toByteString());
       refreshFollowers();
     }
   }
@@ -535,10 +536,10 @@
   public boolean isCaughtUp(String identity, long nowMillis) {
     return matchIndex(identity) > 0
         && matchIndex(identity) + MAX_PROMOTION_LAG_ENTRIES >= log.lastIndex()
-        && nowMillis - lastAnsweredMillis(identity) < timing.electionTimeoutMinMillis();
+        && nowMillis - lastAcknowledgedMillis(identity) < timing.electionTimeoutMinMillis();
   }
 
-  private long appendHere(EntryKind kind, ByteString data) {
+  private long appendLocally(EntryKind kind, ByteString data) {
     LogEntry entry =
         LogEntry.newBuilder()
             .setIndex(log.lastIndex() + 1)
@@ -572,7 +573,7 @@
       return;
     }
     if (progress.nextIndex <= log.snapshotIndex()) {
-      sendSnapshotPiece(to, progress, nowMillis);
+      sendSnapshotChunk(to, progress, nowMillis);
       return;
     }
     progress.snapshotOffset = -1;
@@ -630,7 +631,7 @@
   // ---- snapshots --------------------------------------------------------------------------------
 
   private void compact(long index, ByteString state) {
-    if (!log.holds(index) || index > appliedIndex) {
+    if (!log.contains(index) || index > appliedIndex) {
       return;
     }
     SnapshotFile taken =
@@ -644,14 +645,14 @@
     decisions.add(new RaftDecision.SaveSnapshot(taken, false));
   }
 
-  private void sendSnapshotPiece(String to, FollowerProgress progress, long nowMillis) {
+  private void sendSnapshotChunk(String to, FollowerProgress progress, long nowMillis) {
     SnapshotFile snapshot = log.snapshot();
     if (progress.snapshotOffset < 0 || progress.snapshotIndex != snapshot.getLastIndex()) {
       progress.snapshotOffset = 0;
       progress.snapshotIndex = snapshot.getLastIndex();
     }
     int start = (int) progress.snapshotOffset;
-    int end = Math.min(start + SNAPSHOT_PIECE_BYTES, snapshot.getState().size());
+    int end = Math.min(start + SNAPSHOT_CHUNK_BYTES, snapshot.getState().size());
     SnapshotChunk piece =
         SnapshotChunk.newBuilder()
             .setLastIndex(snapshot.getLastIndex())
@@ -665,7 +666,7 @@
     send(to, message(term).setSnapshotPiece(piece));
   }
 
-  private void receiveSnapshotPiece(
+  private void receiveSnapshotChunk(
       String from, long leaderTerm, SnapshotChunk piece, long nowMillis) {
     if (leaderTerm < term) {
       replyToSnapshot(from, piece, 0, false);
@@ -730,7 +731,7 @@
     if (role != RaftRole.LEADER || replyTerm != term || progress == null) {
       return;
     }
-    progress.answered(reply.getEchoedSentAtMillis());
+    progress.acknowledged(reply.getEchoedSentAtMillis());
     if (progress.snapshotOffset < 0 || reply.getLastIndex() != progress.snapshotIndex) {
       return;
     }
@@ -742,7 +743,7 @@
       sendAppend(from, nowMillis);
     } else if (reply.getNextOffset() != progress.snapshotOffset) {
       progress.snapshotOffset = reply.getNextOffset();
-      sendSnapshotPiece(from, progress, nowMillis);
+      sendSnapshotChunk(from, progress, nowMillis);
     }
   }
 
--- a/src/main/java/org/curranthaven/internal/consensus/RaftLog.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftLog.java
@@ -46,7 +46,7 @@
     return votersIndex;
   }
 
-  boolean holds(long index) {
+  boolean contains(long index) {
     return index > snapshotIndex() && index <= lastIndex();
   }
 
@@ -59,7 +59,7 @@
     if (index == snapshotIndex()) {
       return snapshot.getLastTerm();
     }
-    return holds(index) ? entry(index).getTerm() : -1;
+    return contains(index) ? entry(index).getTerm() : -1;
   }
 
   /** Returns entries from {@code index} on, bounded by count and by total bytes, at least one. */
--- a/src/main/java/org/curranthaven/internal/consensus/RecordFiles.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RecordFiles.java
@@ -57,10 +57,10 @@
       int offset = file.position();
       byte[] payload = readRecord(file);
       if (payload == null) {
-        if (!last || soundRecordAfter(file, offset + 1)) {
+        if (!last || hasValidRecordAfter(file, offset + 1)) {
           throw new DamagedDataException(path, offset);
         }
-        cutTail(path, offset);
+        truncateTail(path, offset);
         return;
       }
       ByteArrayInputStream batch = new ByteArrayInputStream(payload);
@@ -72,7 +72,7 @@
     }
   }
 
-  private static boolean soundRecordAfter(ByteBuffer file, int from) {
+  private static boolean hasValidRecordAfter(ByteBuffer file, int from) {
     for (int i = from; i + HEADER_BYTES < file.limit(); i++) {
       if (readRecord(file.duplicate().position(i)) != null) {
         return true;
@@ -81,7 +81,7 @@
     return false;
   }
 
-  private static void cutTail(Path path, long offset) throws IOException {
+  private static void truncateTail(Path path, long offset) throws IOException {
     try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
       channel.truncate(offset);
       channel.force(true);
--- a/src/main/java/org/curranthaven/internal/consensus/Replica.java
+++ b/src/main/java/org/curranthaven/internal/consensus/Replica.java
@@ -9,9 +9,9 @@
 final class Replica {
   final int groupId;
   final RaftCore core;
-  final StateMachine machine;
+  final StateMachine stateMachine;
   private final GroupStorage storage;
-  private final List<RaftDecision> pending = new ArrayList<>();
+  private final List<RaftDecision> pendingDecisions = new ArrayList<>();
   private long appliedIndex;
   private long bytesSinceSnapshot;
   private long snapshotBytes;
@@ -22,27 +22,27 @@
   Replica(int groupId, RaftCore core, StateMachine machine, GroupStorage storage) {
     this.groupId = groupId;
     this.core = core;
-    this.machine = machine;
+    this.stateMachine = machine;
     this.storage = storage;
-    StoredState loaded = storage.loaded();
+    StoredState loaded = storage.loadedState();
     if (loaded.snapshot().getLastIndex() > 0) {
       machine.restore(loaded.snapshot().getState());
       appliedIndex = loaded.snapshot().getLastIndex();
       snapshotBytes = loaded.snapshot().getState().size();
     }
-    storage.releaseLoaded();
+    storage.releaseLoadedState();
   }
 
   long appliedIndex() {
     return appliedIndex;
   }
 
-  boolean appliedAll() {
+  boolean isFullyApplied() {
     return appliedIndex == core.lastIndex();
   }
 
   void handle(RaftEvent event, long nowMillis) {
-    pending.addAll(core.handle(event, nowMillis));
+    pendingDecisions.addAll(core.handle(event, nowMillis));
   }
 
   /**
@@ -50,9 +50,9 @@
    *
    * @throws IOException if anything could not be stored; none of the decisions may be carried out
    */
-  List<RaftDecision> takeDurable() throws IOException {
+  List<RaftDecision> persistAndDrain() throws IOException {
     boolean stored = false;
-    for (RaftDecision decision : pending) {
+    for (RaftDecision decision : pendingDecisions) {
       if (decision instanceof RaftDecision.Persist persist) {
         storage.persist(persist);
         stored = true;
@@ -61,8 +61,8 @@
     if (stored) {
       storage.sync();
     }
-    List<RaftDecision> released = List.copyOf(pending);
-    pending.clear();
+    List<RaftDecision> released = List.copyOf(pendingDecisions);
+    pendingDecisions.clear();
     return released;
   }
 
@@ -70,13 +70,13 @@
     appliedIndex = entry.getIndex();
     bytesSinceSnapshot += entry.getSerializedSize();
     return switch (entry.getKind()) {
-      case ENTRY_KIND_COMMAND -> machine.apply(entry.getIndex(), entry.getData());
+      case ENTRY_KIND_COMMAND -> stateMachine.apply(entry.getIndex(), entry.getData());
       default -> com.google.protobuf.ByteString.EMPTY;
     };
   }
 
   void restore(RaftDecision.RestoreState restore) {
-    machine.restore(restore.snapshot().getState());
+    stateMachine.restore(restore.snapshot().getState());
     appliedIndex = restore.snapshot().getLastIndex();
     snapshotBytes = restore.snapshot().getState().size();
     bytesSinceSnapshot = 0;
@@ -84,7 +84,7 @@
 
   void snapshotIfDue(long nowMillis) {
     if (bytesSinceSnapshot >= Math.max(MIN_SNAPSHOT_LOG_BYTES, snapshotBytes)) {
-      com.google.protobuf.ByteString state = machine.snapshot();
+      com.google.protobuf.ByteString state = stateMachine.snapshot();
       snapshotBytes = state.size();
       bytesSinceSnapshot = 0;
       handle(new RaftEvent.SnapshotTaken(appliedIndex, state), nowMillis);
--- a/src/main/java/org/curranthaven/internal/consensus/StoredState.java
+++ b/src/main/java/org/curranthaven/internal/consensus/StoredState.java
@@ -26,7 +26,7 @@
   }
 
   /** Returns the first entry of a new group, which names its first voters. */
-  public static LogEntry foundingEntry(VoterSet voters) {
+  public static LogEntry bootstrapEntry(VoterSet voters) {
     return LogEntry.newBuilder()
         .setIndex(1)
         .setTerm(1)
--- a/src/main/java/org/curranthaven/internal/consensus/VoterChange.java
+++ b/src/main/java/org/curranthaven/internal/consensus/VoterChange.java
@@ -20,12 +20,12 @@
       RaftCore core, int votersWanted, String self, Collection<Voter> connected, long nowMillis) {
     return new VoterPolicy(votersWanted)
         .next(
-            new VoterPolicy.Situation(
+            new VoterPolicy.GroupStatus(
                 core.voters(),
                 self,
                 connected,
                 identity -> core.isCaughtUp(identity, nowMillis),
-                core::lastAnsweredMillis,
+                core::lastAcknowledgedMillis,
                 nowMillis));
   }
 }
--- a/src/main/java/org/curranthaven/internal/consensus/VoterPolicy.java
+++ b/src/main/java/org/curranthaven/internal/consensus/VoterPolicy.java
@@ -19,29 +19,29 @@
    * 4 s of its start, or the loss of two more hosts leaves no majority. A voter is replaced only
    * where a host without a vote is connected, so that a short silence costs nothing elsewhere.
    */
-  static final long LOST_AFTER_MILLIS = 2_000;
+  static final long VOTER_LOST_TIMEOUT_MILLIS = 2_000;
 
-  private final int votersWanted;
+  private final int targetVoterCount;
 
   VoterPolicy(int votersWanted) {
-    this.votersWanted = votersWanted;
+    this.targetVoterCount = votersWanted;
   }
 
   /**
    * What the leader knows when it decides.
    *
-   * @param current voter set in force
+   * @param currentVoters voter set in force
    * @param self identity of the leader
-   * @param connected control hosts that are connected now, the leader's included
+   * @param connectedHosts control hosts that are connected now, the leader's included
    * @param caughtUp whether a learner may become a voter
-   * @param lastAnsweredMillis when a replica last answered
+   * @param lastAcknowledgedMillis when a replica last answered
    */
-  record Situation(
-      VoterSet current,
+  record GroupStatus(
+      VoterSet currentVoters,
       String self,
-      Collection<Voter> connected,
+      Collection<Voter> connectedHosts,
       Predicate<String> caughtUp,
-      ToLongFunction<String> lastAnsweredMillis,
+      ToLongFunction<String> lastAcknowledgedMillis,
       long nowMillis) {
 
     boolean isLost(Voter voter) {
@@ -49,13 +49,14 @@
         return false;
       }
       boolean silent =
-          nowMillis - lastAnsweredMillis.applyAsLong(voter.getIdentity()) > LOST_AFTER_MILLIS;
-      return silent || isReplacedOnItsHost(voter);
+          nowMillis - lastAcknowledgedMillis.applyAsLong(voter.getIdentity())
+              > VOTER_LOST_TIMEOUT_MILLIS;
+      return silent || hostHasNewDataFolder(voter);
     }
 
     /** Returns whether the voter's host is back with another data folder. */
-    private boolean isReplacedOnItsHost(Voter voter) {
-      return connected.stream()
+    private boolean hostHasNewDataFolder(Voter voter) {
+      return connectedHosts.stream()
           .anyMatch(
               other ->
                   other.getHost().equals(voter.getHost())
@@ -63,13 +64,13 @@
     }
 
     boolean isConnected(Voter voter) {
-      return connected.stream().anyMatch(c -> c.getIdentity().equals(voter.getIdentity()));
+      return connectedHosts.stream().anyMatch(c -> c.getIdentity().equals(voter.getIdentity()));
     }
   }
 
   /** Returns the voter set to propose next, if a change is due. */
-  Optional<VoterSet> next(Situation situation) {
-    VoterSet current = situation.current();
+  Optional<VoterSet> next(GroupStatus situation) {
+    VoterSet current = situation.currentVoters();
     Optional<Voter> lost = current.getVotersList().stream().filter(situation::isLost).findFirst();
     if (lost.isPresent() && mayRemove(current, lost.get(), situation)) {
       return Optional.of(VoterSets.without(current, lost.get().getIdentity()));
@@ -79,7 +80,7 @@
     if (deadLearner.isPresent()) {
       return Optional.of(VoterSets.without(current, deadLearner.get().getIdentity()));
     }
-    boolean voterNeeded = current.getVotersCount() < votersWanted || lost.isPresent();
+    boolean voterNeeded = current.getVotersCount() < targetVoterCount || lost.isPresent();
     if (!voterNeeded) {
       return Optional.empty();
     }
@@ -93,18 +94,18 @@
     if (current.getLearnersCount() > 0) {
       return Optional.empty();
     }
-    return spare(current, situation).map(host -> VoterSets.withLearner(current, host));
+    return findSpareHost(current, situation).map(host -> VoterSets.withLearner(current, host));
   }
 
-  private boolean mayRemove(VoterSet current, Voter lost, Situation situation) {
+  private boolean mayRemove(VoterSet current, Voter lost, GroupStatus situation) {
     VoterSet rest = VoterSets.without(current, lost.getIdentity());
     long alive = rest.getVotersList().stream().filter(voter -> !situation.isLost(voter)).count();
-    return rest.getVotersCount() >= votersWanted && alive * 2 > rest.getVotersCount();
+    return rest.getVotersCount() >= targetVoterCount && alive * 2 > rest.getVotersCount();
   }
 
-  private static Optional<Voter> spare(VoterSet current, Situation situation) {
+  private static Optional<Voter> findSpareHost(VoterSet current, GroupStatus situation) {
     List<String> members = VoterSets.memberIds(current);
-    return situation.connected().stream()
+    return situation.connectedHosts().stream()
         .filter(host -> !members.contains(host.getIdentity()))
         .min(Comparator.comparing(Voter::getHost));
   }
--- a/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
@@ -52,7 +52,7 @@
           return execute(request, execution);
         }
         case Ledger.Claim.Done done -> {
-          return Outcome.success(done.answer());
+          return Outcome.success(done.response());
         }
         case Ledger.Claim.Running running -> {
           if (!router.isHostAlive(running.ownerHost(), running.ownerIncarnation())) {
--- a/src/main/java/org/curranthaven/internal/host/ConsensusDump.java
+++ b/src/main/java/org/curranthaven/internal/host/ConsensusDump.java
@@ -42,7 +42,8 @@
   }
 
   private static GroupView view(ConsensusLoop consensus, int groupId, RaftCore core) {
-    LedgerState ledger = consensus.machine(groupId) instanceof LedgerState state ? state : null;
+    LedgerState ledger =
+        consensus.stateMachine(groupId) instanceof LedgerState state ? state : null;
     return new GroupView(
         core.role().name(),
         core.term(),
--- a/src/main/java/org/curranthaven/internal/host/HostProcess.java
+++ b/src/main/java/org/curranthaven/internal/host/HostProcess.java
@@ -106,7 +106,7 @@
     this.consensus = folder == null ? null : newConsensus(folder);
     this.coordinator = consensus == null ? null : new FleetCoordinator(consensus, network, clock);
     if (consensus != null && coordinator != null) {
-      consensus.observe(coordinator);
+      consensus.addObserver(coordinator);
     }
     this.decisions =
         new DecisionLoop(
@@ -179,7 +179,7 @@
 
   private ConsensusLoop newConsensus(DataFolder data) {
     return new ConsensusLoop(
-        new ConsensusLoop.Wiring(
+        new ConsensusLoop.Dependencies(
             data,
             settings.ledgerGroups() + 1,
             Set.copyOf(settings.controlHosts()),
@@ -320,7 +320,7 @@
       record.setIdentity(folder.identity());
     }
     if (consensus != null) {
-      record.setFormed(consensus.formed());
+      record.setFormed(consensus.hasReplicas());
     }
     return record.build();
   }
--- a/src/main/java/org/curranthaven/internal/ledger/Ledger.java
+++ b/src/main/java/org/curranthaven/internal/ledger/Ledger.java
@@ -41,6 +41,6 @@
     record Running(String ownerHost, long ownerIncarnation) implements Claim {}
 
     /** It ran; {@code answer} is its kept answer. */
-    record Done(StoredAnswer answer) implements Claim {}
+    record Done(StoredAnswer response) implements Claim {}
   }
 }
--- a/src/main/java/org/curranthaven/internal/ledger/LedgerState.java
+++ b/src/main/java/org/curranthaven/internal/ledger/LedgerState.java
@@ -31,13 +31,13 @@
   public static final long RETENTION_MILLIS = 600_000;
 
   /** How far a key's issue time may lie ahead of the state's clock, in milliseconds. */
-  public static final long MAX_AHEAD_MILLIS = 60_000;
+  public static final long MAX_CLOCK_SKEW_MILLIS = 60_000;
 
   /** Most bytes of records that one group holds; beyond it new claims are refused. */
   public static final long MAX_RECORD_BYTES = 48L * 1024 * 1024;
 
   private final Map<ClaimKey, ClaimRecord> records = new HashMap<>();
-  private final PriorityQueue<ClaimRecord> oldestFirst =
+  private final PriorityQueue<ClaimRecord> recordsByIssueTime =
       new PriorityQueue<>(Comparator.comparingLong(ClaimRecord::getIssuedAtMillis));
   private long nowMillis;
   private long recordBytes;
@@ -66,7 +66,7 @@
   /** Applies a command and returns the verdict with the record it rests on. */
   public ClaimResult apply(LedgerCommand command) {
     nowMillis = Math.max(nowMillis, command.getNowMillis());
-    forgetExpired();
+    evictExpired();
     return switch (command.getBodyCase()) {
       case CLAIM -> claim(command.getClaim());
       case COMPLETE -> complete(command.getComplete());
@@ -77,29 +77,29 @@
 
   private ClaimResult claim(ClaimCommand claim) {
     if (claim.getIssuedAtMillis() + RETENTION_MILLIS <= nowMillis) {
-      return verdict(ClaimVerdict.CLAIM_VERDICT_TOO_OLD);
+      return result(ClaimVerdict.CLAIM_VERDICT_TOO_OLD);
     }
-    if (claim.getIssuedAtMillis() > nowMillis + MAX_AHEAD_MILLIS) {
-      return verdict(ClaimVerdict.CLAIM_VERDICT_FROM_FUTURE);
+    if (claim.getIssuedAtMillis() > nowMillis + MAX_CLOCK_SKEW_MILLIS) {
+      return result(ClaimVerdict.CLAIM_VERDICT_FROM_FUTURE);
     }
     ClaimRecord known = records.get(new ClaimKey(claim.getWorkspace(), claim.getKey()));
     if (known == null) {
       return grant(claim);
     }
     if (!known.getBodyHash().equals(claim.getBodyHash())) {
-      return verdict(ClaimVerdict.CLAIM_VERDICT_KEY_REUSED);
+      return result(ClaimVerdict.CLAIM_VERDICT_KEY_REUSED);
     }
     if (known.hasAnswer()) {
-      return verdict(ClaimVerdict.CLAIM_VERDICT_DONE, known);
+      return result(ClaimVerdict.CLAIM_VERDICT_DONE, known);
     }
     boolean resent = known.getToken().equals(claim.getToken());
-    return verdict(
+    return result(
         resent ? ClaimVerdict.CLAIM_VERDICT_GRANTED : ClaimVerdict.CLAIM_VERDICT_RUNNING, known);
   }
 
   private ClaimResult grant(ClaimCommand claim) {
     if (recordBytes >= MAX_RECORD_BYTES) {
-      return verdict(ClaimVerdict.CLAIM_VERDICT_FULL);
+      return result(ClaimVerdict.CLAIM_VERDICT_FULL);
     }
     ClaimRecord record =
         ClaimRecord.newBuilder()
@@ -111,19 +111,19 @@
             .setOwnerIncarnation(claim.getOwnerIncarnation())
             .setToken(claim.getToken())
             .build();
-    oldestFirst.add(record);
+    recordsByIssueTime.add(record);
     store(record);
-    return verdict(ClaimVerdict.CLAIM_VERDICT_GRANTED, record);
+    return result(ClaimVerdict.CLAIM_VERDICT_GRANTED, record);
   }
 
   private ClaimResult complete(CompleteCommand complete) {
     ClaimRecord known = records.get(new ClaimKey(complete.getWorkspace(), complete.getKey()));
     if (known == null || !known.getToken().equals(complete.getToken()) || known.hasAnswer()) {
-      return verdict(ClaimVerdict.CLAIM_VERDICT_UNSPECIFIED);
+      return result(ClaimVerdict.CLAIM_VERDICT_UNSPECIFIED);
     }
     ClaimRecord done = known.toBuilder().setAnswer(complete.getAnswer()).build();
     store(done);
-    return verdict(ClaimVerdict.CLAIM_VERDICT_DONE, done);
+    return result(ClaimVerdict.CLAIM_VERDICT_DONE, done);
   }
 
   private ClaimResult release(ReleaseCommand release) {
@@ -132,7 +132,7 @@
     if (known != null && known.getToken().equals(release.getToken()) && !known.hasAnswer()) {
       remove(key);
     }
-    return verdict(ClaimVerdict.CLAIM_VERDICT_UNSPECIFIED);
+    return result(ClaimVerdict.CLAIM_VERDICT_UNSPECIFIED);
   }
 
   private void store(ClaimRecord record) {
@@ -147,10 +147,10 @@
     }
   }
 
-  private void forgetExpired() {
-    while (!oldestFirst.isEmpty()
-        && oldestFirst.peek().getIssuedAtMillis() + RETENTION_MILLIS <= nowMillis) {
-      ClaimRecord expired = oldestFirst.remove();
+  private void evictExpired() {
+    while (!recordsByIssueTime.isEmpty()
+        && recordsByIssueTime.peek().getIssuedAtMillis() + RETENTION_MILLIS <= nowMillis) {
+      ClaimRecord expired = recordsByIssueTime.remove();
       ClaimKey key = new ClaimKey(expired.getWorkspace(), expired.getKey());
       ClaimRecord current = records.get(key);
       if (current != null && current.getToken().equals(expired.getToken())) {
@@ -159,11 +159,11 @@
     }
   }
 
-  private static ClaimResult verdict(ClaimVerdict verdict) {
+  private static ClaimResult result(ClaimVerdict verdict) {
     return ClaimResult.newBuilder().setVerdict(verdict).build();
   }
 
-  private static ClaimResult verdict(ClaimVerdict verdict, ClaimRecord record) {
+  private static ClaimResult result(ClaimVerdict verdict, ClaimRecord record) {
     return ClaimResult.newBuilder().setVerdict(verdict).setRecord(record).build();
   }
 
@@ -181,11 +181,11 @@
     try {
       LedgerSnapshot snapshot = LedgerSnapshot.parseFrom(state);
       records.clear();
-      oldestFirst.clear();
+      recordsByIssueTime.clear();
       recordBytes = 0;
       nowMillis = snapshot.getNowMillis();
       snapshot.getRecordsList().forEach(this::store);
-      oldestFirst.addAll(snapshot.getRecordsList());
+      recordsByIssueTime.addAll(snapshot.getRecordsList());
     } catch (InvalidProtocolBufferException e) {
       throw new IllegalStateException("a ledger snapshot cannot be parsed", e);
     }
--- a/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
+++ b/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
@@ -18,8 +18,8 @@
 
 /** Ledger on the replicated groups, sharded by workspace. Thread-safe. */
 public final class ReplicatedLedger implements Ledger {
-  private static final long CALL_MILLIS = 3_000;
-  private static final long COMPLETE_MILLIS = 10_000;
+  private static final long CLAIM_TIMEOUT_MILLIS = 3_000;
+  private static final long COMPLETE_TIMEOUT_MILLIS = 10_000;
 
   private final ControlClient control;
   private final int ledgerGroups;
@@ -59,14 +59,14 @@
                     .setOwnerHost(ownHost)
                     .setOwnerIncarnation(ownIncarnation)
                     .setToken(request.token()));
-    CommandReply reply = call(request, command, CALL_MILLIS);
+    CommandReply reply = sendCommand(request, command, CLAIM_TIMEOUT_MILLIS);
     if (reply.getStatus() != CommandStatus.COMMAND_STATUS_APPLIED) {
-      return Outcome.failed(unavailable(reply.getStatus()));
+      return Outcome.failed(claimFailure(reply.getStatus()));
     }
-    return verdict(parse(reply));
+    return toOutcome(parseResult(reply));
   }
 
-  private static Failure unavailable(CommandStatus status) {
+  private static Failure claimFailure(CommandStatus status) {
     boolean mayBeTaken = status == CommandStatus.COMMAND_STATUS_UNKNOWN;
     return mayBeTaken
         ? Failure.retryLater(
@@ -75,7 +75,7 @@
             ResultCode.LEDGER_UNAVAILABLE, "no leader of the ledger group answered", 1_000);
   }
 
-  private static Outcome<Claim> verdict(ClaimResult result) {
+  private static Outcome<Claim> toOutcome(ClaimResult result) {
     return switch (result.getVerdict()) {
       case CLAIM_VERDICT_GRANTED -> Outcome.success(new Claim.Granted());
       case CLAIM_VERDICT_RUNNING ->
@@ -116,7 +116,7 @@
                     .setKey(request.key())
                     .setToken(request.token())
                     .setAnswer(answer));
-    CommandReply reply = call(request, command, COMPLETE_MILLIS);
+    CommandReply reply = sendCommand(request, command, COMPLETE_TIMEOUT_MILLIS);
     return reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED;
   }
 
@@ -129,17 +129,18 @@
                     .setWorkspace(request.workspace())
                     .setKey(request.key())
                     .setToken(request.token()));
-    call(request, command, COMPLETE_MILLIS);
+    sendCommand(request, command, COMPLETE_TIMEOUT_MILLIS);
   }
 
-  private CommandReply call(ClaimRequest request, LedgerCommand.Builder command, long timeoutMillis)
+  private CommandReply sendCommand(
+      ClaimRequest request, LedgerCommand.Builder command, long timeoutMillis)
       throws InterruptedException {
     int group = 1 + Math.floorMod(request.workspace().hashCode(), ledgerGroups);
     command.setNowMillis(epochMillis.getAsLong());
     return control.call(group, command.build().toByteString(), timeoutMillis);
   }
 
-  private static ClaimResult parse(CommandReply reply) {
+  private static ClaimResult parseResult(CommandReply reply) {
     try {
       return ClaimResult.parseFrom(reply.getResult());
     } catch (InvalidProtocolBufferException e) {
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -79,7 +79,7 @@
     this.network = new PeerNetwork(settings.peerAddress(), contacts, this::describe, this, group);
     this.consensus =
         new ConsensusLoop(
-            new ConsensusLoop.Wiring(
+            new ConsensusLoop.Dependencies(
                 folder,
                 GROUP + 1,
                 settings.firstStart() ? Set.copyOf(contacts) : Set.of(),
@@ -92,7 +92,7 @@
                 clock,
                 new SplittableRandom(random.nextLong())));
     this.leadership = new LeadershipTracker(consensus, settings.votersWanted(), new Leading());
-    consensus.observe(leadership);
+    consensus.addObserver(leadership);
     this.scheduler =
         new Scheduler(
             loop,
@@ -144,7 +144,7 @@
         .setIncarnation(incarnation)
         .setControl(true)
         .setIdentity(folder.identity())
-        .setFormed(consensus.formed())
+        .setFormed(consensus.hasReplicas())
         .build();
   }
 
@@ -289,7 +289,7 @@
         reply -> {
           boolean applied = reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED;
           AdminReply.Builder built = AdminReply.newBuilder().setStatus(LeaderClient.NOT_LEADER);
-          if (applied && consensus.machine(GROUP) instanceof FleetState state) {
+          if (applied && consensus.stateMachine(GROUP) instanceof FleetState state) {
             built.setStatus(LeaderClient.OK).setJson(state.catalog().document());
           }
           loop.execute(() -> answer.accept(built));
--- a/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
@@ -54,7 +54,7 @@
 
   @Override
   public void applied(int groupId, long index, long nowMillis) {
-    if (consensus.machine(GROUP) instanceof FleetState state
+    if (consensus.stateMachine(GROUP) instanceof FleetState state
         && state.catalog().revision() > announcedRevision) {
       announcedRevision = state.catalog().revision();
       listener.catalogApplied(announcedRevision, state.catalog().document());
--- a/src/test/java/org/curranthaven/internal/consensus/GroupStorageTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/GroupStorageTest.java
@@ -42,7 +42,7 @@
 
   private StoredState read() throws IOException {
     try (GroupStorage storage = GroupStorage.open(folder)) {
-      return storage.loaded();
+      return storage.loadedState();
     }
   }
 
--- a/src/test/java/org/curranthaven/internal/consensus/RaftCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/RaftCoreTest.java
@@ -39,7 +39,7 @@
         1,
         "",
         SnapshotFile.getDefaultInstance(),
-        List.of(StoredState.foundingEntry(voters.build())));
+        List.of(StoredState.bootstrapEntry(voters.build())));
   }
 
   private RaftCore add(String id, StoredState state) {
@@ -194,7 +194,7 @@
     String leader = leader();
     handle(leader, new RaftEvent.Propose(1, ByteString.copyFromUtf8("x")));
     run(500);
-    ByteString state = ByteString.copyFrom(new byte[3 * RaftCore.SNAPSHOT_PIECE_BYTES + 17]);
+    ByteString state = ByteString.copyFrom(new byte[3 * RaftCore.SNAPSHOT_CHUNK_BYTES + 17]);
     long index = core(leader).commitIndex();
     handle(leader, new RaftEvent.SnapshotTaken(index, state));
     RaftCore late = add("d", StoredState.empty());
--- a/src/test/java/org/curranthaven/internal/consensus/VoterPolicyTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/VoterPolicyTest.java
@@ -29,7 +29,7 @@
   private Optional<VoterSet> next(
       VoterSet current, List<Voter> connected, Set<String> caughtUp, Set<String> silent) {
     return policy.next(
-        new VoterPolicy.Situation(
+        new VoterPolicy.GroupStatus(
             current,
             "a",
             connected,
@@ -70,7 +70,7 @@
   void a_successor_that_has_just_started_replaces_a_host_that_went_three_seconds_ago() {
     Optional<VoterSet> next =
         policy.next(
-            new VoterPolicy.Situation(
+            new VoterPolicy.GroupStatus(
                 set("a", "b", "c"),
                 "a",
                 connected("a", "b", "d"),
@@ -107,13 +107,13 @@
     List<String> two = List.of("b", "a");
     List<String> three = List.of("c", "b", "a");
 
-    assertThat(Formation.mayFound(a, two, List.of(b))).isTrue();
-    assertThat(Formation.mayFound(b, two, List.of(a))).isFalse();
-    assertThat(Formation.mayFound(a, three, List.of(b))).isFalse();
-    assertThat(Formation.mayFound(a, three, List.of(b, formed))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(a, two, List.of(b))).isTrue();
+    assertThat(GroupBootstrap.mayBootstrap(b, two, List.of(a))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(a, three, List.of(b))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(a, three, List.of(b, formed))).isFalse();
     // A host that is not among the first contacts joins, whatever its address.
-    assertThat(Formation.mayFound(z, two, List.of(a, b))).isFalse();
-    assertThat(Formation.mayFound(a, two, List.of(b, z))).isTrue();
-    assertThat(Formation.mayFound(a, List.of(), List.of(b))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(z, two, List.of(a, b))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(a, two, List.of(b, z))).isTrue();
+    assertThat(GroupBootstrap.mayBootstrap(a, List.of(), List.of(b))).isFalse();
   }
 }
