--- a/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
+++ b/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
@@ -32,8 +32,13 @@
 import org.tinylog.Logger;
 
 /**
- * The thread that runs every group's replica on a control host: takes events, stores and syncs what
- * the cores decide, and only then sends, applies and answers. All public methods are thread-safe.
+ * Event loop that runs the replicas of all groups on a control host. For each batch of events it
+ * persists and syncs the decisions of the Raft cores, and only then sends messages, applies entries
+ * and replies to proposals.
+ *
+ * <p>{@link #execute}, {@link #receive}, {@link #propose}, {@link #transferLeadership}, {@link
+ * #identity} and {@link #storageFailure} are thread-safe; the other methods are confined to the
+ * consensus thread, except {@link #addObserver}, which is called before the loop starts.
  */
 public final class ConsensusLoop implements Child {
   private static final long TICK_INTERVAL_MILLIS = 40;
@@ -64,17 +69,17 @@
   private long syncs;
 
   /**
-   * What the loop needs of its host.
+   * Dependencies of the loop on its host.
    *
-   * @param folder data folder
-   * @param groupCount number of groups, group 0 included
-   * @param bootstrapContacts peer addresses of the control hosts that must all be empty for the
-   *     groups to be founded; empty if this host may only join
-   * @param targetVoterCount number of voters of each group
-   * @param stateMachineFactory makes the state machine of a group
-   * @param self describes this host
-   * @param connectedHosts control hosts that are connected now
-   * @param sender sends a batch to the host with an identity; may drop it
+   * @param folder data folder of this host
+   * @param groupCount number of groups, including group 0
+   * @param bootstrapContacts peer addresses of the control hosts that must all be connected and
+   *     empty before the groups are bootstrapped; empty if this host may only join
+   * @param targetVoterCount number of voters that each group should have
+   * @param stateMachineFactory creates the state machine of a group from the group number
+   * @param self supplies the record of this host
+   * @param connectedHosts supplies the control hosts that are connected now
+   * @param sender sends a batch to the host with the given identity, best effort
    */
   public record Dependencies(
       DataFolder folder,
@@ -88,7 +93,7 @@
       Clock clock,
       RandomGenerator random) {}
 
-  /** Creates the loop; it starts with {@link #run}. */
+  /** Creates the loop, which starts with {@link #run}. */
   public ConsensusLoop(Dependencies wiring) {
     this.folder = wiring.folder();
     this.groupCount = wiring.groupCount();
@@ -102,7 +107,7 @@
     this.random = wiring.random();
   }
 
-  /** Adds an observer; to be called before {@link #run}. */
+  /** Adds an observer. Must be called before {@link #run}. */
   public void addObserver(GroupObserver observer) {
     observers.add(observer);
   }
@@ -112,33 +117,35 @@
     tasks.add(action);
   }
 
-  /** Takes in what another host's replicas sent. */
+  /** Handles a batch of messages from the replicas of another host. */
   public void receive(String fromIdentity, ConsensusBatch batch) {
     execute(() -> batch.getMessagesList().forEach(message -> receive(fromIdentity, message)));
   }
 
-  /** Proposes a command to a group; {@code answer} is called on the consensus thread. */
-  public void propose(int groupId, ByteString command, Consumer<CommandReply> answer) {
+  /** Proposes a command to a group; {@code callback} is called on the consensus thread. */
+  public void propose(int groupId, ByteString command, Consumer<CommandReply> callback) {
     execute(
         () -> {
           Replica replica = replicas.get(groupId);
           if (replica == null) {
-            answer.accept(reply(CommandStatus.COMMAND_STATUS_UNAVAILABLE, ByteString.EMPTY, ""));
+            callback.accept(reply(CommandStatus.COMMAND_STATUS_UNAVAILABLE, ByteString.EMPTY, ""));
             return;
           }
           long requestId = nextRequestId.getAndIncrement();
-          replyCallbacks.put(requestId, answer);
+          replyCallbacks.put(requestId, callback);
           replica.handle(new RaftEvent.Propose(requestId, command), clock.nowMillis());
         });
   }
 
-  /** Asks every group that this host leads to hand over leadership. */
+  /** Transfers the leadership of every group that this host leads to another voter. */
   public void transferLeadership() {
     execute(
         () ->
             replicas
                 .values()
-                .forEach(r -> r.handle(new RaftEvent.TransferLeadership(), clock.nowMillis())));
+                .forEach(
+                    replica ->
+                        replica.handle(new RaftEvent.TransferLeadership(), clock.nowMillis())));
   }
 
   /** Returns the identity of this host's data folder. */
@@ -146,42 +153,43 @@
     return folder.identity();
   }
 
-  /** Returns why the data folder cannot be written, or an empty text. */
+  /** Returns why a group's storage failed, or an empty string if all groups are stored. */
   public String storageFailure() {
     return storageFailure;
   }
 
-  // ---- on the consensus thread ------------------------------------------------------------------
+  // ---- confined to the consensus thread
+  // ------------------------------------------------------------------
 
-  /** Returns the core of a group, or null while this host holds no replica of it. */
+  /** Returns the Raft core of a group, or null if this host has no replica of it. */
   public @Nullable RaftCore core(int groupId) {
     Replica replica = replicas.get(groupId);
     return replica == null ? null : replica.core;
   }
 
-  /** Returns the state machine of a group, or null while this host holds no replica of it. */
+  /** Returns the state machine of a group, or null if this host has no replica of it. */
   public @Nullable StateMachine stateMachine(int groupId) {
     Replica replica = replicas.get(groupId);
     return replica == null ? null : replica.stateMachine;
   }
 
-  /** Returns whether every entry in this host's log of the group is applied. */
+  /** Returns whether all entries in this host's log of the group have been applied. */
   public boolean isFullyApplied(int groupId) {
     Replica replica = replicas.get(groupId);
     return replica != null && replica.isFullyApplied();
   }
 
-  /** Returns the number of times the loop has synced files. */
+  /** Returns the number of syncs to disk since the loop was created. */
   public long syncs() {
     return syncs;
   }
 
-  /** Returns whether this host holds a replica of any group. */
+  /** Returns whether this host has a replica of any group. */
   public boolean hasReplicas() {
     return !replicas.isEmpty();
   }
 
-  /** Returns the host name of the group's leader, empty when unknown. */
+  /** Returns the host name of the group's leader, or an empty string when it is unknown. */
   public String leaderHost(int groupId) {
     RaftCore core = core(groupId);
     if (core == null || core.leader().isEmpty()) {
@@ -212,8 +220,8 @@
   }
 
   private void runBatch() throws InterruptedException {
-    long wait = Math.max(0, nextTickMillis - clock.nowMillis());
-    Runnable task = tasks.poll(wait, TimeUnit.MILLISECONDS);
+    long timeoutMillis = Math.max(0, nextTickMillis - clock.nowMillis());
+    Runnable task = tasks.poll(timeoutMillis, TimeUnit.MILLISECONDS);
     for (int i = 0; task != null && i < MAX_BATCH_TASKS; i++) {
       task.run();
       task = i + 1 < MAX_BATCH_TASKS ? tasks.poll() : null;
@@ -243,14 +251,14 @@
     for (Replica replica : List.copyOf(replicas.values())) {
       replica.handle(new RaftEvent.BatchEnded(), nowMillis);
       try {
-        List<RaftDecision> released = replica.persistAndDrain();
-        if (released.stream().anyMatch(RaftDecision.Persist.class::isInstance)) {
+        List<RaftDecision> durable = replica.persistAndDrain();
+        if (durable.stream().anyMatch(RaftDecision.Persist.class::isInstance)) {
           syncs++;
         }
-        released.forEach(decision -> executeDecision(replica, decision, nowMillis));
+        durable.forEach(decision -> executeDecision(replica, decision, nowMillis));
         replica.snapshotIfDue(nowMillis);
       } catch (ClosedByInterruptException e) {
-        throw new InterruptedException("asked to stop while storing");
+        throw new InterruptedException("interrupted while storing group " + replica.groupId);
       } catch (IOException e) {
         closeFailedReplica(replica, e, nowMillis);
       }
@@ -261,7 +269,7 @@
 
   private void executeDecision(Replica replica, RaftDecision decision, long nowMillis) {
     switch (decision) {
-      case RaftDecision.Persist stored -> {}
+      case RaftDecision.Persist persisted -> {}
       case RaftDecision.Send send ->
           outgoing
               .computeIfAbsent(send.toIdentity(), id -> ConsensusBatch.newBuilder())
@@ -288,32 +296,37 @@
           completeProposal(
               unknown.requestId(), CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "");
       case RaftDecision.RoleChanged change -> {
-        Logger.info("group {}: {} in term {}", replica.groupId, change.role(), change.term());
+        Logger.info(
+            "group {}: role changed to {} in term {} (leader {})",
+            replica.groupId,
+            change.role(),
+            change.term(),
+            change.leaderIdentity().isEmpty() ? "unknown" : change.leaderIdentity());
         observers.forEach(observer -> observer.roleChanged(replica.groupId, change, nowMillis));
       }
     }
   }
 
   private void completeProposal(
-      long requestId, CommandStatus status, ByteString result, String leader) {
-    Consumer<CommandReply> waiter = requestId == 0 ? null : replyCallbacks.remove(requestId);
-    if (waiter != null) {
-      waiter.accept(reply(status, result, leader));
+      long requestId, CommandStatus status, ByteString result, String leaderHost) {
+    Consumer<CommandReply> callback = requestId == 0 ? null : replyCallbacks.remove(requestId);
+    if (callback != null) {
+      callback.accept(reply(status, result, leaderHost));
     }
   }
 
-  private static CommandReply reply(CommandStatus status, ByteString result, String leader) {
+  private static CommandReply reply(CommandStatus status, ByteString result, String leaderHost) {
     return CommandReply.newBuilder()
         .setStatus(status)
         .setResult(result)
-        .setLeaderHost(leader)
+        .setLeaderHost(leaderHost)
         .build();
   }
 
   private void receive(String fromIdentity, GroupMessage message) {
-    boolean forThisFolder = message.getToIdentity().equals(folder.identity());
+    boolean addressedToThisFolder = message.getToIdentity().equals(folder.identity());
     int groupId = message.getGroupId();
-    if (!forThisFolder || groupId < 0 || groupId >= groupCount) {
+    if (!addressedToThisFolder || groupId < 0 || groupId >= groupCount) {
       return;
     }
     if (!replicas.containsKey(groupId) && !reopenAtMillis.containsKey(groupId)) {
@@ -358,22 +371,33 @@
     }
   }
 
-  /** Drops a replica whose files failed: what is in memory may be ahead of the disk. */
+  /**
+   * Closes a replica whose storage failed, since its state in memory may be ahead of the disk. All
+   * pending proposals end with an unknown outcome.
+   */
   private void closeFailedReplica(Replica replica, IOException cause, long nowMillis) {
     replicas.remove(replica.groupId);
     replica.close();
     recordStorageFailure(replica.groupId, cause, nowMillis);
-    RaftDecision.RoleChanged stopped =
+    RaftDecision.RoleChanged lostRole =
         new RaftDecision.RoleChanged(RaftRole.FOLLOWER, replica.core.term(), "");
-    observers.forEach(observer -> observer.roleChanged(replica.groupId, stopped, nowMillis));
-    List<Consumer<CommandReply>> open = List.copyOf(replyCallbacks.values());
+    observers.forEach(observer -> observer.roleChanged(replica.groupId, lostRole, nowMillis));
+    List<Consumer<CommandReply>> callbacks = List.copyOf(replyCallbacks.values());
     replyCallbacks.clear();
-    open.forEach(
-        waiter -> waiter.accept(reply(CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "")));
+    callbacks.forEach(
+        callback ->
+            callback.accept(reply(CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "")));
   }
 
   private void recordStorageFailure(int groupId, IOException cause, long nowMillis) {
-    String reason = "group " + groupId + " cannot be stored: " + cause.getMessage();
+    String reason =
+        "group "
+            + groupId
+            + ": storage failed: "
+            + cause.getMessage()
+            + "; retrying every "
+            + REOPEN_DELAY_MILLIS
+            + " ms";
     if (!reason.equals(storageFailure)) {
       Logger.error("{}", reason);
     }
@@ -385,12 +409,15 @@
     if (!GroupBootstrap.mayBootstrap(self.get(), bootstrapContacts, connectedHosts.get())) {
       return;
     }
-    Logger.info("{} are all empty: founding the groups", bootstrapContacts);
-    VoterSet founders = VoterSet.newBuilder().addVoters(voter(self.get())).build();
+    Logger.info(
+        "all control hosts {} are connected and empty: bootstrapping {} consensus groups",
+        bootstrapContacts,
+        groupCount);
+    VoterSet initialVoters = VoterSet.newBuilder().addVoters(voter(self.get())).build();
     for (int groupId = 0; groupId < groupCount; groupId++) {
       try (GroupStorage storage = GroupStorage.open(folder.groupFolder(groupId))) {
         storage.persist(
-            new RaftDecision.AppendEntries(List.of(StoredState.bootstrapEntry(founders))));
+            new RaftDecision.AppendEntries(List.of(StoredState.bootstrapEntry(initialVoters))));
         storage.persist(new RaftDecision.SaveHardState(1, ""));
         storage.sync();
       } catch (IOException e) {
@@ -408,14 +435,14 @@
     }
     List<Voter> candidates = new ArrayList<>();
     candidates.add(voter(self.get()));
-    Set<String> seen = new HashSet<>(Set.of(folder.identity()));
+    Set<String> seenIdentities = new HashSet<>(Set.of(folder.identity()));
     for (HostRecord host : connectedHosts.get()) {
-      if (seen.add(host.getIdentity())) {
+      if (seenIdentities.add(host.getIdentity())) {
         candidates.add(voter(host));
       }
     }
     VoterChange.next(core, targetVoterCount, folder.identity(), candidates, nowMillis)
-        .ifPresent(set -> replica.handle(new RaftEvent.ProposeVoters(set), nowMillis));
+        .ifPresent(voters -> replica.handle(new RaftEvent.ProposeVoters(voters), nowMillis));
   }
 
   private static Voter voter(HostRecord host) {
--- a/src/main/java/org/curranthaven/internal/consensus/DataFolder.java
+++ b/src/main/java/org/curranthaven/internal/consensus/DataFolder.java
@@ -19,10 +19,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The data folder of a host, locked against a second process.
+ * Data folder of a host, locked against use by a second process.
  *
- * <p>Its identity is made once, on the empty folder. A folder that was wiped gets another identity,
- * so that it never votes in place of the one that was lost.
+ * <p>The identity is created once, when the folder is empty. A folder that was wiped gets a new
+ * identity, so that it never votes in place of the lost replica.
  */
 public final class DataFolder implements Closeable {
   private static final String LOCK_NAME = "lock";
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Opens and locks the folder, gives it an identity if it has none, and reads every group once, so
-   * that damage is refused before the host starts.
+   * Opens and locks the folder, creates its identity if it has none, and reads the files of every
+   * group once, so that the host does not start with damaged data.
    */
   public static Outcome<DataFolder> open(Path path) {
     try {
@@ -56,14 +56,22 @@
       return opened;
     } catch (IOException e) {
       return Outcome.failed(
-          ResultCode.STORAGE_FAILED, "data folder " + path + " cannot be used: " + e.getMessage());
+          ResultCode.STORAGE_FAILED,
+          "data folder "
+              + path
+              + " cannot be used: "
+              + e.getMessage()
+              + "; check that it is a writable directory");
     }
   }
 
   private static Outcome<DataFolder> open(Path path, FileChannel channel) throws IOException {
     if (tryLock(channel) == null) {
       return Outcome.failed(
-          ResultCode.DATA_FOLDER_LOCKED, "data folder " + path + " is used by another process");
+          ResultCode.DATA_FOLDER_LOCKED,
+          "data folder "
+              + path
+              + " is used by another process; stop that process or configure another data folder");
     }
     DataFolder folder = new DataFolder(path, readOrCreateIdentity(path), channel);
     try {
@@ -101,17 +109,17 @@
     return identity;
   }
 
-  /** Returns the identity of the folder. */
+  /** Returns the identity of the folder, a random UUID. */
   public String identity() {
     return identity;
   }
 
-  /** Returns the folder of a group. */
+  /** Returns the path of a group's subfolder, which may not exist yet. */
   public Path groupFolder(int groupId) {
     return path.resolve(GROUP_PREFIX + groupId);
   }
 
-  /** Returns the numbers of the groups that have a folder here. */
+  /** Returns the numbers of the groups that have a subfolder, in ascending order. */
   public List<Integer> groupIds() throws IOException {
     try (Stream<Path> files = Files.list(path)) {
       return files
--- a/src/main/java/org/curranthaven/internal/consensus/FollowerProgress.java
+++ b/src/main/java/org/curranthaven/internal/consensus/FollowerProgress.java
@@ -1,17 +1,17 @@
 package org.curranthaven.internal.consensus;
 
-/** What a leader knows of one other replica. */
+/** Replication progress of another replica, as tracked by the leader. */
 final class FollowerProgress {
   long nextIndex;
   long matchIndex;
 
-  /** Latest sending time, on the leader's clock, of a message that the replica answered. */
+  /** Send time, on the leader's clock, of the latest message that the replica replied to. */
   long lastAcknowledgedSendMillis;
 
-  /** Offset of the snapshot piece awaited next; below 0 when no snapshot is being sent. */
+  /** Byte offset of the snapshot chunk to be acknowledged next; -1 if no snapshot is being sent. */
   long snapshotOffset = -1;
 
-  /** Index of the snapshot being sent. */
+  /** Last log index of the snapshot being sent. */
   long snapshotIndex;
 
   FollowerProgress(long nextIndex) {
--- a/src/main/java/org/curranthaven/internal/consensus/GroupBootstrap.java
+++ b/src/main/java/org/curranthaven/internal/consensus/GroupBootstrap.java
@@ -6,31 +6,34 @@
 import org.curranthaven.internal.transport.wire.HostRecord;
 
 /**
- * Decides whether a control host with an empty data folder may found the groups.
+ * Decides whether a control host with an empty data folder may bootstrap the consensus groups.
  *
- * <p>It may only if it has the lowest address of the control hosts named in the settings, and all
- * of these are connected and empty: then nothing can have been accepted anywhere. Otherwise it
- * waits until a leader takes it in.
+ * <p>It may only if it has the lowest peer address of the control hosts named in the settings, and
+ * all of these are connected and have empty data folders, since then no host can have accepted a
+ * command yet. Otherwise it waits until a leader adds it to the groups.
  */
 final class GroupBootstrap {
   private GroupBootstrap() {}
 
   /**
-   * Returns whether {@code self} may found the groups.
+   * Returns whether {@code self} may bootstrap the groups.
    *
-   * @param contacts peer addresses of the control hosts in the settings, the same on each of them
-   * @param connectedControl control hosts that are connected, this one excluded
+   * @param contacts peer addresses of the control hosts in the settings, the same on each host
+   * @param connectedControlHosts control hosts that are connected, excluding this one
    */
   static boolean mayBootstrap(
-      HostRecord self, Collection<String> contacts, Collection<HostRecord> connectedControl) {
-    Set<String> present =
-        connectedControl.stream().map(HostRecord::getPeerAddress).collect(Collectors.toSet());
-    present.add(self.getPeerAddress());
-    boolean allEmpty = connectedControl.stream().noneMatch(HostRecord::getFormed);
-    boolean lowest =
+      HostRecord self, Collection<String> contacts, Collection<HostRecord> connectedControlHosts) {
+    Set<String> knownAddresses =
+        connectedControlHosts.stream().map(HostRecord::getPeerAddress).collect(Collectors.toSet());
+    knownAddresses.add(self.getPeerAddress());
+    boolean allEmpty = connectedControlHosts.stream().noneMatch(HostRecord::getFormed);
+    boolean hasLowestAddress =
         contacts.stream()
             .min(String::compareTo)
             .equals(java.util.Optional.of(self.getPeerAddress()));
-    return !self.getFormed() && lowest && allEmpty && present.containsAll(contacts);
+    return !self.getFormed()
+        && hasLowestAddress
+        && allEmpty
+        && knownAddresses.containsAll(contacts);
   }
 }
--- a/src/main/java/org/curranthaven/internal/consensus/GroupObserver.java
+++ b/src/main/java/org/curranthaven/internal/consensus/GroupObserver.java
@@ -1,13 +1,13 @@
 package org.curranthaven.internal.consensus;
 
-/** Is told what happens to the groups of this host, on the consensus thread. */
+/** Observes the consensus groups of this host. Called on the consensus thread. */
 public interface GroupObserver {
-  /** Entries up to {@code index} of the group are applied. */
+  /** Called when the group's entries up to {@code index} have been applied. */
   void applied(int groupId, long index, long nowMillis);
 
-  /** The role of this host's replica changed. */
+  /** Called when the role or the known leader of this host's replica changed. */
   void roleChanged(int groupId, RaftDecision.RoleChanged change, long nowMillis);
 
-  /** Time has passed. */
+  /** Called once per tick of the consensus loop. */
   void tick(long nowMillis);
 }
--- a/src/main/java/org/curranthaven/internal/consensus/GroupStorage.java
+++ b/src/main/java/org/curranthaven/internal/consensus/GroupStorage.java
@@ -19,14 +19,17 @@
 import org.curranthaven.internal.transport.wire.SnapshotFile;
 
 /**
- * Files of one replica: a snapshot and log segments in one folder.
+ * Persistent storage of one replica: a snapshot and log segments in one folder.
  *
- * <p>Writes go to the last segment and last once {@link #sync} returns. A record that a crash cut
- * short at the end of the last segment is removed on opening; a damaged record before sound ones is
- * refused with file and offset, since what it held may have been acknowledged.
+ * <p>Writes go to the last segment and are durable once {@link #sync} returns. An incomplete record
+ * that a crash left at the end of the last segment is removed on opening. A damaged record followed
+ * by valid ones fails the opening with file and offset, since its contents may have been
+ * acknowledged.
+ *
+ * <p>Not thread-safe.
  */
 public final class GroupStorage implements Closeable {
-  /** Size after which a new segment is started, in bytes. */
+  /** Size at which a segment is closed and a new one started, in bytes. */
   static final long SEGMENT_BYTES = 4L * 1024 * 1024;
 
   private static final String SNAPSHOT_NAME = "snapshot";
@@ -50,9 +53,9 @@
   }
 
   /**
-   * Opens the folder, which is made if missing.
+   * Opens the folder, creating it if missing, and reads its contents.
    *
-   * @throws DamagedDataException if a record that was synced cannot be read
+   * @throws DamagedDataException if a record that was synced cannot be read back
    * @throws IOException if the folder cannot be read or written
    */
   public static GroupStorage open(Path folder) throws IOException {
@@ -64,22 +67,22 @@
       boolean last = i == segments.size() - 1;
       RecordFiles.readSegment(segments.get(i), last, replay::add);
     }
-    long number = segments.isEmpty() ? 1 : segmentNumberOf(segments.getLast());
-    FileChannel channel = openSegment(folder, number);
-    return new GroupStorage(folder, replay.state(folder), number, channel);
+    long lastNumber = segments.isEmpty() ? 1 : segmentNumberOf(segments.getLast());
+    FileChannel channel = openSegment(folder, lastNumber);
+    return new GroupStorage(folder, replay.state(folder), lastNumber, channel);
   }
 
-  /** Returns what the folder held when it was opened. */
+  /** Returns the state read when the folder was opened. */
   public StoredState loadedState() {
     return loadedState;
   }
 
-  /** Forgets the state read on opening, so that its memory can be used. */
+  /** Releases the state read on opening to free its memory. */
   void releaseLoadedState() {
     loadedState = StoredState.empty();
   }
 
-  /** Carries out a decision; it lasts once {@link #sync} has returned. */
+  /** Writes a decision, which is durable once {@link #sync} has returned. */
   public void persist(RaftDecision.Persist decision) throws IOException {
     switch (decision) {
       case RaftDecision.SaveHardState save -> saveHardState(save.term(), save.votedFor());
@@ -94,7 +97,7 @@
     }
   }
 
-  /** Makes everything persisted so far last. */
+  /** Makes all decisions persisted so far durable. */
   public void sync() throws IOException {
     flush();
     segment.force(false);
@@ -108,9 +111,9 @@
     segment.close();
   }
 
-  private void saveHardState(long newTerm, String vote) throws IOException {
+  private void saveHardState(long newTerm, String newVotedFor) throws IOException {
     term = newTerm;
-    votedFor = vote;
+    votedFor = newVotedFor;
     addToBatch(hardState());
   }
 
@@ -120,12 +123,12 @@
         .build();
   }
 
-  /** Adds a record to the batch that the next flush writes. */
+  /** Adds a record to the batch that the next {@link #flush} writes. */
   private void addToBatch(LogRecord record) throws IOException {
     record.writeDelimitedTo(batch);
   }
 
-  /** Writes the batch under one checksum, so that a loss of power tears all of it or nothing. */
+  /** Writes the batch under one checksum, so that a power loss keeps all of it or none. */
   private void flush() throws IOException {
     if (batch.size() > 0) {
       byte[] payload = batch.toByteArray();
@@ -135,7 +138,7 @@
   }
 
   private void saveSnapshot(SnapshotFile snapshot, boolean replacesLog) throws IOException {
-    // The log that the snapshot rests on must last before the snapshot can stand for it.
+    // The log entries that the snapshot covers must be durable before the snapshot replaces them.
     flush();
     segment.force(false);
     Path target = folder.resolve(SNAPSHOT_NAME);
@@ -182,24 +185,24 @@
   }
 
   private static long lastIndexIn(Path path) throws IOException {
-    long[] last = new long[1];
+    long[] lastIndex = new long[1];
     RecordFiles.readSegment(
         path,
         false,
         record -> {
           if (record.hasEntry()) {
-            last[0] = record.getEntry().getIndex();
+            lastIndex[0] = record.getEntry().getIndex();
           }
         });
-    return last[0];
+    return lastIndex[0];
   }
 
   private static SnapshotFile readSnapshot(Path path) throws IOException {
     if (!Files.exists(path)) {
       return SnapshotFile.getDefaultInstance();
     }
-    ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
-    byte[] payload = RecordFiles.readRecord(file);
+    ByteBuffer buffer = ByteBuffer.wrap(Files.readAllBytes(path));
+    byte[] payload = RecordFiles.readRecord(buffer);
     if (payload == null) {
       throw new DamagedDataException(path, 0);
     }
@@ -231,7 +234,7 @@
     }
   }
 
-  /** Builds the state of a replica from its records in order. */
+  /** Rebuilds the state of a replica by replaying its log records in order. */
   private static final class LogReplay {
     private final SnapshotFile snapshot;
     private final List<LogEntry> entries = new ArrayList<>();
@@ -266,8 +269,8 @@
     }
 
     StoredState state(Path folder) throws DamagedDataException {
-      long first = entries.isEmpty() ? 0 : entries.getFirst().getIndex();
-      if (first > snapshot.getLastIndex() + 1) {
+      long firstIndex = entries.isEmpty() ? 0 : entries.getFirst().getIndex();
+      if (firstIndex > snapshot.getLastIndex() + 1) {
         throw new DamagedDataException(folder.resolve(SNAPSHOT_NAME), 0);
       }
       return new StoredState(term, votedFor, snapshot, entries);
--- a/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
@@ -23,35 +23,36 @@
 import org.curranthaven.internal.transport.wire.VoterSet;
 
 /**
- * One replica of a replicated log: the Raft algorithm with pre-vote, check-quorum, a leader lease
- * on the leader's own clock, learners, voter changes one at a time, snapshots in pieces and
- * leadership transfer. It owns no clock, thread, socket or file.
+ * Raft state machine of one replica. Implements elections with pre-vote and check-quorum, a leader
+ * lease measured on the leader's own clock, learners, single-voter membership changes, snapshots
+ * sent in chunks, and leadership transfer. Performs no I/O and reads no clock: the caller passes
+ * events with the current time to {@link #handle} and carries out the returned decisions.
  *
  * <pre>{@code
  * List<RaftDecision> decisions = new ArrayList<>(core.handle(new Propose(7, command), now));
  * decisions.addAll(core.handle(new BatchEnded(), now));
- * storage.persist(decisions); // and sync, before anything is sent or applied
+ * storage.persist(decisions); // persist and sync before sending or applying anything
  * }</pre>
  *
  * <p>Not thread-safe.
  */
 public final class RaftCore {
-  /** Most entries in one append message. */
+  /** Maximum number of entries in one append message. */
   static final int MAX_APPEND_ENTRIES = 512;
 
-  /** Most bytes of entries in one append message, unless a single entry is larger. */
+  /** Maximum bytes of entries in one append message; a single larger entry is sent by itself. */
   static final int MAX_APPEND_BYTES = 512 * 1024;
 
-  /** Most entries sent to a replica ahead of its answers. */
+  /** Maximum number of entries sent to a replica beyond the last one it acknowledged. */
   static final int MAX_ENTRIES_IN_FLIGHT = 8_192;
 
-  /** A pre-vote is repeated after one to this many heartbeat times. */
+  /** A pre-vote is retried after a random delay of one to this many heartbeat intervals. */
   static final int PRE_VOTE_RETRY_MAX_HEARTBEATS = 3;
 
-  /** Most entries that a learner may lack when it becomes a voter. */
+  /** Maximum number of entries that a learner may lag behind when it becomes a voter. */
   static final long MAX_PROMOTION_LAG_ENTRIES = 1_000;
 
-  /** Size of one piece of a snapshot, in bytes. */
+  /** Maximum size of one snapshot chunk, in bytes. */
   static final int SNAPSHOT_CHUNK_BYTES = 256 * 1024;
 
   private final int groupId;
@@ -80,13 +81,13 @@
   private long incomingSnapshotIndex;
 
   /**
-   * Creates a replica from what its data folder holds.
+   * Creates a replica from the state read from its data folder.
    *
    * @param groupId number of the group
    * @param self identity of this replica's data folder
-   * @param stored what the data folder holds
-   * @param random source of election timeouts
-   * @param nowMillis present time on this replica's monotonic clock
+   * @param stored state read from the data folder
+   * @param random source of randomized election timeouts
+   * @param nowMillis current time on this replica's monotonic clock
    */
   public RaftCore(
       int groupId,
@@ -104,12 +105,13 @@
     this.votedFor = stored.votedFor();
     this.commitIndex = log.snapshotIndex();
     this.appliedIndex = log.snapshotIndex();
-    // A vote given before a restart may support a lease that is still running.
+    // A leader that this replica acknowledged before the restart may still hold a lease, so no
+    // vote is granted for the minimum election timeout.
     this.lastLeaderContactMillis = nowMillis;
     resetElectionDeadline(nowMillis);
   }
 
-  /** Handles one event and returns what to do, in order. */
+  /** Handles one event and returns the resulting decisions in the order to carry them out. */
   public List<RaftDecision> handle(RaftEvent event, long nowMillis) {
     decisions = new ArrayList<>();
     switch (event) {
@@ -120,47 +122,45 @@
       case RaftEvent.Propose proposal -> propose(proposal.requestId(), proposal.command());
       case RaftEvent.ProposeVoters proposal -> proposeVoters(proposal.voters(), nowMillis);
       case RaftEvent.TransferLeadership ignored -> transferLeadership(nowMillis);
-      case RaftEvent.SnapshotTaken taken -> compact(taken.index(), taken.state());
+      case RaftEvent.SnapshotTaken snapshot -> compact(snapshot.index(), snapshot.state());
     }
     return decisions;
   }
 
-  /** Returns the role of this replica. */
   public RaftRole role() {
     return role;
   }
 
-  /** Returns the current term. */
   public long term() {
     return term;
   }
 
-  /** Returns the identity of the leader, empty when none is known. */
+  /** Returns the identity of the current leader, or an empty string when it is unknown. */
   public String leader() {
     return leader;
   }
 
-  /** Returns the index up to which entries are committed. */
+  /** Returns the index of the last committed entry. */
   public long commitIndex() {
     return commitIndex;
   }
 
-  /** Returns the index of the last entry. */
+  /** Returns the index of the last entry in the log, committed or not. */
   public long lastIndex() {
     return log.lastIndex();
   }
 
-  /** Returns the index of the latest snapshot. */
+  /** Returns the index of the last entry that the latest snapshot covers. */
   public long snapshotIndex() {
     return log.snapshotIndex();
   }
 
-  /** Returns the latest voter set, committed or not. */
+  /** Returns the latest voter set in the log, committed or not. */
   public VoterSet voters() {
     return log.voters();
   }
 
-  /** Returns the index of the entry that holds the latest voter set. */
+  /** Returns the index of the log entry with the latest voter set. */
   public long votersIndex() {
     return log.votersIndex();
   }
@@ -170,19 +170,25 @@
     return log.votersIndex() <= commitIndex;
   }
 
-  /** Returns the index up to which the replica is known to hold the log; 0 when unknown. */
+  /** Returns the index up to which the replica's log is known to match; 0 when unknown. */
   public long matchIndex(String identity) {
     FollowerProgress progress = followers.get(identity);
     return progress == null ? 0 : progress.matchIndex;
   }
 
-  /** Returns when the replica last answered, on this leader's clock; 0 when unknown. */
+  /**
+   * Returns when the latest message that the replica replied to was sent, on this leader's clock; 0
+   * when unknown.
+   */
   public long lastAcknowledgedMillis(String identity) {
     FollowerProgress progress = followers.get(identity);
     return progress == null ? 0 : progress.lastAcknowledgedSendMillis;
   }
 
-  /** Returns whether this replica leads and no other can have been elected yet. */
+  /**
+   * Returns whether this replica is leader and holds a valid lease, so that no other leader can
+   * have been elected.
+   */
   public boolean hasLease(long nowMillis) {
     return role == RaftRole.LEADER
         && !transferring
@@ -190,7 +196,7 @@
         && nowMillis < quorumAcknowledgedMillis(nowMillis) + timing.leaseMillis();
   }
 
-  // ---- time -------------------------------------------------------------------------------------
+  // ---- timers -----------------------------------------------------------------------------------
 
   private void tick(long nowMillis) {
     if (role == RaftRole.LEADER) {
@@ -201,10 +207,10 @@
   }
 
   private void tickLeader(long nowMillis) {
-    boolean quorumSilent =
+    boolean quorumLost =
         nowMillis - quorumAcknowledgedMillis(nowMillis) > timing.electionTimeoutMinMillis();
     boolean transferFailed = transferring && nowMillis >= transferDeadlineMillis;
-    if (quorumSilent || transferFailed) {
+    if (quorumLost || transferFailed) {
       becomeFollower(term, "", nowMillis);
       return;
     }
@@ -214,14 +220,19 @@
     }
   }
 
-  /** Returns the latest time at which a quorum of voters, this one included, is known to listen. */
+  /**
+   * Returns the latest send time that a quorum of voters has acknowledged. This replica counts as
+   * acknowledging now.
+   */
   private long quorumAcknowledgedMillis(long nowMillis) {
-    long[] times =
+    long[] acknowledgedTimes =
         VoterSets.voterIds(log.voters()).stream()
             .mapToLong(id -> id.equals(self) ? nowMillis : lastAcknowledgedMillis(id))
             .sorted()
             .toArray();
-    return times.length == 0 ? 0 : times[(times.length - 1) / 2];
+    return acknowledgedTimes.length == 0
+        ? 0
+        : acknowledgedTimes[(acknowledgedTimes.length - 1) / 2];
   }
 
   private void resetElectionDeadline(long nowMillis) {
@@ -239,7 +250,8 @@
     votesGranted.add(self);
     boolean preVote = candidacy == RaftRole.PRE_CANDIDATE;
     if (preVote) {
-      // Voters that heard from the leader a little later refuse now and agree soon after.
+      // Voters that received the last heartbeat slightly later reject the pre-vote until their own
+      // timeout has passed, so a short retry delay suffices.
       electionDeadlineMillis =
           nowMillis
               + random.nextLong(
@@ -343,8 +355,8 @@
       send(from, message(granted ? requestTerm : term).setVoteReply(reply));
       return;
     }
-    boolean free = votedFor.isEmpty() || votedFor.equals(from);
-    boolean granted = requestTerm == term && free && upToDate;
+    boolean canVoteForCandidate = votedFor.isEmpty() || votedFor.equals(from);
+    boolean granted = requestTerm == term && canVoteForCandidate && upToDate;
     if (granted && votedFor.isEmpty()) {
       votedFor = from;
       decisions.add(new RaftDecision.SaveHardState(term, votedFor));
@@ -356,11 +368,11 @@
   }
 
   private void receiveVoteReply(String from, long replyTerm, VoteReply reply, long nowMillis) {
-    boolean forThisCandidacy =
+    boolean matchesCandidacy =
         reply.getPreVote()
             ? role == RaftRole.PRE_CANDIDATE && replyTerm == term + 1
             : role == RaftRole.CANDIDATE && replyTerm == term;
-    if (forThisCandidacy && reply.getGranted()) {
+    if (matchesCandidacy && reply.getGranted()) {
       votesGranted.add(from);
       electIfQuorum(nowMillis);
     }
@@ -390,7 +402,10 @@
     }
   }
 
-  /** Moves to the message's higher term where it may; returns whether to go on with the message. */
+  /**
+   * Adopts the higher term of a message unless the message is a pre-vote. Returns whether the
+   * message is to be processed: a vote request is dropped while a leader is in contact.
+   */
   private boolean adoptTerm(GroupMessage message, long nowMillis) {
     if (message.hasVoteRequest()) {
       VoteRequest request = message.getVoteRequest();
@@ -424,8 +439,8 @@
     }
     followLeader(from, nowMillis);
     long previous = request.getPreviousIndex();
-    boolean known = previous < log.snapshotIndex();
-    if (!known && log.termAt(previous) != request.getPreviousTerm()) {
+    boolean coveredBySnapshot = previous < log.snapshotIndex();
+    if (!coveredBySnapshot && log.termAt(previous) != request.getPreviousTerm()) {
       replyToAppend(from, request, false, 0);
       return;
     }
@@ -437,7 +452,7 @@
     replyToAppend(from, request, true, matched);
   }
 
-  /** Appends what is new, removing entries that conflict; returns the last matching index. */
+  /** Appends the new entries and truncates conflicting ones; returns the last matching index. */
   private long appendReceived(List<LogEntry> received, long previousIndex) {
     List<LogEntry> added = new ArrayList<>();
     for (LogEntry entry : received) {
@@ -462,7 +477,8 @@
   private void truncateFrom(long index) {
     if (index <= commitIndex) {
       throw new IllegalStateException(
-          "group %d: entry %d is committed and cannot be removed".formatted(groupId, index));
+          "group %d: the leader of term %d conflicts with entry %d, which is committed (commit index %d) and cannot be removed"
+              .formatted(groupId, term, index, commitIndex));
     }
     log.truncateFrom(index);
     decisions.add(new RaftDecision.TruncateFrom(index));
@@ -493,9 +509,9 @@
       stepDownIfRemoved(nowMillis);
       return;
     }
-    long retreat = Math.max(progress.matchIndex, reply.getLastIndex()) + 1;
-    if (retreat < progress.nextIndex) {
-      progress.nextIndex = retreat;
+    long retryIndex = Math.max(progress.matchIndex, reply.getLastIndex()) + 1;
+    if (retryIndex < progress.nextIndex) {
+      progress.nextIndex = retryIndex;
       sendAppend(from, nowMillis);
     }
   }
@@ -532,7 +548,10 @@
         .allMatch(id -> isCaughtUp(id, nowMillis));
   }
 
-  /** Returns whether a replica holds nearly the whole log and has answered a moment ago. */
+  /**
+   * Returns whether a replica lags by at most {@link #MAX_PROMOTION_LAG_ENTRIES} entries and
+   * replied within the minimum election timeout.
+   */
   public boolean isCaughtUp(String identity, long nowMillis) {
     return matchIndex(identity) > 0
         && matchIndex(identity) + MAX_PROMOTION_LAG_ENTRIES >= log.lastIndex()
@@ -558,8 +577,8 @@
     }
     followers.forEach(
         (id, progress) -> {
-          long limit = progress.matchIndex + MAX_ENTRIES_IN_FLIGHT;
-          while (progress.nextIndex <= Math.min(log.lastIndex(), limit)
+          long maxIndex = progress.matchIndex + MAX_ENTRIES_IN_FLIGHT;
+          while (progress.nextIndex <= Math.min(log.lastIndex(), maxIndex)
               && progress.nextIndex > log.snapshotIndex()) {
             sendAppend(id, nowMillis);
           }
@@ -598,17 +617,17 @@
     if (role != RaftRole.LEADER) {
       return;
     }
-    long[] matches =
+    long[] matchIndexes =
         VoterSets.voterIds(log.voters()).stream()
             .mapToLong(id -> id.equals(self) ? log.lastIndex() : matchIndex(id))
             .sorted()
             .toArray();
-    if (matches.length == 0) {
+    if (matchIndexes.length == 0) {
       return;
     }
-    long candidate = matches[(matches.length - 1) / 2];
-    if (candidate > commitIndex && log.termAt(candidate) == term) {
-      commitIndex = candidate;
+    long quorumIndex = matchIndexes[(matchIndexes.length - 1) / 2];
+    if (quorumIndex > commitIndex && log.termAt(quorumIndex) == term) {
+      commitIndex = quorumIndex;
       applyCommitted();
     }
   }
@@ -634,15 +653,15 @@
     if (!log.contains(index) || index > appliedIndex) {
       return;
     }
-    SnapshotFile taken =
+    SnapshotFile newSnapshot =
         SnapshotFile.newBuilder()
             .setLastIndex(index)
             .setLastTerm(log.termAt(index))
             .setVoters(log.votersAt(index))
             .setState(state)
             .build();
-    log.compact(taken);
-    decisions.add(new RaftDecision.SaveSnapshot(taken, false));
+    log.compact(newSnapshot);
+    decisions.add(new RaftDecision.SaveSnapshot(newSnapshot, false));
   }
 
   private void sendSnapshotChunk(String to, FollowerProgress progress, long nowMillis) {
@@ -653,7 +672,7 @@
     }
     int start = (int) progress.snapshotOffset;
     int end = Math.min(start + SNAPSHOT_CHUNK_BYTES, snapshot.getState().size());
-    SnapshotChunk piece =
+    SnapshotChunk chunk =
         SnapshotChunk.newBuilder()
             .setLastIndex(snapshot.getLastIndex())
             .setLastTerm(snapshot.getLastTerm())
@@ -663,48 +682,49 @@
             .setLast(end == snapshot.getState().size())
             .setSentAtMillis(nowMillis)
             .build();
-    send(to, message(term).setSnapshotPiece(piece));
+    send(to, message(term).setSnapshotPiece(chunk));
   }
 
   private void receiveSnapshotChunk(
-      String from, long leaderTerm, SnapshotChunk piece, long nowMillis) {
+      String from, long leaderTerm, SnapshotChunk chunk, long nowMillis) {
     if (leaderTerm < term) {
-      replyToSnapshot(from, piece, 0, false);
+      replyToSnapshot(from, chunk, 0, false);
       return;
     }
     followLeader(from, nowMillis);
-    if (piece.getLastIndex() <= commitIndex) {
-      replyToSnapshot(from, piece, 0, true);
+    if (chunk.getLastIndex() <= commitIndex) {
+      replyToSnapshot(from, chunk, 0, true);
       return;
     }
-    if (piece.getOffset() == 0 || piece.getLastIndex() != incomingSnapshotIndex) {
+    if (chunk.getOffset() == 0 || chunk.getLastIndex() != incomingSnapshotIndex) {
       incomingSnapshot = ByteString.EMPTY;
-      incomingSnapshotIndex = piece.getLastIndex();
+      incomingSnapshotIndex = chunk.getLastIndex();
     }
-    if (piece.getOffset() != incomingSnapshot.size()) {
-      replyToSnapshot(from, piece, incomingSnapshot.size(), false);
+    if (chunk.getOffset() != incomingSnapshot.size()) {
+      replyToSnapshot(from, chunk, incomingSnapshot.size(), false);
       return;
     }
-    incomingSnapshot = incomingSnapshot.concat(piece.getData());
-    if (piece.getLast()) {
-      installSnapshot(piece);
+    incomingSnapshot = incomingSnapshot.concat(chunk.getData());
+    if (chunk.getLast()) {
+      installSnapshot(chunk);
       incomingSnapshot = ByteString.EMPTY;
     }
-    replyToSnapshot(from, piece, incomingSnapshot.size(), piece.getLast());
+    replyToSnapshot(from, chunk, incomingSnapshot.size(), chunk.getLast());
   }
 
-  private void installSnapshot(SnapshotChunk piece) {
-    if (log.termAt(piece.getLastIndex()) == piece.getLastTerm()) {
-      // A late snapshot: entries after it were acknowledged and must not be dropped.
-      commitIndex = piece.getLastIndex();
+  private void installSnapshot(SnapshotChunk chunk) {
+    if (log.termAt(chunk.getLastIndex()) == chunk.getLastTerm()) {
+      // The log already contains the snapshot's last entry. Keep the log: entries after the
+      // snapshot may have been acknowledged to the leader and must not be discarded.
+      commitIndex = chunk.getLastIndex();
       applyCommitted();
       return;
     }
     SnapshotFile installed =
         SnapshotFile.newBuilder()
-            .setLastIndex(piece.getLastIndex())
-            .setLastTerm(piece.getLastTerm())
-            .setVoters(VoterSets.parse(piece.getVoters()))
+            .setLastIndex(chunk.getLastIndex())
+            .setLastTerm(chunk.getLastTerm())
+            .setVoters(VoterSets.parse(chunk.getVoters()))
             .setState(incomingSnapshot)
             .build();
     log.reset(installed);
@@ -714,13 +734,13 @@
     decisions.add(new RaftDecision.RestoreState(installed));
   }
 
-  private void replyToSnapshot(String to, SnapshotChunk piece, long offset, boolean installed) {
+  private void replyToSnapshot(String to, SnapshotChunk chunk, long offset, boolean installed) {
     SnapshotReply reply =
         SnapshotReply.newBuilder()
             .setNextOffset(offset)
             .setInstalled(installed)
-            .setLastIndex(piece.getLastIndex())
-            .setEchoedSentAtMillis(piece.getSentAtMillis())
+            .setLastIndex(chunk.getLastIndex())
+            .setEchoedSentAtMillis(chunk.getSentAtMillis())
             .build();
     send(to, message(term).setSnapshotReply(reply));
   }
@@ -753,7 +773,7 @@
     if (role != RaftRole.LEADER || transferring || VoterSets.voterIds(log.voters()).size() < 2) {
       return;
     }
-    // The lease is given up for the rest of the term: a late TimeoutNow may still start an
+    // The leader does not use its lease again in this term: a delayed TimeoutNow may still start an
     // election.
     transferring = true;
     transferDeadlineMillis = nowMillis + timing.electionTimeoutMaxMillis();
--- a/src/main/java/org/curranthaven/internal/consensus/RaftDecision.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftDecision.java
@@ -6,41 +6,47 @@
 import org.curranthaven.internal.transport.wire.SnapshotFile;
 
 /**
- * What a {@link RaftCore} decides. The caller carries out and syncs every {@link Persist} decision
- * of a batch before any other decision of that batch; this order makes it safe to send and to apply
- * what the same batch appended.
+ * An action that a {@link RaftCore} requests from its caller. The caller persists and syncs every
+ * {@link Persist} decision of a batch before it carries out any other decision of that batch; this
+ * order makes it safe to send and apply the entries that the same batch appended.
  */
 public sealed interface RaftDecision {
   /** A decision that changes the data folder. */
   sealed interface Persist extends RaftDecision {}
 
-  /** Stores term and vote; an empty {@code votedFor} means no vote in this term. */
+  /** Stores the term and vote; an empty {@code votedFor} means no vote in this term. */
   record SaveHardState(long term, String votedFor) implements Persist {}
 
-  /** Appends entries after the last stored one. */
+  /** Appends entries after the last stored entry. */
   record AppendEntries(List<LogEntry> entries) implements Persist {}
 
-  /** Removes every entry from {@code index} on. */
+  /** Removes the entry at {@code index} and all later ones. */
   record TruncateFrom(long index) implements Persist {}
 
-  /** Stores a snapshot; entries up to its index may be dropped, all of them when it is ahead. */
+  /**
+   * Stores a snapshot. Entries up to its index may be discarded; if {@code replacesLog} is set, the
+   * snapshot is ahead of the log and all entries are discarded.
+   */
   record SaveSnapshot(SnapshotFile snapshot, boolean replacesLog) implements Persist {}
 
-  /** Replaces the state machine's state by the snapshot's. */
+  /** Replaces the state of the state machine with the snapshot's state. */
   record RestoreState(SnapshotFile snapshot) implements RaftDecision {}
 
   /** Sends a message to the replica with the given identity. */
   record Send(String toIdentity, GroupMessage message) implements RaftDecision {}
 
-  /** Applies a committed entry; {@code requestId} is 0 unless it was proposed here. */
+  /** Applies a committed entry; {@code requestId} is 0 unless this replica proposed the entry. */
   record Apply(LogEntry entry, long requestId) implements RaftDecision {}
 
-  /** A proposal was not taken: this replica is not the leader. */
+  /** Rejects a proposal because this replica is not the leader or is transferring leadership. */
   record RejectedProposal(long requestId) implements RaftDecision {}
 
-  /** A proposal was appended here, but this replica no longer leads: its fate is open. */
+  /**
+   * Reports that the outcome of a proposal is unknown: the entry was appended, but this replica
+   * lost leadership before the entry was committed.
+   */
   record UnknownProposal(long requestId) implements RaftDecision {}
 
-  /** The role, the term or the known leader changed. An empty leader means none is known. */
+  /** Reports a change of role or leader; {@code leaderIdentity} is empty if no leader is known. */
   record RoleChanged(RaftRole role, long term, String leaderIdentity) implements RaftDecision {}
 }
--- a/src/main/java/org/curranthaven/internal/consensus/RaftEvent.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftEvent.java
@@ -4,26 +4,26 @@
 import org.curranthaven.internal.transport.wire.GroupMessage;
 import org.curranthaven.internal.transport.wire.VoterSet;
 
-/** What can happen to a {@link RaftCore}. */
+/** Input of a {@link RaftCore}. */
 public sealed interface RaftEvent {
-  /** Time has passed. */
+  /** Periodic timer tick, which triggers elections, heartbeats and timeouts that are due. */
   record Tick() implements RaftEvent {}
 
-  /** A batch of events ends; appends that became ready in it are sent now. */
+  /** End of a batch of events; entries appended in the batch are now sent to the followers. */
   record BatchEnded() implements RaftEvent {}
 
-  /** A message arrived from the replica with the given identity. */
+  /** Message received from the replica with the given identity. */
   record Received(String fromIdentity, GroupMessage message) implements RaftEvent {}
 
-  /** A host asks for a command to be replicated; {@code requestId} is above 0. */
+  /** Proposes a command for replication; {@code requestId} is positive. */
   record Propose(long requestId, ByteString command) implements RaftEvent {}
 
-  /** Asks for a new voter set, which may differ by one voter from the one in force. */
+  /** Proposes a new voter set, which may differ from the current one by at most one voter. */
   record ProposeVoters(VoterSet voters) implements RaftEvent {}
 
-  /** Asks the leader to hand over leadership to another voter. */
+  /** Asks the leader to transfer leadership to another voter. */
   record TransferLeadership() implements RaftEvent {}
 
-  /** The state machine's state after {@code index} was written out as {@code state}. */
+  /** Snapshot of the state machine taken after it applied the entry at {@code index}. */
   record SnapshotTaken(long index, ByteString state) implements RaftEvent {}
 }
--- a/src/main/java/org/curranthaven/internal/consensus/RaftLog.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftLog.java
@@ -7,7 +7,7 @@
 import org.curranthaven.internal.transport.wire.SnapshotFile;
 import org.curranthaven.internal.transport.wire.VoterSet;
 
-/** Entries after the latest snapshot, held in memory, with that snapshot. */
+/** In-memory log: the latest snapshot and the entries after it. Not thread-safe. */
 final class RaftLog {
   private SnapshotFile snapshot;
   private final List<LogEntry> entries = new ArrayList<>();
@@ -54,7 +54,7 @@
     return entries.get(position(index));
   }
 
-  /** Returns the term at {@code index}, or -1 where the log does not know it. */
+  /** Returns the term at {@code index}, or -1 if the log does not contain it. */
   long termAt(long index) {
     if (index == snapshotIndex()) {
       return snapshot.getLastTerm();
@@ -62,7 +62,10 @@
     return contains(index) ? entry(index).getTerm() : -1;
   }
 
-  /** Returns entries from {@code index} on, bounded by count and by total bytes, at least one. */
+  /**
+   * Returns entries starting at {@code index}, limited by count and total bytes. The first entry is
+   * returned even if it exceeds {@code maxBytes}.
+   */
   List<LogEntry> slice(long index, int maxEntries, int maxBytes) {
     List<LogEntry> result = new ArrayList<>();
     int bytes = 0;
@@ -81,7 +84,10 @@
     for (LogEntry entry : added) {
       if (entry.getIndex() != lastIndex() + 1) {
         throw new IllegalStateException(
-            "entry " + entry.getIndex() + " does not follow index " + lastIndex());
+            "entry "
+                + entry.getIndex()
+                + " cannot be appended: the last index of the log is "
+                + lastIndex());
       }
       entries.add(entry);
       if (entry.getKind() == EntryKind.ENTRY_KIND_VOTERS) {
@@ -98,7 +104,7 @@
     }
   }
 
-  /** Returns the voter set in force at {@code index}, which the log must still hold. */
+  /** Returns the voter set that applies at {@code index}, which the log must still contain. */
   VoterSet votersAt(long index) {
     for (long i = index; i > snapshotIndex(); i--) {
       if (entry(i).getKind() == EntryKind.ENTRY_KIND_VOTERS) {
@@ -108,13 +114,13 @@
     return snapshot.getVoters();
   }
 
-  /** Drops entries up to the snapshot's index. */
-  void compact(SnapshotFile taken) {
-    entries.subList(0, position(taken.getLastIndex()) + 1).clear();
-    snapshot = taken;
+  /** Discards the entries that the snapshot covers. */
+  void compact(SnapshotFile newSnapshot) {
+    entries.subList(0, position(newSnapshot.getLastIndex()) + 1).clear();
+    snapshot = newSnapshot;
   }
 
-  /** Drops everything in favour of a snapshot that is ahead of the log. */
+  /** Replaces the whole log with a snapshot that is ahead of it. */
   void reset(SnapshotFile installed) {
     entries.clear();
     snapshot = installed;
--- a/src/main/java/org/curranthaven/internal/consensus/RaftTiming.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftTiming.java
@@ -1,38 +1,51 @@
 package org.curranthaven.internal.consensus;
 
 /**
- * Time bounds of a group, all in milliseconds of a replica's own monotonic clock.
+ * Timeouts and intervals of a group, in milliseconds of each replica's own monotonic clock.
  *
- * <p>Safety of the leader lease needs {@code leaseMillis * (1 + drift) < electionTimeoutMinMillis},
- * where drift is the largest difference in rate between two hosts' clocks.
+ * <p>The leader lease is safe only if {@code leaseMillis * (1 + drift) < electionTimeoutMinMillis},
+ * where drift is the maximum relative difference in rate between two hosts' clocks.
  *
- * @param heartbeatMillis time between two heartbeats of a leader
- * @param electionTimeoutMinMillis shortest silence after which a voter stands for election; for
- *     this long after a leader's message a voter grants no vote
- * @param electionTimeoutMaxMillis longest such silence
- * @param leaseMillis how long a leader acts alone after sending a message that a quorum answered
+ * @param heartbeatMillis interval between two heartbeats of a leader
+ * @param electionTimeoutMinMillis minimum time without a message from the leader after which a
+ *     voter starts an election; a voter grants no vote for this long after a leader's message
+ * @param electionTimeoutMaxMillis maximum time without a message from the leader after which a
+ *     voter starts an election
+ * @param leaseMillis time for which a leader may act without further confirmation after sending a
+ *     message that a quorum acknowledged
  */
 public record RaftTiming(
     long heartbeatMillis,
     long electionTimeoutMinMillis,
     long electionTimeoutMaxMillis,
     long leaseMillis) {
-  /** Largest difference in rate between two clocks that the lease allows, as a share. */
+  /** Maximum relative difference in rate between two clocks for which the lease is safe. */
   public static final double MAX_CLOCK_DRIFT = 0.05;
 
   public RaftTiming {
     if (heartbeatMillis <= 0 || electionTimeoutMaxMillis <= electionTimeoutMinMillis) {
-      throw new IllegalArgumentException("heartbeat and election timeouts must increase");
+      throw new IllegalArgumentException(
+          "heartbeatMillis must be positive and electionTimeoutMaxMillis above"
+              + " electionTimeoutMinMillis: heartbeat "
+              + heartbeatMillis
+              + ", election timeout "
+              + electionTimeoutMinMillis
+              + " to "
+              + electionTimeoutMaxMillis);
     }
     if (leaseMillis * (1 + MAX_CLOCK_DRIFT) >= electionTimeoutMinMillis) {
       throw new IllegalArgumentException(
-          "leaseMillis must end before another leader can be chosen");
+          "leaseMillis "
+              + leaseMillis
+              + " is too long: the lease must end before another leader can be elected, at "
+              + electionTimeoutMinMillis
+              + " ms, allowing for clock drift");
     }
   }
 
   /**
-   * Returns the bounds used between data centres a few milliseconds apart: five heartbeats may be
-   * lost before a leader is, and a restarted voter keeps an election waiting for 400 ms only.
+   * Returns the timing for data centres a few milliseconds apart. Up to five heartbeats may be lost
+   * before a voter starts an election, and a restarted voter delays an election by at most 400 ms.
    */
   public static RaftTiming standard() {
     return new RaftTiming(80, 400, 650, 330);
--- a/src/main/java/org/curranthaven/internal/consensus/RecordFiles.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RecordFiles.java
@@ -12,7 +12,7 @@
 import org.curranthaven.internal.transport.wire.LogRecord;
 import org.jspecify.annotations.Nullable;
 
-/** Files of batches of records, each batch with its length and checksum before it. */
+/** Reads and writes files of record batches, each preceded by its length and checksum. */
 final class RecordFiles {
   private static final int HEADER_BYTES = 8;
 
@@ -26,38 +26,42 @@
     }
   }
 
-  /** Reads the record at the buffer's position; returns null, position unmoved, if unsound. */
-  static byte @Nullable [] readRecord(ByteBuffer file) {
-    if (file.remaining() < HEADER_BYTES) {
+  /**
+   * Reads the payload at the buffer's position and advances past it. Returns null, with the
+   * position unchanged, if the record is incomplete or fails its checksum.
+   */
+  static byte @Nullable [] readRecord(ByteBuffer buffer) {
+    if (buffer.remaining() < HEADER_BYTES) {
       return null;
     }
-    int length = file.getInt(file.position());
-    if (length <= 0 || length > file.remaining() - HEADER_BYTES) {
+    int length = buffer.getInt(buffer.position());
+    if (length <= 0 || length > buffer.remaining() - HEADER_BYTES) {
       return null;
     }
     byte[] payload = new byte[length];
-    file.get(file.position() + HEADER_BYTES, payload);
-    if (checksum(payload) != file.getInt(file.position() + 4)) {
+    buffer.get(buffer.position() + HEADER_BYTES, payload);
+    if (checksum(payload) != buffer.getInt(buffer.position() + 4)) {
       return null;
     }
-    file.position(file.position() + HEADER_BYTES + length);
+    buffer.position(buffer.position() + HEADER_BYTES + length);
     return payload;
   }
 
   /**
-   * Reads every record of a segment.
+   * Reads all records of a segment.
    *
-   * @param last whether an unsound end is a write that was cut short, and is removed
-   * @throws DamagedDataException if a record before sound ones is unsound
+   * @param last whether this is the last segment, where an invalid tail is taken for an incomplete
+   *     write and truncated
+   * @throws DamagedDataException if a record is invalid and is not such a tail
    */
   static void readSegment(Path path, boolean last, Consumer<LogRecord> consumer)
       throws IOException {
-    ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(path));
-    while (file.hasRemaining()) {
-      int offset = file.position();
-      byte[] payload = readRecord(file);
+    ByteBuffer buffer = ByteBuffer.wrap(Files.readAllBytes(path));
+    while (buffer.hasRemaining()) {
+      int offset = buffer.position();
+      byte[] payload = readRecord(buffer);
       if (payload == null) {
-        if (!last || hasValidRecordAfter(file, offset + 1)) {
+        if (!last || hasValidRecordAfter(buffer, offset + 1)) {
           throw new DamagedDataException(path, offset);
         }
         truncateTail(path, offset);
@@ -72,9 +76,9 @@
     }
   }
 
-  private static boolean hasValidRecordAfter(ByteBuffer file, int from) {
-    for (int i = from; i + HEADER_BYTES < file.limit(); i++) {
-      if (readRecord(file.duplicate().position(i)) != null) {
+  private static boolean hasValidRecordAfter(ByteBuffer buffer, int from) {
+    for (int i = from; i + HEADER_BYTES < buffer.limit(); i++) {
+      if (readRecord(buffer.duplicate().position(i)) != null) {
         return true;
       }
     }
--- a/src/main/java/org/curranthaven/internal/consensus/Replica.java
+++ b/src/main/java/org/curranthaven/internal/consensus/Replica.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import org.curranthaven.internal.transport.wire.LogEntry;
 
-/** One group's replica on this host: its core, files and state machine. */
+/**
+ * Replica of one group on this host, with its Raft core, storage and state machine. Confined to the
+ * consensus thread.
+ */
 final class Replica {
   final int groupId;
   final RaftCore core;
@@ -16,7 +19,10 @@
   private long bytesSinceSnapshot;
   private long snapshotBytes;
 
-  /** A snapshot is taken once this many bytes, and as many as the last one has, were applied. */
+  /**
+   * Minimum bytes of entries applied since the last snapshot before the next one is taken. If the
+   * last snapshot is larger than this, its size is the threshold.
+   */
   private static final long MIN_SNAPSHOT_LOG_BYTES = 1024 * 1024;
 
   Replica(int groupId, RaftCore core, StateMachine machine, GroupStorage storage) {
@@ -24,11 +30,11 @@
     this.core = core;
     this.stateMachine = machine;
     this.storage = storage;
-    StoredState loaded = storage.loadedState();
-    if (loaded.snapshot().getLastIndex() > 0) {
-      machine.restore(loaded.snapshot().getState());
-      appliedIndex = loaded.snapshot().getLastIndex();
-      snapshotBytes = loaded.snapshot().getState().size();
+    StoredState state = storage.loadedState();
+    if (state.snapshot().getLastIndex() > 0) {
+      machine.restore(state.snapshot().getState());
+      appliedIndex = state.snapshot().getLastIndex();
+      snapshotBytes = state.snapshot().getState().size();
     }
     storage.releaseLoadedState();
   }
@@ -46,24 +52,24 @@
   }
 
   /**
-   * Stores and syncs what the batch decided; returns the decisions that may be carried out now.
+   * Persists and syncs the decisions of the batch, then returns them for execution.
    *
-   * @throws IOException if anything could not be stored; none of the decisions may be carried out
+   * @throws IOException if a decision could not be persisted; then none may be carried out
    */
   List<RaftDecision> persistAndDrain() throws IOException {
-    boolean stored = false;
+    boolean syncNeeded = false;
     for (RaftDecision decision : pendingDecisions) {
       if (decision instanceof RaftDecision.Persist persist) {
         storage.persist(persist);
-        stored = true;
+        syncNeeded = true;
       }
     }
-    if (stored) {
+    if (syncNeeded) {
       storage.sync();
     }
-    List<RaftDecision> released = List.copyOf(pendingDecisions);
+    List<RaftDecision> durable = List.copyOf(pendingDecisions);
     pendingDecisions.clear();
-    return released;
+    return durable;
   }
 
   com.google.protobuf.ByteString apply(LogEntry entry) {
@@ -95,7 +101,7 @@
     try {
       storage.close();
     } catch (IOException e) {
-      // The replica is given up; whatever was synced is still on the disk.
+      // The replica is no longer used, and data that was synced remains on disk.
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/consensus/StoredState.java
+++ b/src/main/java/org/curranthaven/internal/consensus/StoredState.java
@@ -7,11 +7,11 @@
 import org.curranthaven.internal.transport.wire.VoterSet;
 
 /**
- * What the data folder of a replica holds.
+ * Persistent state of a replica, as read from its data folder.
  *
  * @param term latest term
- * @param votedFor identity voted for in that term, empty when none
- * @param snapshot latest snapshot, the default instance when none was taken
+ * @param votedFor identity that this replica voted for in that term, empty if it has not voted
+ * @param snapshot latest snapshot, the default instance if there is none
  * @param entries entries after the snapshot, in order
  */
 public record StoredState(
@@ -25,7 +25,7 @@
     return new StoredState(0, "", SnapshotFile.getDefaultInstance(), List.of());
   }
 
-  /** Returns the first entry of a new group, which names its first voters. */
+  /** Returns the first log entry of a new group, which contains its initial voter set. */
   public static LogEntry bootstrapEntry(VoterSet voters) {
     return LogEntry.newBuilder()
         .setIndex(1)
--- a/src/main/java/org/curranthaven/internal/consensus/VoterChange.java
+++ b/src/main/java/org/curranthaven/internal/consensus/VoterChange.java
@@ -5,25 +5,29 @@
 import org.curranthaven.internal.transport.wire.Voter;
 import org.curranthaven.internal.transport.wire.VoterSet;
 
-/** Asks {@link VoterPolicy} on behalf of a leader. */
+/** Determines the next voter change of a group from the state of its leader. */
 public final class VoterChange {
   private VoterChange() {}
 
   /**
-   * Returns the voter set that the leader should propose next, if a change is due.
+   * Returns the voter set that the leader should propose next, or empty if no change is needed.
    *
-   * @param votersWanted number of voters that the group should have
+   * @param targetVoterCount number of voters that the group should have
    * @param self identity of the leader
-   * @param connected control hosts that the leader can reach, itself included
+   * @param connectedHosts control hosts that the leader can reach, including itself
    */
   public static Optional<VoterSet> next(
-      RaftCore core, int votersWanted, String self, Collection<Voter> connected, long nowMillis) {
-    return new VoterPolicy(votersWanted)
+      RaftCore core,
+      int targetVoterCount,
+      String self,
+      Collection<Voter> connectedHosts,
+      long nowMillis) {
+    return new VoterPolicy(targetVoterCount)
         .next(
             new VoterPolicy.GroupStatus(
                 core.voters(),
                 self,
-                connected,
+                connectedHosts,
                 identity -> core.isCaughtUp(identity, nowMillis),
                 core::lastAcknowledgedMillis,
                 nowMillis));
--- a/src/main/java/org/curranthaven/internal/consensus/VoterPolicy.java
+++ b/src/main/java/org/curranthaven/internal/consensus/VoterPolicy.java
@@ -10,14 +10,16 @@
 import org.curranthaven.internal.transport.wire.VoterSet;
 
 /**
- * Decides the next change of a group's voters: one at a time, a replacement before a removal, and
- * never a removal that leaves fewer voters alive than a majority of the rest.
+ * Decides the next change of a group's voter set. Changes are made one at a time; a replacement is
+ * added before a lost voter is removed, and a voter is removed only if a majority of the remaining
+ * voters is alive.
  */
 final class VoterPolicy {
   /**
-   * Silence after which a voter counts as lost, in milliseconds. A successor must be a voter within
-   * 4 s of its start, or the loss of two more hosts leaves no majority. A voter is replaced only
-   * where a host without a vote is connected, so that a short silence costs nothing elsewhere.
+   * Time without a reply after which a voter counts as lost, in milliseconds. A replacement must
+   * become a voter within 4 s of its start, or the loss of two more hosts leaves no majority. A
+   * voter is replaced only when a non-voting control host is connected, so a short interruption has
+   * no effect in a group without a spare host.
    */
   static final long VOTER_LOST_TIMEOUT_MILLIS = 2_000;
 
@@ -28,13 +30,14 @@
   }
 
   /**
-   * What the leader knows when it decides.
+   * The leader's knowledge of its group.
    *
-   * @param currentVoters voter set in force
+   * @param currentVoters latest voter set
    * @param self identity of the leader
-   * @param connectedHosts control hosts that are connected now, the leader's included
-   * @param caughtUp whether a learner may become a voter
-   * @param lastAcknowledgedMillis when a replica last answered
+   * @param connectedHosts control hosts that are connected now, including the leader's own
+   * @param caughtUp returns whether the learner with an identity may become a voter
+   * @param lastAcknowledgedMillis returns the send time of the latest message that the replica with
+   *     an identity replied to
    */
   record GroupStatus(
       VoterSet currentVoters,
@@ -48,64 +51,67 @@
       if (voter.getIdentity().equals(self)) {
         return false;
       }
-      boolean silent =
+      boolean unresponsive =
           nowMillis - lastAcknowledgedMillis.applyAsLong(voter.getIdentity())
               > VOTER_LOST_TIMEOUT_MILLIS;
-      return silent || hostHasNewDataFolder(voter);
+      return unresponsive || hostHasNewDataFolder(voter);
     }
 
-    /** Returns whether the voter's host is back with another data folder. */
+    /** Returns whether the voter's host is connected with a different data folder. */
     private boolean hostHasNewDataFolder(Voter voter) {
       return connectedHosts.stream()
           .anyMatch(
-              other ->
-                  other.getHost().equals(voter.getHost())
-                      && !other.getIdentity().equals(voter.getIdentity()));
+              host ->
+                  host.getHost().equals(voter.getHost())
+                      && !host.getIdentity().equals(voter.getIdentity()));
     }
 
     boolean isConnected(Voter voter) {
-      return connectedHosts.stream().anyMatch(c -> c.getIdentity().equals(voter.getIdentity()));
+      return connectedHosts.stream()
+          .anyMatch(host -> host.getIdentity().equals(voter.getIdentity()));
     }
   }
 
-  /** Returns the voter set to propose next, if a change is due. */
-  Optional<VoterSet> next(GroupStatus situation) {
-    VoterSet current = situation.currentVoters();
-    Optional<Voter> lost = current.getVotersList().stream().filter(situation::isLost).findFirst();
-    if (lost.isPresent() && mayRemove(current, lost.get(), situation)) {
+  /** Returns the voter set to propose next, or empty if no change is needed. */
+  Optional<VoterSet> next(GroupStatus status) {
+    VoterSet current = status.currentVoters();
+    Optional<Voter> lost = current.getVotersList().stream().filter(status::isLost).findFirst();
+    if (lost.isPresent() && mayRemove(current, lost.get(), status)) {
       return Optional.of(VoterSets.without(current, lost.get().getIdentity()));
     }
-    Optional<Voter> deadLearner =
-        current.getLearnersList().stream().filter(l -> !situation.isConnected(l)).findFirst();
-    if (deadLearner.isPresent()) {
-      return Optional.of(VoterSets.without(current, deadLearner.get().getIdentity()));
+    Optional<Voter> disconnectedLearner =
+        current.getLearnersList().stream()
+            .filter(learner -> !status.isConnected(learner))
+            .findFirst();
+    if (disconnectedLearner.isPresent()) {
+      return Optional.of(VoterSets.without(current, disconnectedLearner.get().getIdentity()));
     }
     boolean voterNeeded = current.getVotersCount() < targetVoterCount || lost.isPresent();
     if (!voterNeeded) {
       return Optional.empty();
     }
-    Optional<Voter> ready =
+    Optional<Voter> promotable =
         current.getLearnersList().stream()
-            .filter(learner -> situation.caughtUp().test(learner.getIdentity()))
+            .filter(learner -> status.caughtUp().test(learner.getIdentity()))
             .findFirst();
-    if (ready.isPresent()) {
-      return Optional.of(VoterSets.withVoter(current, ready.get()));
+    if (promotable.isPresent()) {
+      return Optional.of(VoterSets.withVoter(current, promotable.get()));
     }
     if (current.getLearnersCount() > 0) {
       return Optional.empty();
     }
-    return findSpareHost(current, situation).map(host -> VoterSets.withLearner(current, host));
+    return findSpareHost(current, status).map(host -> VoterSets.withLearner(current, host));
   }
 
-  private boolean mayRemove(VoterSet current, Voter lost, GroupStatus situation) {
-    VoterSet rest = VoterSets.without(current, lost.getIdentity());
-    long alive = rest.getVotersList().stream().filter(voter -> !situation.isLost(voter)).count();
-    return rest.getVotersCount() >= targetVoterCount && alive * 2 > rest.getVotersCount();
+  private boolean mayRemove(VoterSet current, Voter lost, GroupStatus status) {
+    VoterSet remaining = VoterSets.without(current, lost.getIdentity());
+    long alive = remaining.getVotersList().stream().filter(voter -> !status.isLost(voter)).count();
+    return remaining.getVotersCount() >= targetVoterCount && alive * 2 > remaining.getVotersCount();
   }
 
-  private static Optional<Voter> findSpareHost(VoterSet current, GroupStatus situation) {
+  private static Optional<Voter> findSpareHost(VoterSet current, GroupStatus status) {
     List<String> members = VoterSets.memberIds(current);
-    return situation.connectedHosts().stream()
+    return status.connectedHosts().stream()
         .filter(host -> !members.contains(host.getIdentity()))
         .min(Comparator.comparing(Voter::getHost));
   }
--- a/src/main/java/org/curranthaven/internal/consensus/VoterSets.java
+++ b/src/main/java/org/curranthaven/internal/consensus/VoterSets.java
@@ -11,20 +11,26 @@
 import org.curranthaven.internal.transport.wire.Voter;
 import org.curranthaven.internal.transport.wire.VoterSet;
 
-/** Operations on voter sets. */
+/** Operations on {@link VoterSet} messages. */
 public final class VoterSets {
   private VoterSets() {}
 
-  /** Parses a voter set that this project wrote. */
+  /**
+   * Parses a voter set from a log entry or snapshot.
+   *
+   * @throws IllegalStateException if the data is not a voter set
+   */
   public static VoterSet parse(ByteString data) {
     try {
       return VoterSet.parseFrom(data);
     } catch (InvalidProtocolBufferException e) {
-      throw new IllegalStateException("a voter set in the log cannot be parsed", e);
+      throw new IllegalStateException(
+          "voter set in the consensus log cannot be parsed; check that all hosts run compatible versions",
+          e);
     }
   }
 
-  /** Returns the identities that vote. */
+  /** Returns the identities of the voters. */
   public static Set<String> voterIds(VoterSet set) {
     return set.getVotersList().stream().map(Voter::getIdentity).collect(Collectors.toSet());
   }
@@ -34,7 +40,7 @@
     return set.getVotersList().stream().anyMatch(v -> v.getIdentity().equals(identity));
   }
 
-  /** Returns the identities that receive the log, voters first. */
+  /** Returns the identities of all voters and learners, voters first. */
   public static List<String> memberIds(VoterSet set) {
     return Stream.concat(set.getVotersList().stream(), set.getLearnersList().stream())
         .map(Voter::getIdentity)
@@ -42,32 +48,35 @@
         .toList();
   }
 
-  /** Returns whether {@code members} hold a majority of the set's voters. */
+  /** Returns whether {@code members} contains a majority of the set's voters. */
   public static boolean isQuorum(VoterSet set, Collection<String> members) {
-    long held = set.getVotersList().stream().filter(v -> members.contains(v.getIdentity())).count();
-    return held * 2 > set.getVotersCount();
+    long votes =
+        set.getVotersList().stream().filter(v -> members.contains(v.getIdentity())).count();
+    return votes * 2 > set.getVotersCount();
   }
 
-  /** Returns whether two sets differ by at most one voter, so that their quorums overlap. */
+  /**
+   * Returns whether two sets differ by at most one voter, which ensures that their quorums overlap.
+   */
   public static boolean differByAtMostOneVoter(VoterSet before, VoterSet after) {
-    Set<String> all = new HashSet<>(voterIds(before));
-    all.addAll(voterIds(after));
-    Set<String> both = new HashSet<>(voterIds(before));
-    both.retainAll(voterIds(after));
-    return all.size() - both.size() <= 1;
+    Set<String> union = new HashSet<>(voterIds(before));
+    union.addAll(voterIds(after));
+    Set<String> intersection = new HashSet<>(voterIds(before));
+    intersection.retainAll(voterIds(after));
+    return union.size() - intersection.size() <= 1;
   }
 
-  /** Returns the set with the voter as a learner. */
+  /** Returns the set with the replica added as a learner, or demoted to one. */
   public static VoterSet withLearner(VoterSet set, Voter learner) {
     return without(set, learner.getIdentity()).toBuilder().addLearners(learner).build();
   }
 
-  /** Returns the set with the learner as a voter. */
+  /** Returns the set with the replica added as a voter, or promoted to one. */
   public static VoterSet withVoter(VoterSet set, Voter voter) {
     return without(set, voter.getIdentity()).toBuilder().addVoters(voter).build();
   }
 
-  /** Returns the set without the identity. */
+  /** Returns the set without the replica, whether it is a voter or a learner. */
   public static VoterSet without(VoterSet set, String identity) {
     VoterSet.Builder result = VoterSet.newBuilder();
     set.getVotersList().stream()
--- a/src/main/java/org/curranthaven/internal/consensus/package-info.java
+++ b/src/main/java/org/curranthaven/internal/consensus/package-info.java
@@ -1,4 +1,4 @@
-/** Replicated log: elections, replication, storage, snapshots and voters. */
+/** Raft consensus: leader election, log replication, storage, snapshots and voter changes. */
 @NullMarked
 package org.curranthaven.internal.consensus;
 
--- a/src/main/java/org/curranthaven/internal/ledger/LedgerState.java
+++ b/src/main/java/org/curranthaven/internal/ledger/LedgerState.java
@@ -17,23 +17,26 @@
 import org.curranthaven.internal.transport.wire.ReleaseCommand;
 
 /**
- * Replicated claims of requests that may not be repeated, and the answers of those that ran.
+ * Replicated state of the idempotency ledger: claims of requests that must not be executed twice,
+ * and the stored responses of completed ones.
  *
- * <p>A claim is granted at most once for a workspace and key, until it is released by an owner that
- * knows that the request did not run. A record is forgotten only after the state's own clock has
- * passed the key's issue time by {@link #RETENTION_MILLIS}, and from then on the key is refused, so
- * that forgetting never allows a second run.
+ * <p>A claim is granted at most once for a workspace and key, unless its owner, knowing that the
+ * request was not executed, releases it. A record is evicted only once the state's own clock has
+ * passed the key's issue time by {@link #RETENTION_MILLIS}; from then on the key is rejected as too
+ * old, so that eviction never allows a second execution.
  *
  * <p>Not thread-safe.
  */
 public final class LedgerState implements StateMachine {
-  /** Time for which an outcome is kept after the key was issued, in milliseconds. */
+  /** Time for which a record is retained after its key was issued, in milliseconds. */
   public static final long RETENTION_MILLIS = 600_000;
 
-  /** How far a key's issue time may lie ahead of the state's clock, in milliseconds. */
+  /**
+   * Maximum time by which a key's issue time may be ahead of the state's clock, in milliseconds.
+   */
   public static final long MAX_CLOCK_SKEW_MILLIS = 60_000;
 
-  /** Most bytes of records that one group holds; beyond it new claims are refused. */
+  /** Maximum bytes of records in one group; at this size new claims are rejected. */
   public static final long MAX_RECORD_BYTES = 48L * 1024 * 1024;
 
   private final Map<ClaimKey, ClaimRecord> records = new HashMap<>();
@@ -44,12 +47,12 @@
 
   private record ClaimKey(String workspace, String key) {}
 
-  /** Returns the number of records held. */
+  /** Returns the number of retained records. */
   public int size() {
     return records.size();
   }
 
-  /** Returns the bytes of all records held. */
+  /** Returns the total size of the retained records, in bytes. */
   public long recordBytes() {
     return recordBytes;
   }
@@ -59,11 +62,15 @@
     try {
       return apply(LedgerCommand.parseFrom(command)).toByteString();
     } catch (InvalidProtocolBufferException e) {
-      throw new IllegalStateException("ledger entry " + index + " cannot be parsed", e);
+      throw new IllegalStateException(
+          "ledger command at log index "
+              + index
+              + " cannot be parsed; check that all hosts run compatible versions",
+          e);
     }
   }
 
-  /** Applies a command and returns the verdict with the record it rests on. */
+  /** Applies a command and returns the verdict with the record that it is based on. */
   public ClaimResult apply(LedgerCommand command) {
     nowMillis = Math.max(nowMillis, command.getNowMillis());
     evictExpired();
@@ -82,19 +89,20 @@
     if (claim.getIssuedAtMillis() > nowMillis + MAX_CLOCK_SKEW_MILLIS) {
       return result(ClaimVerdict.CLAIM_VERDICT_FROM_FUTURE);
     }
-    ClaimRecord known = records.get(new ClaimKey(claim.getWorkspace(), claim.getKey()));
-    if (known == null) {
+    ClaimRecord existing = records.get(new ClaimKey(claim.getWorkspace(), claim.getKey()));
+    if (existing == null) {
       return grant(claim);
     }
-    if (!known.getBodyHash().equals(claim.getBodyHash())) {
+    if (!existing.getBodyHash().equals(claim.getBodyHash())) {
       return result(ClaimVerdict.CLAIM_VERDICT_KEY_REUSED);
     }
-    if (known.hasAnswer()) {
-      return result(ClaimVerdict.CLAIM_VERDICT_DONE, known);
+    if (existing.hasAnswer()) {
+      return result(ClaimVerdict.CLAIM_VERDICT_DONE, existing);
     }
-    boolean resent = known.getToken().equals(claim.getToken());
+    boolean sameAttempt = existing.getToken().equals(claim.getToken());
     return result(
-        resent ? ClaimVerdict.CLAIM_VERDICT_GRANTED : ClaimVerdict.CLAIM_VERDICT_RUNNING, known);
+        sameAttempt ? ClaimVerdict.CLAIM_VERDICT_GRANTED : ClaimVerdict.CLAIM_VERDICT_RUNNING,
+        existing);
   }
 
   private ClaimResult grant(ClaimCommand claim) {
@@ -117,27 +125,33 @@
   }
 
   private ClaimResult complete(CompleteCommand complete) {
-    ClaimRecord known = records.get(new ClaimKey(complete.getWorkspace(), complete.getKey()));
-    if (known == null || !known.getToken().equals(complete.getToken()) || known.hasAnswer()) {
+    ClaimRecord existing = records.get(new ClaimKey(complete.getWorkspace(), complete.getKey()));
+    if (existing == null
+        || !existing.getToken().equals(complete.getToken())
+        || existing.hasAnswer()) {
       return result(ClaimVerdict.CLAIM_VERDICT_UNSPECIFIED);
     }
-    ClaimRecord done = known.toBuilder().setAnswer(complete.getAnswer()).build();
-    store(done);
-    return result(ClaimVerdict.CLAIM_VERDICT_DONE, done);
+    ClaimRecord completed = existing.toBuilder().setAnswer(complete.getAnswer()).build();
+    store(completed);
+    return result(ClaimVerdict.CLAIM_VERDICT_DONE, completed);
   }
 
   private ClaimResult release(ReleaseCommand release) {
     ClaimKey key = new ClaimKey(release.getWorkspace(), release.getKey());
-    ClaimRecord known = records.get(key);
-    if (known != null && known.getToken().equals(release.getToken()) && !known.hasAnswer()) {
+    ClaimRecord existing = records.get(key);
+    if (existing != null
+        && existing.getToken().equals(release.getToken())
+        && !existing.hasAnswer()) {
       remove(key);
     }
     return result(ClaimVerdict.CLAIM_VERDICT_UNSPECIFIED);
   }
 
   private void store(ClaimRecord record) {
-    ClaimRecord before = records.put(new ClaimKey(record.getWorkspace(), record.getKey()), record);
-    recordBytes += record.getSerializedSize() - (before == null ? 0 : before.getSerializedSize());
+    ClaimRecord previous =
+        records.put(new ClaimKey(record.getWorkspace(), record.getKey()), record);
+    recordBytes +=
+        record.getSerializedSize() - (previous == null ? 0 : previous.getSerializedSize());
   }
 
   private void remove(ClaimKey key) {
@@ -187,7 +201,8 @@
       snapshot.getRecordsList().forEach(this::store);
       recordsByIssueTime.addAll(snapshot.getRecordsList());
     } catch (InvalidProtocolBufferException e) {
-      throw new IllegalStateException("a ledger snapshot cannot be parsed", e);
+      throw new IllegalStateException(
+          "ledger snapshot cannot be parsed; check that all hosts run compatible versions", e);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
+++ b/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
@@ -16,7 +16,7 @@
 import org.curranthaven.internal.transport.wire.ReleaseCommand;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
-/** Ledger on the replicated groups, sharded by workspace. Thread-safe. */
+/** Ledger replicated by the consensus groups and sharded by workspace. Thread-safe. */
 public final class ReplicatedLedger implements Ledger {
   private static final long CLAIM_TIMEOUT_MILLIS = 3_000;
   private static final long COMPLETE_TIMEOUT_MILLIS = 10_000;
@@ -30,8 +30,8 @@
   /**
    * Creates the ledger of a host.
    *
-   * @param ledgerGroups number of ledger groups; they are numbered from 1
-   * @param epochMillis wall clock
+   * @param ledgerGroups number of ledger groups, which are numbered from 1
+   * @param epochMillis wall clock, in epoch milliseconds
    */
   public ReplicatedLedger(
       ControlClient control,
@@ -67,12 +67,17 @@
   }
 
   private static Failure claimFailure(CommandStatus status) {
-    boolean mayBeTaken = status == CommandStatus.COMMAND_STATUS_UNKNOWN;
-    return mayBeTaken
+    boolean outcomeUnknown = status == CommandStatus.COMMAND_STATUS_UNKNOWN;
+    return outcomeUnknown
         ? Failure.retryLater(
-            ResultCode.CLAIM_UNKNOWN, "the claim was sent and its answer was lost", 1_000)
+            ResultCode.CLAIM_UNKNOWN,
+            "the claim of the Idempotency-Key was sent, but its outcome is unknown; retry with the"
+                + " same key",
+            1_000)
         : Failure.retryLater(
-            ResultCode.LEDGER_UNAVAILABLE, "no leader of the ledger group answered", 1_000);
+            ResultCode.LEDGER_UNAVAILABLE,
+            "no leader of the ledger group replied; retry with the same Idempotency-Key",
+            1_000);
   }
 
   private static Outcome<Claim> toOutcome(ClaimResult result) {
@@ -85,29 +90,43 @@
       case CLAIM_VERDICT_DONE -> Outcome.success(new Claim.Done(result.getRecord().getAnswer()));
       case CLAIM_VERDICT_KEY_REUSED ->
           Outcome.failed(
-              ResultCode.KEY_REUSED, "the Idempotency-Key belongs to a request with another body");
+              ResultCode.KEY_REUSED,
+              "the Idempotency-Key was already used for a different request; use a new key for each"
+                  + " request");
       case CLAIM_VERDICT_TOO_OLD ->
           Outcome.failed(
               new Failure(
                   ResultCode.KEY_TOO_OLD,
                   Ran.UNKNOWN,
-                  "the Idempotency-Key is older than outcomes are kept, so that an earlier"
-                      + " attempt cannot be told",
+                  "the Idempotency-Key is older than the retention period of "
+                      + LedgerState.RETENTION_MILLIS
+                      + " ms, so it is unknown whether an earlier attempt ran; check the effect of"
+                      + " the request before sending it with a new key",
                   0));
       case CLAIM_VERDICT_FROM_FUTURE ->
           Outcome.failed(
-              ResultCode.INVALID_PARAMETER, "the Idempotency-Key was issued in the future");
+              ResultCode.INVALID_PARAMETER,
+              "the Idempotency-Key was issued more than "
+                  + LedgerState.MAX_CLOCK_SKEW_MILLIS
+                  + " ms in the future; check the clock of the caller");
       case CLAIM_VERDICT_FULL ->
           Outcome.failed(
               Failure.retryLater(
-                  ResultCode.LEDGER_UNAVAILABLE, "the ledger group holds all it may", 10_000));
+                  ResultCode.LEDGER_UNAVAILABLE,
+                  "the ledger group is full ("
+                      + LedgerState.MAX_RECORD_BYTES
+                      + " bytes of records); retry after older records have expired",
+                  10_000));
       case CLAIM_VERDICT_UNSPECIFIED, UNRECOGNIZED ->
-          Outcome.failed(ResultCode.INTERNAL, "the ledger gave no verdict");
+          Outcome.failed(
+              ResultCode.INTERNAL,
+              "the ledger returned no verdict for the claim; check that all hosts run compatible"
+                  + " versions");
     };
   }
 
   @Override
-  public boolean complete(ClaimRequest request, StoredAnswer answer) throws InterruptedException {
+  public boolean complete(ClaimRequest request, StoredAnswer response) throws InterruptedException {
     LedgerCommand.Builder command =
         LedgerCommand.newBuilder()
             .setComplete(
@@ -115,7 +134,7 @@
                     .setWorkspace(request.workspace())
                     .setKey(request.key())
                     .setToken(request.token())
-                    .setAnswer(answer));
+                    .setAnswer(response));
     CommandReply reply = sendCommand(request, command, COMPLETE_TIMEOUT_MILLIS);
     return reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED;
   }
@@ -144,7 +163,8 @@
     try {
       return ClaimResult.parseFrom(reply.getResult());
     } catch (InvalidProtocolBufferException e) {
-      throw new IllegalStateException("the ledger's answer cannot be parsed", e);
+      throw new IllegalStateException(
+          "reply of the ledger cannot be parsed; check that all hosts run compatible versions", e);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/ledger/package-info.java
+++ b/src/main/java/org/curranthaven/internal/ledger/package-info.java
@@ -1,4 +1,4 @@
-/** Claims and outcomes of requests that may not be repeated. */
+/** Idempotency ledger: claims and stored responses of requests that must run at most once. */
 @NullMarked
 package org.curranthaven.internal.ledger;
 
--- a/src/test/java/org/curranthaven/internal/consensus/GroupStorageTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/GroupStorageTest.java
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void what_was_synced_is_there_after_a_restart() throws IOException {
+  void synced_state_is_read_back_after_a_restart() throws IOException {
     write(1, 20);
 
     StoredState state = read();
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void a_record_cut_short_at_the_end_is_removed() throws IOException {
+  void an_incomplete_record_at_the_end_is_removed() throws IOException {
     write(1, 20);
     write(21, 21);
     Path segment = lastSegment();
@@ -80,13 +80,13 @@
   }
 
   @Test
-  void a_batch_of_which_power_loss_kept_only_the_later_part_is_removed() throws IOException {
+  void a_batch_of_which_a_power_loss_kept_only_the_last_part_is_removed() throws IOException {
     write(1, 20);
-    long synced = Files.size(lastSegment());
+    long syncedBytes = Files.size(lastSegment());
     write(21, 23);
     Path segment = lastSegment();
     byte[] bytes = Files.readAllBytes(segment);
-    for (int i = (int) synced; i < synced + 24; i++) {
+    for (int i = (int) syncedBytes; i < syncedBytes + 24; i++) {
       bytes[i] = 0;
     }
     Files.write(segment, bytes);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void damage_before_sound_records_is_refused_with_file_and_offset() throws IOException {
+  void a_damaged_record_before_valid_ones_is_reported_with_file_and_offset() throws IOException {
     write(1, 10);
     write(11, 20);
     Path segment = lastSegment();
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void a_removed_snapshot_is_refused() throws IOException {
+  void a_missing_snapshot_is_reported_as_damage() throws IOException {
     write(1, 20);
     try (GroupStorage storage = GroupStorage.open(folder)) {
       SnapshotFile snapshot = SnapshotFile.newBuilder().setLastIndex(15).setLastTerm(1).build();
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void removed_entries_stay_removed() throws IOException {
+  void truncated_entries_stay_removed_after_a_restart() throws IOException {
     write(1, 20);
     try (GroupStorage storage = GroupStorage.open(folder)) {
       storage.persist(new RaftDecision.TruncateFrom(11));
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void a_wiped_folder_gets_another_identity() throws IOException {
+  void a_wiped_folder_gets_a_new_identity() throws IOException {
     Path data = Files.createDirectory(folder.resolve("data"));
     String before = identityOf(data);
     assertThat(identityOf(data)).isEqualTo(before);
@@ -180,7 +180,7 @@
   }
 
   @Test
-  void a_data_folder_with_damage_is_refused_with_its_code() throws IOException {
+  void a_damaged_data_folder_fails_to_open_with_the_code_data_damaged() throws IOException {
     Path data = Files.createDirectory(folder.resolve("data"));
     identityOf(data);
     Path group = Files.createDirectory(data.resolve("group-0"));
@@ -202,7 +202,7 @@
   }
 
   @Test
-  void a_second_process_is_refused() throws IOException {
+  void a_data_folder_in_use_fails_to_open_with_the_code_data_folder_locked() throws IOException {
     Path data = Files.createDirectory(folder.resolve("data"));
     if (DataFolder.open(data) instanceof Outcome.Success<DataFolder> first) {
       Outcome<DataFolder> second = DataFolder.open(data);
@@ -217,7 +217,7 @@
   }
 
   @Test
-  void a_folder_that_cannot_be_used_is_an_error_that_says_so() throws IOException {
+  void an_unusable_data_folder_fails_to_open_with_the_code_storage_failed() throws IOException {
     Path file = Files.writeString(folder.resolve("file"), "x", StandardOpenOption.CREATE);
 
     assertThat(DataFolder.open(file))
--- a/src/test/java/org/curranthaven/internal/consensus/RaftCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/RaftCoreTest.java
@@ -22,15 +22,15 @@
 class RaftCoreTest {
   private final Map<String, RaftCore> cores = new LinkedHashMap<>();
   private final Map<String, List<String>> applied = new LinkedHashMap<>();
-  private final Deque<RaftDecision.Send> underWay = new ArrayDeque<>();
-  private final Deque<String> senders = new ArrayDeque<>();
+  private final Deque<RaftDecision.Send> messagesInFlight = new ArrayDeque<>();
+  private final Deque<String> senderIds = new ArrayDeque<>();
   private long nowMillis = 1_000;
 
   private static Voter voter(String id) {
     return Voter.newBuilder().setIdentity(id).setHost("host-" + id).build();
   }
 
-  private static StoredState founded(String... ids) {
+  private static StoredState bootstrapped(String... ids) {
     VoterSet.Builder voters = VoterSet.newBuilder();
     for (String id : ids) {
       voters.addVoters(voter(id));
@@ -60,8 +60,8 @@
     decisions.addAll(core.handle(new RaftEvent.BatchEnded(), nowMillis));
     for (RaftDecision decision : decisions) {
       if (decision instanceof RaftDecision.Send send) {
-        underWay.add(send);
-        senders.add(id);
+        messagesInFlight.add(send);
+        senderIds.add(id);
       } else if (decision instanceof RaftDecision.Apply apply) {
         appliedBy(id).add(apply.entry().getData().toStringUtf8());
       }
@@ -79,9 +79,9 @@
   private void run(long millis) {
     for (long end = nowMillis + millis; nowMillis < end; nowMillis += 10) {
       List.copyOf(cores.keySet()).forEach(id -> handle(id, new RaftEvent.Tick()));
-      for (int i = underWay.size(); i > 0; i--) {
-        RaftDecision.Send send = underWay.remove();
-        handle(send.toIdentity(), new RaftEvent.Received(senders.remove(), send.message()));
+      for (int i = messagesInFlight.size(); i > 0; i--) {
+        RaftDecision.Send send = messagesInFlight.remove();
+        handle(send.toIdentity(), new RaftEvent.Received(senderIds.remove(), send.message()));
       }
     }
   }
@@ -94,17 +94,17 @@
         .orElse("");
   }
 
-  private void startThree() {
+  private void startThreeReplicas() {
     for (String id : List.of("a", "b", "c")) {
-      add(id, founded("a", "b", "c"));
+      add(id, bootstrapped("a", "b", "c"));
     }
     run(3_000);
     assertThat(leader()).isNotEmpty();
   }
 
   @Test
-  void another_leader_is_elected_within_1500_ms_after_a_loss() {
-    startThree();
+  void another_leader_is_elected_within_1500_ms_after_the_leader_is_lost() {
+    startThreeReplicas();
     cores.remove(leader());
 
     run(1_500);
@@ -113,18 +113,18 @@
   }
 
   @Test
-  void a_cut_off_host_that_returns_disturbs_nobody() {
-    startThree();
+  void a_host_that_reconnects_after_a_partition_causes_no_election() {
+    startThreeReplicas();
     String leader = leader();
-    String cutOff = leader.equals("c") ? "b" : "c";
-    RaftCore core = core(cutOff);
-    cores.remove(cutOff);
+    String partitioned = leader.equals("c") ? "b" : "c";
+    RaftCore core = core(partitioned);
+    cores.remove(partitioned);
     run(1_000);
     long term = core(leader).term();
     for (long time = nowMillis; time < nowMillis + 5_000; time += 10) {
       core.handle(new RaftEvent.Tick(), time);
     }
-    cores.put(cutOff, core);
+    cores.put(partitioned, core);
 
     run(3_000);
 
@@ -133,8 +133,8 @@
   }
 
   @Test
-  void a_leader_that_hears_from_no_quorum_steps_down_and_its_lease_ends_first() {
-    startThree();
+  void a_leader_without_a_quorum_loses_its_lease_and_then_steps_down() {
+    startThreeReplicas();
     String leader = leader();
     RaftCore core = core(leader);
     cores.clear();
@@ -147,8 +147,8 @@
   }
 
   @Test
-  void a_voter_that_hears_its_leader_grants_no_vote() {
-    RaftCore core = add("a", founded("a", "b", "c"));
+  void a_voter_in_contact_with_its_leader_grants_no_vote() {
+    RaftCore core = add("a", bootstrapped("a", "b", "c"));
     GroupMessage heartbeat =
         GroupMessage.newBuilder()
             .setTerm(2)
@@ -169,8 +169,8 @@
   }
 
   @Test
-  void a_learner_counts_only_after_it_has_caught_up() {
-    startThree();
+  void a_learner_becomes_a_voter_only_after_it_has_caught_up() {
+    startThreeReplicas();
     String leader = leader();
     VoterSet voters = core(leader).voters();
     handle(leader, new RaftEvent.ProposeVoters(VoterSets.withVoter(voters, voter("d"))));
@@ -189,27 +189,27 @@
   }
 
   @Test
-  void a_snapshot_larger_than_a_piece_is_sent_in_pieces() {
-    startThree();
+  void a_snapshot_larger_than_one_chunk_is_sent_in_chunks() {
+    startThreeReplicas();
     String leader = leader();
     handle(leader, new RaftEvent.Propose(1, ByteString.copyFromUtf8("x")));
     run(500);
     ByteString state = ByteString.copyFrom(new byte[3 * RaftCore.SNAPSHOT_CHUNK_BYTES + 17]);
     long index = core(leader).commitIndex();
     handle(leader, new RaftEvent.SnapshotTaken(index, state));
-    RaftCore late = add("d", StoredState.empty());
+    RaftCore learner = add("d", StoredState.empty());
     VoterSet voters = core(leader).voters();
     handle(leader, new RaftEvent.ProposeVoters(VoterSets.withLearner(voters, voter("d"))));
 
     run(2_000);
 
-    assertThat(late.snapshotIndex()).isEqualTo(index);
-    assertThat(late.commitIndex()).isEqualTo(core(leader).commitIndex());
+    assertThat(learner.snapshotIndex()).isEqualTo(index);
+    assertThat(learner.commitIndex()).isEqualTo(core(leader).commitIndex());
   }
 
   @Test
-  void leadership_is_handed_over_without_waiting_for_a_timeout() {
-    startThree();
+  void leadership_is_transferred_without_waiting_for_an_election_timeout() {
+    startThreeReplicas();
     String before = leader();
 
     handle(before, new RaftEvent.TransferLeadership());
--- a/src/test/java/org/curranthaven/internal/consensus/VoterPolicyTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/VoterPolicyTest.java
@@ -27,14 +27,14 @@
   }
 
   private Optional<VoterSet> next(
-      VoterSet current, List<Voter> connected, Set<String> caughtUp, Set<String> silent) {
+      VoterSet current, List<Voter> connected, Set<String> caughtUp, Set<String> unresponsive) {
     return policy.next(
         new VoterPolicy.GroupStatus(
             current,
             "a",
             connected,
             caughtUp::contains,
-            id -> silent.contains(id) ? 0 : 100_000,
+            id -> unresponsive.contains(id) ? 0 : 100_000,
             100_000));
   }
 
@@ -47,27 +47,30 @@
   }
 
   @Test
-  void a_sound_group_is_left_alone() {
+  void a_group_without_lost_voters_is_not_changed() {
     assertThat(next(set("a", "b", "c"), connected("a", "b", "c", "d"), Set.of(), Set.of()))
         .isEmpty();
   }
 
   @Test
-  void a_lost_voter_is_replaced_first_and_removed_after() {
-    VoterSet start = set("a", "b", "c");
-    VoterSet learner = next(start, connected("a", "b", "d"), Set.of(), Set.of("c")).orElseThrow();
-    assertThat(learner.getLearnersList()).extracting(Voter::getIdentity).containsExactly("d");
-
-    assertThat(next(learner, connected("a", "b", "d"), Set.of(), Set.of("c"))).isEmpty();
-    VoterSet four = next(learner, connected("a", "b", "d"), Set.of("d"), Set.of("c")).orElseThrow();
-    assertThat(VoterSets.voterIds(four)).containsExactlyInAnyOrder("a", "b", "c", "d");
-
-    VoterSet three = next(four, connected("a", "b", "d"), Set.of("d"), Set.of("c")).orElseThrow();
-    assertThat(VoterSets.voterIds(three)).containsExactlyInAnyOrder("a", "b", "d");
+  void a_lost_voter_is_removed_only_after_its_replacement_was_added() {
+    VoterSet initial = set("a", "b", "c");
+    VoterSet withLearner =
+        next(initial, connected("a", "b", "d"), Set.of(), Set.of("c")).orElseThrow();
+    assertThat(withLearner.getLearnersList()).extracting(Voter::getIdentity).containsExactly("d");
+
+    assertThat(next(withLearner, connected("a", "b", "d"), Set.of(), Set.of("c"))).isEmpty();
+    VoterSet fourVoters =
+        next(withLearner, connected("a", "b", "d"), Set.of("d"), Set.of("c")).orElseThrow();
+    assertThat(VoterSets.voterIds(fourVoters)).containsExactlyInAnyOrder("a", "b", "c", "d");
+
+    VoterSet threeVoters =
+        next(fourVoters, connected("a", "b", "d"), Set.of("d"), Set.of("c")).orElseThrow();
+    assertThat(VoterSets.voterIds(threeVoters)).containsExactlyInAnyOrder("a", "b", "d");
   }
 
   @Test
-  void a_successor_that_has_just_started_replaces_a_host_that_went_three_seconds_ago() {
+  void a_newly_started_host_replaces_a_voter_that_last_replied_three_seconds_ago() {
     Optional<VoterSet> next =
         policy.next(
             new VoterPolicy.GroupStatus(
@@ -84,36 +87,36 @@
   }
 
   @Test
-  void without_a_replacement_a_lost_voter_is_kept() {
+  void a_lost_voter_is_kept_if_no_replacement_is_connected() {
     assertThat(next(set("a", "b", "c"), connected("a", "b"), Set.of(), Set.of("c"))).isEmpty();
   }
 
   @Test
-  void a_host_that_is_back_with_an_empty_disk_replaces_its_former_self() {
+  void a_host_that_returns_with_a_new_data_folder_replaces_its_former_voter() {
     List<Voter> connected = connected("a", "b");
     connected.add(voter("c2", "host-c"));
 
-    VoterSet learner = next(set("a", "b", "c"), connected, Set.of(), Set.of()).orElseThrow();
+    VoterSet withLearner = next(set("a", "b", "c"), connected, Set.of(), Set.of()).orElseThrow();
 
-    assertThat(learner.getLearnersList()).extracting(Voter::getIdentity).containsExactly("c2");
+    assertThat(withLearner.getLearnersList()).extracting(Voter::getIdentity).containsExactly("c2");
   }
 
   @Test
-  void only_the_lowest_of_empty_hosts_that_are_all_connected_founds_the_groups() {
+  void only_the_lowest_address_bootstraps_and_only_if_all_contacts_are_connected_and_empty() {
     HostRecord a = HostRecord.newBuilder().setPeerAddress("a").build();
     HostRecord b = HostRecord.newBuilder().setPeerAddress("b").build();
     HostRecord z = HostRecord.newBuilder().setPeerAddress("0").build();
     HostRecord formed = HostRecord.newBuilder().setPeerAddress("c").setFormed(true).build();
-    List<String> two = List.of("b", "a");
-    List<String> three = List.of("c", "b", "a");
-
-    assertThat(GroupBootstrap.mayBootstrap(a, two, List.of(b))).isTrue();
-    assertThat(GroupBootstrap.mayBootstrap(b, two, List.of(a))).isFalse();
-    assertThat(GroupBootstrap.mayBootstrap(a, three, List.of(b))).isFalse();
-    assertThat(GroupBootstrap.mayBootstrap(a, three, List.of(b, formed))).isFalse();
-    // A host that is not among the first contacts joins, whatever its address.
-    assertThat(GroupBootstrap.mayBootstrap(z, two, List.of(a, b))).isFalse();
-    assertThat(GroupBootstrap.mayBootstrap(a, two, List.of(b, z))).isTrue();
+    List<String> twoContacts = List.of("b", "a");
+    List<String> threeContacts = List.of("c", "b", "a");
+
+    assertThat(GroupBootstrap.mayBootstrap(a, twoContacts, List.of(b))).isTrue();
+    assertThat(GroupBootstrap.mayBootstrap(b, twoContacts, List.of(a))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(a, threeContacts, List.of(b))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(a, threeContacts, List.of(b, formed))).isFalse();
+    // A host that is not among the configured contacts joins, whatever its address.
+    assertThat(GroupBootstrap.mayBootstrap(z, twoContacts, List.of(a, b))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(a, twoContacts, List.of(b, z))).isTrue();
     assertThat(GroupBootstrap.mayBootstrap(a, List.of(), List.of(b))).isFalse();
   }
 }
