--- a/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
+++ b/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
@@ -94,17 +94,17 @@
       RandomGenerator random) {}
 
   /** Creates the loop, which starts with {@link #run}. */
-  public ConsensusLoop(Dependencies wiring) {
-    this.folder = wiring.folder();
-    this.groupCount = wiring.groupCount();
-    this.bootstrapContacts = Set.copyOf(wiring.bootstrapContacts());
-    this.targetVoterCount = wiring.targetVoterCount();
-    this.stateMachineFactory = wiring.stateMachineFactory();
-    this.self = wiring.self();
-    this.connectedHosts = wiring.connectedHosts();
-    this.sender = wiring.sender();
-    this.clock = wiring.clock();
-    this.random = wiring.random();
+  public ConsensusLoop(Dependencies dependencies) {
+    this.folder = dependencies.folder();
+    this.groupCount = dependencies.groupCount();
+    this.bootstrapContacts = Set.copyOf(dependencies.bootstrapContacts());
+    this.targetVoterCount = dependencies.targetVoterCount();
+    this.stateMachineFactory = dependencies.stateMachineFactory();
+    this.self = dependencies.self();
+    this.connectedHosts = dependencies.connectedHosts();
+    this.sender = dependencies.sender();
+    this.clock = dependencies.clock();
+    this.random = dependencies.random();
   }
 
   /** Adds an observer. Must be called before {@link #run}. */
@@ -158,8 +158,7 @@
     return storageFailure;
   }
 
-  // ---- confined to the consensus thread
-  // ------------------------------------------------------------------
+  // ---- confined to the consensus thread ---------------------------------------------------------
 
   /** Returns the Raft core of a group, or null if this host has no replica of it. */
   public @Nullable RaftCore core(int groupId) {
@@ -372,8 +371,8 @@
   }
 
   /**
-   * Closes a replica whose storage failed, since its state in memory may be ahead of the disk. All
-   * pending proposals end with an unknown outcome.
+   * Closes a replica whose storage failed, since its state in memory may be ahead of the disk. The
+   * pending proposals of all groups end with an unknown outcome.
    */
   private void closeFailedReplica(Replica replica, IOException cause, long nowMillis) {
     replicas.remove(replica.groupId);
--- a/src/main/java/org/curranthaven/internal/consensus/DamagedDataException.java
+++ b/src/main/java/org/curranthaven/internal/consensus/DamagedDataException.java
@@ -14,7 +14,7 @@
             + file
             + " is damaged at offset "
             + offsetBytes
-            + " bytes; if the other control hosts are running, empty the data folder of this host: it"
-            + " then rejoins its groups under a new identity");
+            + " bytes; if the other control hosts are running, stop this host and empty its data"
+            + " folder: it then rejoins its groups under a new identity");
   }
 }
--- a/src/main/java/org/curranthaven/internal/consensus/GroupStorage.java
+++ b/src/main/java/org/curranthaven/internal/consensus/GroupStorage.java
@@ -43,11 +43,12 @@
   private String votedFor;
   private StoredState loadedState;
 
-  private GroupStorage(Path folder, StoredState loaded, long segmentNumber, FileChannel segment) {
+  private GroupStorage(
+      Path folder, StoredState loadedState, long segmentNumber, FileChannel segment) {
     this.folder = folder;
-    this.loadedState = loaded;
-    this.term = loaded.term();
-    this.votedFor = loaded.votedFor();
+    this.loadedState = loadedState;
+    this.term = loadedState.term();
+    this.votedFor = loadedState.votedFor();
     this.segmentNumber = segmentNumber;
     this.segment = segment;
   }
--- a/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
@@ -105,8 +105,8 @@
     this.votedFor = stored.votedFor();
     this.commitIndex = log.snapshotIndex();
     this.appliedIndex = log.snapshotIndex();
-    // A leader that this replica acknowledged before the restart may still hold a lease, so no
-    // vote is granted for the minimum election timeout.
+    // A leader that this replica voted for or acknowledged before the restart may still hold a
+    // lease, so no vote is granted for the minimum election timeout.
     this.lastLeaderContactMillis = nowMillis;
     resetElectionDeadline(nowMillis);
   }
@@ -403,8 +403,10 @@
   }
 
   /**
-   * Adopts the higher term of a message unless the message is a pre-vote. Returns whether the
-   * message is to be processed: a vote request is dropped while a leader is in contact.
+   * Adopts the higher term of a message. Pre-vote requests and granted pre-vote replies are
+   * excepted, since they carry the term of an election that has not started. Returns whether the
+   * message is to be processed: a vote request is dropped after recent contact with a leader,
+   * unless that leader is transferring its leadership.
    */
   private boolean adoptTerm(GroupMessage message, long nowMillis) {
     if (message.hasVoteRequest()) {
@@ -477,7 +479,7 @@
   private void truncateFrom(long index) {
     if (index <= commitIndex) {
       throw new IllegalStateException(
-          "group %d: the leader of term %d conflicts with entry %d, which is committed (commit index %d) and cannot be removed"
+          "group %d: the log of the leader of term %d conflicts with committed entry %d (commit index %d)"
               .formatted(groupId, term, index, commitIndex));
     }
     log.truncateFrom(index);
--- a/src/main/java/org/curranthaven/internal/consensus/Replica.java
+++ b/src/main/java/org/curranthaven/internal/consensus/Replica.java
@@ -25,14 +25,14 @@
    */
   private static final long MIN_SNAPSHOT_LOG_BYTES = 1024 * 1024;
 
-  Replica(int groupId, RaftCore core, StateMachine machine, GroupStorage storage) {
+  Replica(int groupId, RaftCore core, StateMachine stateMachine, GroupStorage storage) {
     this.groupId = groupId;
     this.core = core;
-    this.stateMachine = machine;
+    this.stateMachine = stateMachine;
     this.storage = storage;
     StoredState state = storage.loadedState();
     if (state.snapshot().getLastIndex() > 0) {
-      machine.restore(state.snapshot().getState());
+      stateMachine.restore(state.snapshot().getState());
       appliedIndex = state.snapshot().getLastIndex();
       snapshotBytes = state.snapshot().getState().size();
     }
--- a/src/main/java/org/curranthaven/internal/consensus/VoterPolicy.java
+++ b/src/main/java/org/curranthaven/internal/consensus/VoterPolicy.java
@@ -25,8 +25,8 @@
 
   private final int targetVoterCount;
 
-  VoterPolicy(int votersWanted) {
-    this.targetVoterCount = votersWanted;
+  VoterPolicy(int targetVoterCount) {
+    this.targetVoterCount = targetVoterCount;
   }
 
   /**
--- a/src/main/java/org/curranthaven/internal/consensus/VoterSets.java
+++ b/src/main/java/org/curranthaven/internal/consensus/VoterSets.java
@@ -25,7 +25,8 @@
       return VoterSet.parseFrom(data);
     } catch (InvalidProtocolBufferException e) {
       throw new IllegalStateException(
-          "voter set in the consensus log cannot be parsed; check that all hosts run compatible versions",
+          "voter set in the consensus log cannot be parsed; check that all hosts run compatible"
+              + " versions",
           e);
     }
   }
@@ -37,7 +38,7 @@
 
   /** Returns whether the identity is a voter. */
   public static boolean isVoter(VoterSet set, String identity) {
-    return set.getVotersList().stream().anyMatch(v -> v.getIdentity().equals(identity));
+    return set.getVotersList().stream().anyMatch(voter -> voter.getIdentity().equals(identity));
   }
 
   /** Returns the identities of all voters and learners, voters first. */
@@ -51,7 +52,7 @@
   /** Returns whether {@code members} contains a majority of the set's voters. */
   public static boolean isQuorum(VoterSet set, Collection<String> members) {
     long votes =
-        set.getVotersList().stream().filter(v -> members.contains(v.getIdentity())).count();
+        set.getVotersList().stream().filter(voter -> members.contains(voter.getIdentity())).count();
     return votes * 2 > set.getVotersCount();
   }
 
@@ -80,10 +81,10 @@
   public static VoterSet without(VoterSet set, String identity) {
     VoterSet.Builder result = VoterSet.newBuilder();
     set.getVotersList().stream()
-        .filter(v -> !v.getIdentity().equals(identity))
+        .filter(member -> !member.getIdentity().equals(identity))
         .forEach(result::addVoters);
     set.getLearnersList().stream()
-        .filter(v -> !v.getIdentity().equals(identity))
+        .filter(member -> !member.getIdentity().equals(identity))
         .forEach(result::addLearners);
     return result.build();
   }
--- a/src/test/java/org/curranthaven/internal/consensus/GroupStorageTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/GroupStorageTest.java
@@ -30,7 +30,7 @@
         .build();
   }
 
-  private void write(int from, int to) throws IOException {
+  private void writeEntries(int from, int to) throws IOException {
     try (GroupStorage storage = GroupStorage.open(folder)) {
       for (int i = from; i <= to; i++) {
         storage.persist(new RaftDecision.AppendEntries(List.of(entry(i, "command " + i))));
@@ -40,7 +40,7 @@
     }
   }
 
-  private StoredState read() throws IOException {
+  private StoredState readState() throws IOException {
     try (GroupStorage storage = GroupStorage.open(folder)) {
       return storage.loadedState();
     }
@@ -57,9 +57,9 @@
 
   @Test
   void synced_state_is_read_back_after_a_restart() throws IOException {
-    write(1, 20);
+    writeEntries(1, 20);
 
-    StoredState state = read();
+    StoredState state = readState();
 
     assertThat(state.entries()).hasSize(20);
     assertThat(state.term()).isEqualTo(7);
@@ -68,22 +68,22 @@
 
   @Test
   void an_incomplete_record_at_the_end_is_removed() throws IOException {
-    write(1, 20);
-    write(21, 21);
+    writeEntries(1, 20);
+    writeEntries(21, 21);
     Path segment = lastSegment();
     byte[] bytes = Files.readAllBytes(segment);
     Files.write(segment, java.util.Arrays.copyOf(bytes, bytes.length - 3));
 
-    assertThat(read().entries()).hasSizeBetween(20, 21);
-    write(22, 22);
-    assertThat(read().entries().getLast().getIndex()).isEqualTo(22);
+    assertThat(readState().entries()).hasSizeBetween(20, 21);
+    writeEntries(22, 22);
+    assertThat(readState().entries().getLast().getIndex()).isEqualTo(22);
   }
 
   @Test
   void a_batch_of_which_a_power_loss_kept_only_the_last_part_is_removed() throws IOException {
-    write(1, 20);
+    writeEntries(1, 20);
     long syncedBytes = Files.size(lastSegment());
-    write(21, 23);
+    writeEntries(21, 23);
     Path segment = lastSegment();
     byte[] bytes = Files.readAllBytes(segment);
     for (int i = (int) syncedBytes; i < syncedBytes + 24; i++) {
@@ -91,21 +91,21 @@
     }
     Files.write(segment, bytes);
 
-    assertThat(read().entries()).hasSize(20);
-    write(21, 22);
-    assertThat(read().entries().getLast().getIndex()).isEqualTo(22);
+    assertThat(readState().entries()).hasSize(20);
+    writeEntries(21, 22);
+    assertThat(readState().entries().getLast().getIndex()).isEqualTo(22);
   }
 
   @Test
   void a_damaged_record_before_valid_ones_is_reported_with_file_and_offset() throws IOException {
-    write(1, 10);
-    write(11, 20);
+    writeEntries(1, 10);
+    writeEntries(11, 20);
     Path segment = lastSegment();
     byte[] bytes = Files.readAllBytes(segment);
     bytes[40] ^= 0x55;
     Files.write(segment, bytes);
 
-    assertThatThrownBy(this::read)
+    assertThatThrownBy(this::readState)
         .isInstanceOf(DamagedDataException.class)
         .hasMessageContaining(segment.toString())
         .hasMessageContaining("offset");
@@ -113,7 +113,7 @@
 
   @Test
   void a_missing_snapshot_is_reported_as_damage() throws IOException {
-    write(1, 20);
+    writeEntries(1, 20);
     try (GroupStorage storage = GroupStorage.open(folder)) {
       SnapshotFile snapshot = SnapshotFile.newBuilder().setLastIndex(15).setLastTerm(1).build();
       storage.persist(new RaftDecision.SaveSnapshot(snapshot, false));
@@ -127,19 +127,19 @@
     }
     Files.delete(folder.resolve("snapshot"));
 
-    assertThatThrownBy(this::read).isInstanceOf(DamagedDataException.class);
+    assertThatThrownBy(this::readState).isInstanceOf(DamagedDataException.class);
   }
 
   @Test
   void a_snapshot_replaces_the_entries_it_covers() throws IOException {
-    write(1, 20);
+    writeEntries(1, 20);
     try (GroupStorage storage = GroupStorage.open(folder)) {
       SnapshotFile snapshot = SnapshotFile.newBuilder().setLastIndex(15).setLastTerm(1).build();
       storage.persist(new RaftDecision.SaveSnapshot(snapshot, false));
       storage.sync();
     }
 
-    StoredState state = read();
+    StoredState state = readState();
 
     assertThat(state.snapshot().getLastIndex()).isEqualTo(15);
     assertThat(state.entries()).hasSize(5);
@@ -148,15 +148,15 @@
 
   @Test
   void truncated_entries_stay_removed_after_a_restart() throws IOException {
-    write(1, 20);
+    writeEntries(1, 20);
     try (GroupStorage storage = GroupStorage.open(folder)) {
       storage.persist(new RaftDecision.TruncateFrom(11));
       storage.persist(new RaftDecision.AppendEntries(List.of(entry(11, "new"))));
       storage.sync();
     }
 
-    assertThat(read().entries()).hasSize(11);
-    assertThat(read().entries().getLast().getData().toStringUtf8()).isEqualTo("new");
+    assertThat(readState().entries()).hasSize(11);
+    assertThat(readState().entries().getLast().getData().toStringUtf8()).isEqualTo("new");
   }
 
   @Test
--- a/src/test/java/org/curranthaven/internal/consensus/RaftCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/RaftCoreTest.java
@@ -76,7 +76,7 @@
     return Objects.requireNonNull(applied.get(id));
   }
 
-  private void run(long millis) {
+  private void runFor(long millis) {
     for (long end = nowMillis + millis; nowMillis < end; nowMillis += 10) {
       List.copyOf(cores.keySet()).forEach(id -> handle(id, new RaftEvent.Tick()));
       for (int i = messagesInFlight.size(); i > 0; i--) {
@@ -98,7 +98,7 @@
     for (String id : List.of("a", "b", "c")) {
       add(id, bootstrapped("a", "b", "c"));
     }
-    run(3_000);
+    runFor(3_000);
     assertThat(leader()).isNotEmpty();
   }
 
@@ -107,7 +107,7 @@
     startThreeReplicas();
     cores.remove(leader());
 
-    run(1_500);
+    runFor(1_500);
 
     assertThat(leader()).isNotEmpty();
   }
@@ -119,14 +119,14 @@
     String partitioned = leader.equals("c") ? "b" : "c";
     RaftCore core = core(partitioned);
     cores.remove(partitioned);
-    run(1_000);
+    runFor(1_000);
     long term = core(leader).term();
     for (long time = nowMillis; time < nowMillis + 5_000; time += 10) {
       core.handle(new RaftEvent.Tick(), time);
     }
     cores.put(partitioned, core);
 
-    run(3_000);
+    runFor(3_000);
 
     assertThat(leader()).isEqualTo(leader);
     assertThat(core(leader).term()).isEqualTo(term);
@@ -140,9 +140,9 @@
     cores.clear();
     cores.put(leader, core);
 
-    run(RaftTiming.standard().leaseMillis() + 20);
+    runFor(RaftTiming.standard().leaseMillis() + 20);
     assertThat(core.hasLease(nowMillis)).isFalse();
-    run(200);
+    runFor(200);
     assertThat(core.role()).isNotEqualTo(RaftRole.LEADER);
   }
 
@@ -178,11 +178,11 @@
 
     add("d", StoredState.empty());
     handle(leader, new RaftEvent.ProposeVoters(VoterSets.withLearner(voters, voter("d"))));
-    run(500);
+    runFor(500);
     handle(
         leader,
         new RaftEvent.ProposeVoters(VoterSets.withVoter(core(leader).voters(), voter("d"))));
-    run(500);
+    runFor(500);
 
     assertThat(VoterSets.isVoter(core(leader).voters(), "d")).isTrue();
     assertThat(applied.get("d")).isEqualTo(applied.get(leader));
@@ -193,7 +193,7 @@
     startThreeReplicas();
     String leader = leader();
     handle(leader, new RaftEvent.Propose(1, ByteString.copyFromUtf8("x")));
-    run(500);
+    runFor(500);
     ByteString state = ByteString.copyFrom(new byte[3 * RaftCore.SNAPSHOT_CHUNK_BYTES + 17]);
     long index = core(leader).commitIndex();
     handle(leader, new RaftEvent.SnapshotTaken(index, state));
@@ -201,7 +201,7 @@
     VoterSet voters = core(leader).voters();
     handle(leader, new RaftEvent.ProposeVoters(VoterSets.withLearner(voters, voter("d"))));
 
-    run(2_000);
+    runFor(2_000);
 
     assertThat(learner.snapshotIndex()).isEqualTo(index);
     assertThat(learner.commitIndex()).isEqualTo(core(leader).commitIndex());
@@ -213,7 +213,7 @@
     String before = leader();
 
     handle(before, new RaftEvent.TransferLeadership());
-    run(200);
+    runFor(200);
 
     assertThat(leader()).isNotEmpty().isNotEqualTo(before);
   }
