--- a/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
@@ -479,7 +479,8 @@
   private void truncateFrom(long index) {
     if (index <= commitIndex) {
       throw new IllegalStateException(
-          "group %d: the log of the leader of term %d conflicts with committed entry %d (commit index %d)"
+          ("group %d: the log of the leader of term %d conflicts with committed entry %d"
+                  + " (commit index %d)")
               .formatted(groupId, term, index, commitIndex));
     }
     log.truncateFrom(index);
