--- a/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
+++ b/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
@@ -32,78 +32,83 @@
 import org.tinylog.Logger;
 
 /**
- * The thread that runs every group's replica on a control host: takes events, stores and syncs what
- * the cores decide, and only then sends, applies and answers. All public methods are thread-safe.
+ * Event loop that runs the replicas of all groups on a control host. For each batch of events it
+ * persists and syncs the decisions of the Raft cores, and only then sends messages, applies entries
+ * and replies to proposals.
+ *
+ * <p>{@link #execute}, {@link #receive}, {@link #propose}, {@link #transferLeadership}, {@link
+ * #identity} and {@link #storageFailure} are thread-safe; the other methods are confined to the
+ * consensus thread, except {@link #addObserver}, which is called before the loop starts.
  */
 public final class ConsensusLoop implements Child {
-  private static final long TICK_MILLIS = 40;
-  private static final long VOTER_POLICY_MILLIS = 250;
-  private static final long REOPEN_MILLIS = 1_000;
-  private static final int MAX_BATCH = 2_048;
+  private static final long TICK_INTERVAL_MILLIS = 40;
+  private static final long VOTER_CHECK_INTERVAL_MILLIS = 250;
+  private static final long REOPEN_DELAY_MILLIS = 1_000;
+  private static final int MAX_BATCH_TASKS = 2_048;
 
   private final DataFolder folder;
   private final int groupCount;
-  private final Set<String> foundingContacts;
-  private final int votersWanted;
-  private final IntFunction<StateMachine> machines;
+  private final Set<String> bootstrapContacts;
+  private final int targetVoterCount;
+  private final IntFunction<StateMachine> stateMachineFactory;
   private final Supplier<HostRecord> self;
-  private final Supplier<Collection<HostRecord>> connected;
+  private final Supplier<Collection<HostRecord>> connectedHosts;
   private final BiConsumer<String, ConsensusBatch> sender;
   private final Clock clock;
   private final RandomGenerator random;
   private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
   private final Map<Integer, Replica> replicas = new TreeMap<>();
   private final Map<Integer, Long> reopenAtMillis = new HashMap<>();
-  private final Map<Long, Consumer<CommandReply>> waiters = new HashMap<>();
+  private final Map<Long, Consumer<CommandReply>> replyCallbacks = new HashMap<>();
   private final Map<String, ConsensusBatch.Builder> outgoing = new HashMap<>();
   private final AtomicLong nextRequestId = new AtomicLong(1);
   private final List<GroupObserver> observers = new ArrayList<>();
   private volatile String storageFailure = "";
   private long nextTickMillis;
-  private long nextVoterPolicyMillis;
+  private long nextVoterCheckMillis;
   private long syncs;
 
   /**
-   * What the loop needs of its host.
+   * Dependencies of the loop on its host.
    *
-   * @param folder data folder
-   * @param groupCount number of groups, group 0 included
-   * @param foundingContacts peer addresses of the control hosts that must all be empty for the
-   *     groups to be founded; empty if this host may only join
-   * @param votersWanted number of voters of each group
-   * @param machines makes the state machine of a group
-   * @param self describes this host
-   * @param connected control hosts that are connected now
-   * @param sender sends a batch to the host with an identity; may drop it
+   * @param folder data folder of this host
+   * @param groupCount number of groups, including group 0
+   * @param bootstrapContacts peer addresses of the control hosts that must all be connected and
+   *     empty before the groups are bootstrapped; empty if this host may only join
+   * @param targetVoterCount number of voters that each group should have
+   * @param stateMachineFactory creates the state machine of a group from the group number
+   * @param self supplies the record of this host
+   * @param connectedHosts supplies the control hosts that are connected now
+   * @param sender sends a batch to the host with the given identity, best effort
    */
-  public record Wiring(
+  public record Dependencies(
       DataFolder folder,
       int groupCount,
-      Set<String> foundingContacts,
-      int votersWanted,
-      IntFunction<StateMachine> machines,
+      Set<String> bootstrapContacts,
+      int targetVoterCount,
+      IntFunction<StateMachine> stateMachineFactory,
       Supplier<HostRecord> self,
-      Supplier<Collection<HostRecord>> connected,
+      Supplier<Collection<HostRecord>> connectedHosts,
       BiConsumer<String, ConsensusBatch> sender,
       Clock clock,
       RandomGenerator random) {}
 
-  /** Creates the loop; it starts with {@link #run}. */
-  public ConsensusLoop(Wiring wiring) {
-    this.folder = wiring.folder();
-    this.groupCount = wiring.groupCount();
-    this.foundingContacts = Set.copyOf(wiring.foundingContacts());
-    this.votersWanted = wiring.votersWanted();
-    this.machines = wiring.machines();
-    this.self = wiring.self();
-    this.connected = wiring.connected();
-    this.sender = wiring.sender();
-    this.clock = wiring.clock();
-    this.random = wiring.random();
+  /** Creates the loop, which starts with {@link #run}. */
+  public ConsensusLoop(Dependencies dependencies) {
+    this.folder = dependencies.folder();
+    this.groupCount = dependencies.groupCount();
+    this.bootstrapContacts = Set.copyOf(dependencies.bootstrapContacts());
+    this.targetVoterCount = dependencies.targetVoterCount();
+    this.stateMachineFactory = dependencies.stateMachineFactory();
+    this.self = dependencies.self();
+    this.connectedHosts = dependencies.connectedHosts();
+    this.sender = dependencies.sender();
+    this.clock = dependencies.clock();
+    this.random = dependencies.random();
   }
 
-  /** Adds an observer; to be called before {@link #run}. */
-  public void observe(GroupObserver observer) {
+  /** Adds an observer. Must be called before {@link #run}. */
+  public void addObserver(GroupObserver observer) {
     observers.add(observer);
   }
 
@@ -112,33 +117,35 @@
     tasks.add(action);
   }
 
-  /** Takes in what another host's replicas sent. */
+  /** Handles a batch of messages from the replicas of another host. */
   public void receive(String fromIdentity, ConsensusBatch batch) {
     execute(() -> batch.getMessagesList().forEach(message -> receive(fromIdentity, message)));
   }
 
-  /** Proposes a command to a group; {@code answer} is called on the consensus thread. */
-  public void propose(int groupId, ByteString command, Consumer<CommandReply> answer) {
+  /** Proposes a command to a group; {@code callback} is called on the consensus thread. */
+  public void propose(int groupId, ByteString command, Consumer<CommandReply> callback) {
     execute(
         () -> {
           Replica replica = replicas.get(groupId);
           if (replica == null) {
-            answer.accept(reply(CommandStatus.COMMAND_STATUS_UNAVAILABLE, ByteString.EMPTY, ""));
+            callback.accept(reply(CommandStatus.COMMAND_STATUS_UNAVAILABLE, ByteString.EMPTY, ""));
             return;
           }
           long requestId = nextRequestId.getAndIncrement();
-          waiters.put(requestId, answer);
+          replyCallbacks.put(requestId, callback);
           replica.handle(new RaftEvent.Propose(requestId, command), clock.nowMillis());
         });
   }
 
-  /** Asks every group that this host leads to hand over leadership. */
+  /** Transfers the leadership of every group that this host leads to another voter. */
   public void transferLeadership() {
     execute(
         () ->
             replicas
                 .values()
-                .forEach(r -> r.handle(new RaftEvent.TransferLeadership(), clock.nowMillis())));
+                .forEach(
+                    replica ->
+                        replica.handle(new RaftEvent.TransferLeadership(), clock.nowMillis())));
   }
 
   /** Returns the identity of this host's data folder. */
@@ -146,42 +153,42 @@
     return folder.identity();
   }
 
-  /** Returns why the data folder cannot be written, or an empty text. */
+  /** Returns why a group's storage failed, or an empty string if all groups are stored. */
   public String storageFailure() {
     return storageFailure;
   }
 
-  // ---- on the consensus thread ------------------------------------------------------------------
+  // ---- confined to the consensus thread ---------------------------------------------------------
 
-  /** Returns the core of a group, or null while this host holds no replica of it. */
+  /** Returns the Raft core of a group, or null if this host has no replica of it. */
   public @Nullable RaftCore core(int groupId) {
     Replica replica = replicas.get(groupId);
     return replica == null ? null : replica.core;
   }
 
-  /** Returns the state machine of a group, or null while this host holds no replica of it. */
-  public @Nullable StateMachine machine(int groupId) {
+  /** Returns the state machine of a group, or null if this host has no replica of it. */
+  public @Nullable StateMachine stateMachine(int groupId) {
     Replica replica = replicas.get(groupId);
-    return replica == null ? null : replica.machine;
+    return replica == null ? null : replica.stateMachine;
   }
 
-  /** Returns whether every entry in this host's log of the group is applied. */
-  public boolean appliedAll(int groupId) {
+  /** Returns whether all entries in this host's log of the group have been applied. */
+  public boolean isFullyApplied(int groupId) {
     Replica replica = replicas.get(groupId);
-    return replica != null && replica.appliedAll();
+    return replica != null && replica.isFullyApplied();
   }
 
-  /** Returns the number of times the loop has synced files. */
+  /** Returns the number of syncs to disk since the loop was created. */
   public long syncs() {
     return syncs;
   }
 
-  /** Returns whether this host holds a replica of any group. */
-  public boolean formed() {
+  /** Returns whether this host has a replica of any group. */
+  public boolean hasReplicas() {
     return !replicas.isEmpty();
   }
 
-  /** Returns the host name of the group's leader, empty when unknown. */
+  /** Returns the host name of the group's leader, or an empty string when it is unknown. */
   public String leaderHost(int groupId) {
     RaftCore core = core(groupId);
     if (core == null || core.leader().isEmpty()) {
@@ -212,29 +219,29 @@
   }
 
   private void runBatch() throws InterruptedException {
-    long wait = Math.max(0, nextTickMillis - clock.nowMillis());
-    Runnable task = tasks.poll(wait, TimeUnit.MILLISECONDS);
-    for (int i = 0; task != null && i < MAX_BATCH; i++) {
+    long timeoutMillis = Math.max(0, nextTickMillis - clock.nowMillis());
+    Runnable task = tasks.poll(timeoutMillis, TimeUnit.MILLISECONDS);
+    for (int i = 0; task != null && i < MAX_BATCH_TASKS; i++) {
       task.run();
-      task = i + 1 < MAX_BATCH ? tasks.poll() : null;
+      task = i + 1 < MAX_BATCH_TASKS ? tasks.poll() : null;
     }
     long nowMillis = clock.nowMillis();
     if (nowMillis >= nextTickMillis) {
-      nextTickMillis = nowMillis + TICK_MILLIS;
+      nextTickMillis = nowMillis + TICK_INTERVAL_MILLIS;
       tick(nowMillis);
     }
     finishBatch(nowMillis);
   }
 
   private void tick(long nowMillis) {
-    reopenFailed(nowMillis);
+    reopenFailedGroups(nowMillis);
     replicas.values().forEach(replica -> replica.handle(new RaftEvent.Tick(), nowMillis));
-    if (nowMillis >= nextVoterPolicyMillis) {
-      nextVoterPolicyMillis = nowMillis + VOTER_POLICY_MILLIS;
+    if (nowMillis >= nextVoterCheckMillis) {
+      nextVoterCheckMillis = nowMillis + VOTER_CHECK_INTERVAL_MILLIS;
       if (replicas.isEmpty() && reopenAtMillis.isEmpty()) {
-        foundIfAlone(nowMillis);
+        bootstrapIfAllowed(nowMillis);
       }
-      replicas.values().forEach(replica -> changeVoters(replica, nowMillis));
+      replicas.values().forEach(replica -> proposeVoterChange(replica, nowMillis));
     }
     observers.forEach(observer -> observer.tick(nowMillis));
   }
@@ -243,32 +250,32 @@
     for (Replica replica : List.copyOf(replicas.values())) {
       replica.handle(new RaftEvent.BatchEnded(), nowMillis);
       try {
-        List<RaftDecision> released = replica.takeDurable();
-        if (released.stream().anyMatch(RaftDecision.Persist.class::isInstance)) {
+        List<RaftDecision> durable = replica.persistAndDrain();
+        if (durable.stream().anyMatch(RaftDecision.Persist.class::isInstance)) {
           syncs++;
         }
-        released.forEach(decision -> carryOut(replica, decision, nowMillis));
+        durable.forEach(decision -> executeDecision(replica, decision, nowMillis));
         replica.snapshotIfDue(nowMillis);
       } catch (ClosedByInterruptException e) {
-        throw new InterruptedException("asked to stop while storing");
+        throw new InterruptedException("interrupted while storing group " + replica.groupId);
       } catch (IOException e) {
-        giveUp(replica, e, nowMillis);
+        closeFailedReplica(replica, e, nowMillis);
       }
     }
     outgoing.forEach((identity, batch) -> sender.accept(identity, batch.build()));
     outgoing.clear();
   }
 
-  private void carryOut(Replica replica, RaftDecision decision, long nowMillis) {
+  private void executeDecision(Replica replica, RaftDecision decision, long nowMillis) {
     switch (decision) {
-      case RaftDecision.Persist stored -> {}
+      case RaftDecision.Persist persisted -> {}
       case RaftDecision.Send send ->
           outgoing
               .computeIfAbsent(send.toIdentity(), id -> ConsensusBatch.newBuilder())
               .addMessages(send.message());
       case RaftDecision.Apply apply -> {
         ByteString result = replica.apply(apply.entry());
-        answer(apply.requestId(), CommandStatus.COMMAND_STATUS_APPLIED, result, "");
+        completeProposal(apply.requestId(), CommandStatus.COMMAND_STATUS_APPLIED, result, "");
         for (GroupObserver observer : observers) {
           observer.applied(replica.groupId, apply.entry().getIndex(), nowMillis);
         }
@@ -279,39 +286,46 @@
         observers.forEach(observer -> observer.applied(replica.groupId, index, nowMillis));
       }
       case RaftDecision.RejectedProposal rejected ->
-          answer(
+          completeProposal(
               rejected.requestId(),
               CommandStatus.COMMAND_STATUS_NOT_LEADER,
               ByteString.EMPTY,
               leaderHost(replica.groupId));
       case RaftDecision.UnknownProposal unknown ->
-          answer(unknown.requestId(), CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "");
+          completeProposal(
+              unknown.requestId(), CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "");
       case RaftDecision.RoleChanged change -> {
-        Logger.info("group {}: {} in term {}", replica.groupId, change.role(), change.term());
+        Logger.info(
+            "group {}: role changed to {} in term {} (leader {})",
+            replica.groupId,
+            change.role(),
+            change.term(),
+            change.leaderIdentity().isEmpty() ? "unknown" : change.leaderIdentity());
         observers.forEach(observer -> observer.roleChanged(replica.groupId, change, nowMillis));
       }
     }
   }
 
-  private void answer(long requestId, CommandStatus status, ByteString result, String leader) {
-    Consumer<CommandReply> waiter = requestId == 0 ? null : waiters.remove(requestId);
-    if (waiter != null) {
-      waiter.accept(reply(status, result, leader));
+  private void completeProposal(
+      long requestId, CommandStatus status, ByteString result, String leaderHost) {
+    Consumer<CommandReply> callback = requestId == 0 ? null : replyCallbacks.remove(requestId);
+    if (callback != null) {
+      callback.accept(reply(status, result, leaderHost));
     }
   }
 
-  private static CommandReply reply(CommandStatus status, ByteString result, String leader) {
+  private static CommandReply reply(CommandStatus status, ByteString result, String leaderHost) {
     return CommandReply.newBuilder()
         .setStatus(status)
         .setResult(result)
-        .setLeaderHost(leader)
+        .setLeaderHost(leaderHost)
         .build();
   }
 
   private void receive(String fromIdentity, GroupMessage message) {
-    boolean forThisFolder = message.getToIdentity().equals(folder.identity());
+    boolean addressedToThisFolder = message.getToIdentity().equals(folder.identity());
     int groupId = message.getGroupId();
-    if (!forThisFolder || groupId < 0 || groupId >= groupCount) {
+    if (!addressedToThisFolder || groupId < 0 || groupId >= groupCount) {
       return;
     }
     if (!replicas.containsKey(groupId) && !reopenAtMillis.containsKey(groupId)) {
@@ -334,20 +348,21 @@
               groupId,
               folder.identity(),
               RaftTiming.standard(),
-              storage.loaded(),
+              storage.loadedState(),
               random,
               nowMillis);
-      replicas.put(groupId, new Replica(groupId, core, machines.apply(groupId), storage));
+      replicas.put(
+          groupId, new Replica(groupId, core, stateMachineFactory.apply(groupId), storage));
       reopenAtMillis.remove(groupId);
       if (reopenAtMillis.isEmpty()) {
         storageFailure = "";
       }
     } catch (IOException e) {
-      storageFailed(groupId, e, nowMillis);
+      recordStorageFailure(groupId, e, nowMillis);
     }
   }
 
-  private void reopenFailed(long nowMillis) {
+  private void reopenFailedGroups(long nowMillis) {
     for (Map.Entry<Integer, Long> entry : Map.copyOf(reopenAtMillis).entrySet()) {
       if (nowMillis >= entry.getValue()) {
         open(entry.getKey());
@@ -355,64 +370,78 @@
     }
   }
 
-  /** Drops a replica whose files failed: what is in memory may be ahead of the disk. */
-  private void giveUp(Replica replica, IOException cause, long nowMillis) {
+  /**
+   * Closes a replica whose storage failed, since its state in memory may be ahead of the disk. The
+   * pending proposals of all groups end with an unknown outcome.
+   */
+  private void closeFailedReplica(Replica replica, IOException cause, long nowMillis) {
     replicas.remove(replica.groupId);
     replica.close();
-    storageFailed(replica.groupId, cause, nowMillis);
-    RaftDecision.RoleChanged stopped =
+    recordStorageFailure(replica.groupId, cause, nowMillis);
+    RaftDecision.RoleChanged lostRole =
         new RaftDecision.RoleChanged(RaftRole.FOLLOWER, replica.core.term(), "");
-    observers.forEach(observer -> observer.roleChanged(replica.groupId, stopped, nowMillis));
-    List<Consumer<CommandReply>> open = List.copyOf(waiters.values());
-    waiters.clear();
-    open.forEach(
-        waiter -> waiter.accept(reply(CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "")));
+    observers.forEach(observer -> observer.roleChanged(replica.groupId, lostRole, nowMillis));
+    List<Consumer<CommandReply>> callbacks = List.copyOf(replyCallbacks.values());
+    replyCallbacks.clear();
+    callbacks.forEach(
+        callback ->
+            callback.accept(reply(CommandStatus.COMMAND_STATUS_UNKNOWN, ByteString.EMPTY, "")));
   }
 
-  private void storageFailed(int groupId, IOException cause, long nowMillis) {
-    String reason = "group " + groupId + " cannot be stored: " + cause.getMessage();
+  private void recordStorageFailure(int groupId, IOException cause, long nowMillis) {
+    String reason =
+        "group "
+            + groupId
+            + ": storage failed: "
+            + cause.getMessage()
+            + "; retrying every "
+            + REOPEN_DELAY_MILLIS
+            + " ms";
     if (!reason.equals(storageFailure)) {
       Logger.error("{}", reason);
     }
     storageFailure = reason;
-    reopenAtMillis.put(groupId, nowMillis + REOPEN_MILLIS);
+    reopenAtMillis.put(groupId, nowMillis + REOPEN_DELAY_MILLIS);
   }
 
-  private void foundIfAlone(long nowMillis) {
-    if (!Formation.mayFound(self.get(), foundingContacts, connected.get())) {
+  private void bootstrapIfAllowed(long nowMillis) {
+    if (!GroupBootstrap.mayBootstrap(self.get(), bootstrapContacts, connectedHosts.get())) {
       return;
     }
-    Logger.info("{} are all empty: founding the groups", foundingContacts);
-    VoterSet founders = VoterSet.newBuilder().addVoters(voter(self.get())).build();
+    Logger.info(
+        "all control hosts {} are connected and empty: bootstrapping {} consensus groups",
+        bootstrapContacts,
+        groupCount);
+    VoterSet initialVoters = VoterSet.newBuilder().addVoters(voter(self.get())).build();
     for (int groupId = 0; groupId < groupCount; groupId++) {
       try (GroupStorage storage = GroupStorage.open(folder.groupFolder(groupId))) {
         storage.persist(
-            new RaftDecision.AppendEntries(List.of(StoredState.foundingEntry(founders))));
+            new RaftDecision.AppendEntries(List.of(StoredState.bootstrapEntry(initialVoters))));
         storage.persist(new RaftDecision.SaveHardState(1, ""));
         storage.sync();
       } catch (IOException e) {
-        storageFailed(groupId, e, nowMillis);
+        recordStorageFailure(groupId, e, nowMillis);
         return;
       }
       open(groupId);
     }
   }
 
-  private void changeVoters(Replica replica, long nowMillis) {
+  private void proposeVoterChange(Replica replica, long nowMillis) {
     RaftCore core = replica.core;
     if (core.role() != RaftRole.LEADER || !core.votersCommitted()) {
       return;
     }
     List<Voter> candidates = new ArrayList<>();
     candidates.add(voter(self.get()));
-    Set<String> seen = new HashSet<>(Set.of(folder.identity()));
-    for (HostRecord host : connected.get()) {
-      if (seen.add(host.getIdentity())) {
+    Set<String> seenIdentities = new HashSet<>(Set.of(folder.identity()));
+    for (HostRecord host : connectedHosts.get()) {
+      if (seenIdentities.add(host.getIdentity())) {
         candidates.add(voter(host));
       }
     }
-    VoterChange.next(core, votersWanted, folder.identity(), candidates, nowMillis)
-        .ifPresent(set -> replica.handle(new RaftEvent.ProposeVoters(set), nowMillis));
+    VoterChange.next(core, targetVoterCount, folder.identity(), candidates, nowMillis)
+        .ifPresent(voters -> replica.handle(new RaftEvent.ProposeVoters(voters), nowMillis));
   }
 
   private static Voter voter(HostRecord host) {
--- a/src/main/java/org/curranthaven/internal/consensus/Replica.java
+++ b/src/main/java/org/curranthaven/internal/consensus/Replica.java
@@ -5,78 +5,84 @@
 import java.util.List;
 import org.curranthaven.internal.transport.wire.LogEntry;
 
-/** One group's replica on this host: its core, files and state machine. */
+/**
+ * Replica of one group on this host, with its Raft core, storage and state machine. Confined to the
+ * consensus thread.
+ */
 final class Replica {
   final int groupId;
   final RaftCore core;
-  final StateMachine machine;
+  final StateMachine stateMachine;
   private final GroupStorage storage;
-  private final List<RaftDecision> pending = new ArrayList<>();
+  private final List<RaftDecision> pendingDecisions = new ArrayList<>();
   private long appliedIndex;
   private long bytesSinceSnapshot;
   private long snapshotBytes;
 
-  /** A snapshot is taken once this many bytes, and as many as the last one has, were applied. */
+  /**
+   * Minimum bytes of entries applied since the last snapshot before the next one is taken. If the
+   * last snapshot is larger than this, its size is the threshold.
+   */
   private static final long MIN_SNAPSHOT_LOG_BYTES = 1024 * 1024;
 
-  Replica(int groupId, RaftCore core, StateMachine machine, GroupStorage storage) {
+  Replica(int groupId, RaftCore core, StateMachine stateMachine, GroupStorage storage) {
     this.groupId = groupId;
     this.core = core;
-    this.machine = machine;
+    this.stateMachine = stateMachine;
     this.storage = storage;
-    StoredState loaded = storage.loaded();
-    if (loaded.snapshot().getLastIndex() > 0) {
-      machine.restore(loaded.snapshot().getState());
-      appliedIndex = loaded.snapshot().getLastIndex();
-      snapshotBytes = loaded.snapshot().getState().size();
+    StoredState state = storage.loadedState();
+    if (state.snapshot().getLastIndex() > 0) {
+      stateMachine.restore(state.snapshot().getState());
+      appliedIndex = state.snapshot().getLastIndex();
+      snapshotBytes = state.snapshot().getState().size();
     }
-    storage.releaseLoaded();
+    storage.releaseLoadedState();
   }
 
   long appliedIndex() {
     return appliedIndex;
   }
 
-  boolean appliedAll() {
+  boolean isFullyApplied() {
     return appliedIndex == core.lastIndex();
   }
 
   void handle(RaftEvent event, long nowMillis) {
-    pending.addAll(core.handle(event, nowMillis));
+    pendingDecisions.addAll(core.handle(event, nowMillis));
   }
 
   /**
-   * Stores and syncs what the batch decided; returns the decisions that may be carried out now.
+   * Persists and syncs the decisions of the batch, then returns them for execution.
    *
-   * @throws IOException if anything could not be stored; none of the decisions may be carried out
+   * @throws IOException if a decision could not be persisted; then none may be carried out
    */
-  List<RaftDecision> takeDurable() throws IOException {
-    boolean stored = false;
-    for (RaftDecision decision : pending) {
+  List<RaftDecision> persistAndDrain() throws IOException {
+    boolean syncNeeded = false;
+    for (RaftDecision decision : pendingDecisions) {
       if (decision instanceof RaftDecision.Persist persist) {
         storage.persist(persist);
-        stored = true;
+        syncNeeded = true;
       }
     }
-    if (stored) {
+    if (syncNeeded) {
       storage.sync();
     }
-    List<RaftDecision> released = List.copyOf(pending);
-    pending.clear();
-    return released;
+    List<RaftDecision> durable = List.copyOf(pendingDecisions);
+    pendingDecisions.clear();
+    return durable;
   }
 
   com.google.protobuf.ByteString apply(LogEntry entry) {
     appliedIndex = entry.getIndex();
     bytesSinceSnapshot += entry.getSerializedSize();
     return switch (entry.getKind()) {
-      case ENTRY_KIND_COMMAND -> machine.apply(entry.getIndex(), entry.getData());
+      case ENTRY_KIND_COMMAND -> stateMachine.apply(entry.getIndex(), entry.getData());
       default -> com.google.protobuf.ByteString.EMPTY;
     };
   }
 
   void restore(RaftDecision.RestoreState restore) {
-    machine.restore(restore.snapshot().getState());
+    stateMachine.restore(restore.snapshot().getState());
     appliedIndex = restore.snapshot().getLastIndex();
     snapshotBytes = restore.snapshot().getState().size();
     bytesSinceSnapshot = 0;
@@ -84,7 +90,7 @@
 
   void snapshotIfDue(long nowMillis) {
     if (bytesSinceSnapshot >= Math.max(MIN_SNAPSHOT_LOG_BYTES, snapshotBytes)) {
-      com.google.protobuf.ByteString state = machine.snapshot();
+      com.google.protobuf.ByteString state = stateMachine.snapshot();
       snapshotBytes = state.size();
       bytesSinceSnapshot = 0;
       handle(new RaftEvent.SnapshotTaken(appliedIndex, state), nowMillis);
@@ -95,7 +101,7 @@
     try {
       storage.close();
     } catch (IOException e) {
-      // The replica is given up; whatever was synced is still on the disk.
+      // The replica is no longer used, and data that was synced remains on disk.
     }
   }
 }
--- a/src/test/java/org/curranthaven/internal/consensus/GroupStorageTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/GroupStorageTest.java
@@ -30,7 +30,7 @@
         .build();
   }
 
-  private void write(int from, int to) throws IOException {
+  private void writeEntries(int from, int to) throws IOException {
     try (GroupStorage storage = GroupStorage.open(folder)) {
       for (int i = from; i <= to; i++) {
         storage.persist(new RaftDecision.AppendEntries(List.of(entry(i, "command " + i))));
@@ -40,9 +40,9 @@
     }
   }
 
-  private StoredState read() throws IOException {
+  private StoredState readState() throws IOException {
     try (GroupStorage storage = GroupStorage.open(folder)) {
-      return storage.loaded();
+      return storage.loadedState();
     }
   }
 
@@ -56,10 +56,10 @@
   }
 
   @Test
-  void what_was_synced_is_there_after_a_restart() throws IOException {
-    write(1, 20);
+  void synced_state_is_read_back_after_a_restart() throws IOException {
+    writeEntries(1, 20);
 
-    StoredState state = read();
+    StoredState state = readState();
 
     assertThat(state.entries()).hasSize(20);
     assertThat(state.term()).isEqualTo(7);
@@ -67,53 +67,53 @@
   }
 
   @Test
-  void a_record_cut_short_at_the_end_is_removed() throws IOException {
-    write(1, 20);
-    write(21, 21);
+  void an_incomplete_record_at_the_end_is_removed() throws IOException {
+    writeEntries(1, 20);
+    writeEntries(21, 21);
     Path segment = lastSegment();
     byte[] bytes = Files.readAllBytes(segment);
     Files.write(segment, java.util.Arrays.copyOf(bytes, bytes.length - 3));
 
-    assertThat(read().entries()).hasSizeBetween(20, 21);
-    write(22, 22);
-    assertThat(read().entries().getLast().getIndex()).isEqualTo(22);
+    assertThat(readState().entries()).hasSizeBetween(20, 21);
+    writeEntries(22, 22);
+    assertThat(readState().entries().getLast().getIndex()).isEqualTo(22);
   }
 
   @Test
-  void a_batch_of_which_power_loss_kept_only_the_later_part_is_removed() throws IOException {
-    write(1, 20);
-    long synced = Files.size(lastSegment());
-    write(21, 23);
+  void a_batch_of_which_a_power_loss_kept_only_the_last_part_is_removed() throws IOException {
+    writeEntries(1, 20);
+    long syncedBytes = Files.size(lastSegment());
+    writeEntries(21, 23);
     Path segment = lastSegment();
     byte[] bytes = Files.readAllBytes(segment);
-    for (int i = (int) synced; i < synced + 24; i++) {
+    for (int i = (int) syncedBytes; i < syncedBytes + 24; i++) {
       bytes[i] = 0;
     }
     Files.write(segment, bytes);
 
-    assertThat(read().entries()).hasSize(20);
-    write(21, 22);
-    assertThat(read().entries().getLast().getIndex()).isEqualTo(22);
+    assertThat(readState().entries()).hasSize(20);
+    writeEntries(21, 22);
+    assertThat(readState().entries().getLast().getIndex()).isEqualTo(22);
   }
 
   @Test
-  void damage_before_sound_records_is_refused_with_file_and_offset() throws IOException {
-    write(1, 10);
-    write(11, 20);
+  void a_damaged_record_before_valid_ones_is_reported_with_file_and_offset() throws IOException {
+    writeEntries(1, 10);
+    writeEntries(11, 20);
     Path segment = lastSegment();
     byte[] bytes = Files.readAllBytes(segment);
     bytes[40] ^= 0x55;
     Files.write(segment, bytes);
 
-    assertThatThrownBy(this::read)
+    assertThatThrownBy(this::readState)
         .isInstanceOf(DamagedDataException.class)
         .hasMessageContaining(segment.toString())
         .hasMessageContaining("offset");
   }
 
   @Test
-  void a_removed_snapshot_is_refused() throws IOException {
-    write(1, 20);
+  void a_missing_snapshot_is_reported_as_damage() throws IOException {
+    writeEntries(1, 20);
     try (GroupStorage storage = GroupStorage.open(folder)) {
       SnapshotFile snapshot = SnapshotFile.newBuilder().setLastIndex(15).setLastTerm(1).build();
       storage.persist(new RaftDecision.SaveSnapshot(snapshot, false));
@@ -127,19 +127,19 @@
     }
     Files.delete(folder.resolve("snapshot"));
 
-    assertThatThrownBy(this::read).isInstanceOf(DamagedDataException.class);
+    assertThatThrownBy(this::readState).isInstanceOf(DamagedDataException.class);
   }
 
   @Test
   void a_snapshot_replaces_the_entries_it_covers() throws IOException {
-    write(1, 20);
+    writeEntries(1, 20);
     try (GroupStorage storage = GroupStorage.open(folder)) {
       SnapshotFile snapshot = SnapshotFile.newBuilder().setLastIndex(15).setLastTerm(1).build();
       storage.persist(new RaftDecision.SaveSnapshot(snapshot, false));
       storage.sync();
     }
 
-    StoredState state = read();
+    StoredState state = readState();
 
     assertThat(state.snapshot().getLastIndex()).isEqualTo(15);
     assertThat(state.entries()).hasSize(5);
@@ -147,20 +147,20 @@
   }
 
   @Test
-  void removed_entries_stay_removed() throws IOException {
-    write(1, 20);
+  void truncated_entries_stay_removed_after_a_restart() throws IOException {
+    writeEntries(1, 20);
     try (GroupStorage storage = GroupStorage.open(folder)) {
       storage.persist(new RaftDecision.TruncateFrom(11));
       storage.persist(new RaftDecision.AppendEntries(List.of(entry(11, "new"))));
       storage.sync();
     }
 
-    assertThat(read().entries()).hasSize(11);
-    assertThat(read().entries().getLast().getData().toStringUtf8()).isEqualTo("new");
+    assertThat(readState().entries()).hasSize(11);
+    assertThat(readState().entries().getLast().getData().toStringUtf8()).isEqualTo("new");
   }
 
   @Test
-  void a_wiped_folder_gets_another_identity() throws IOException {
+  void a_wiped_folder_gets_a_new_identity() throws IOException {
     Path data = Files.createDirectory(folder.resolve("data"));
     String before = identityOf(data);
     assertThat(identityOf(data)).isEqualTo(before);
@@ -180,7 +180,7 @@
   }
 
   @Test
-  void a_data_folder_with_damage_is_refused_with_its_code() throws IOException {
+  void a_damaged_data_folder_fails_to_open_with_the_code_data_damaged() throws IOException {
     Path data = Files.createDirectory(folder.resolve("data"));
     identityOf(data);
     Path group = Files.createDirectory(data.resolve("group-0"));
@@ -202,7 +202,7 @@
   }
 
   @Test
-  void a_second_process_is_refused() throws IOException {
+  void a_data_folder_in_use_fails_to_open_with_the_code_data_folder_locked() throws IOException {
     Path data = Files.createDirectory(folder.resolve("data"));
     if (DataFolder.open(data) instanceof Outcome.Success<DataFolder> first) {
       Outcome<DataFolder> second = DataFolder.open(data);
@@ -217,7 +217,7 @@
   }
 
   @Test
-  void a_folder_that_cannot_be_used_is_an_error_that_says_so() throws IOException {
+  void an_unusable_data_folder_fails_to_open_with_the_code_storage_failed() throws IOException {
     Path file = Files.writeString(folder.resolve("file"), "x", StandardOpenOption.CREATE);
 
     assertThat(DataFolder.open(file))
