--- a/src/main/java/org/curranthaven/internal/relay/Attempt.java
+++ b/src/main/java/org/curranthaven/internal/relay/Attempt.java
@@ -11,11 +11,11 @@
  * One sending of a call to one backend server. Events of a stream are passed on as they become
  * whole; any other answer is passed on once it is. Used on the event loop only.
  */
-final class Attempt implements BackendConnection.AnswerListener {
+final class Attempt implements BackendConnection.ResponseListener {
   private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
   private final BackendRecord backend;
-  private final Owner owner;
+  private final Listener listener;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private final EventSplitter splitter = new EventSplitter();
   private @Nullable BackendConnection connection;
@@ -25,20 +25,20 @@
   private boolean cancelled;
   private boolean sent;
   private boolean ended;
-  private boolean heard;
+  private boolean responseReceived;
 
   /** Is told how the attempt goes. */
-  interface Owner {
+  interface Listener {
     /** Events of a stream became whole. */
-    void events(Attempt attempt, HttpResponse response, List<EventSplitter.Event> events);
+    void onEvents(Attempt attempt, HttpResponse response, List<EventSplitter.Event> events);
 
     /** The attempt has ended. */
-    void ended(Attempt attempt, AttemptResult result);
+    void onEnded(Attempt attempt, AttemptResult result);
   }
 
-  Attempt(BackendRecord backend, Owner owner) {
+  Attempt(BackendRecord backend, Listener owner) {
     this.backend = backend;
-    this.owner = owner;
+    this.listener = owner;
   }
 
   BackendRecord backend() {
@@ -72,13 +72,13 @@
   }
 
   /** Returns whether any part of an answer has come. */
-  boolean isHeard() {
-    return heard;
+  boolean hasReceivedResponse() {
+    return responseReceived;
   }
 
   /** Gives the attempt up because the backend server is silent. */
-  void giveUpSilent() {
-    giveUp("the backend server is silent");
+  void abandonUnresponsive() {
+    abandon("the backend server is silent");
   }
 
   /** Ends the attempt; the backend server is told to stop by the end of its connection. */
@@ -102,25 +102,25 @@
       if (connection != null) {
         connection.setReading(true);
       }
-      owner.ended(this, result);
+      listener.onEnded(this, result);
     }
   }
 
   @Override
-  public void head(ResponseHead answerHead, HttpResponse answer) {
+  public void onHead(ResponseHead answerHead, HttpResponse answer) {
     head = answerHead;
     response = answer;
-    heard = true;
+    responseReceived = true;
     boolean unproven = !answerHead.sealed() || answerHead.requestId().isEmpty();
     if (answerHead.isSuccess() && unproven) {
-      giveUp("a success that the backend server does not vouch for");
+      abandon("a success that the backend server does not vouch for");
       return;
     }
     streaming = answerHead.isSuccess() && answerHead.eventStream();
   }
 
   @Override
-  public void content(byte[] bytes) {
+  public void onContent(byte[] bytes) {
     HttpResponse answer = response;
     if (ended || answer == null) {
       return;
@@ -128,46 +128,46 @@
     if (streaming) {
       List<EventSplitter.Event> events = splitter.add(bytes);
       if (!events.isEmpty()) {
-        owner.events(this, answer, events);
+        listener.onEvents(this, answer, events);
       }
     } else if (body.size() + bytes.length > MAX_BUFFERED_BYTES) {
-      giveUp("the answer is too large");
+      abandon("the answer is too large");
     } else {
       body.writeBytes(bytes);
     }
   }
 
-  private void giveUp(String reason) {
+  private void abandon(String reason) {
     if (connection != null) {
       connection.cancel();
     }
-    end(new AttemptResult.Broken(reason));
+    end(new AttemptResult.Interrupted(reason));
   }
 
   @Override
-  public void whole() {
+  public void onComplete() {
     ResponseHead answer = head;
     HttpResponse whole = response;
     if (answer == null || whole == null) {
-      end(new AttemptResult.Broken("an answer without a status"));
+      end(new AttemptResult.Interrupted("an answer without a status"));
     } else if (answer.notRun() || answer.misdirected()) {
       end(new AttemptResult.NotRun(answer));
-    } else if (promisesNotRun(answer.status())) {
-      end(new AttemptResult.Broken("status " + answer.status() + " without the proof of it"));
+    } else if (impliesNotRun(answer.status())) {
+      end(new AttemptResult.Interrupted("status " + answer.status() + " without the proof of it"));
     } else {
       end(
-          new AttemptResult.Answered(
-              answer, whole, streaming ? splitter.rest() : body.toByteArray()));
+          new AttemptResult.Completed(
+              answer, whole, streaming ? splitter.remainder() : body.toByteArray()));
     }
   }
 
   /** Returns whether callers would read the status as a promise that the request did not run. */
-  private static boolean promisesNotRun(int status) {
+  private static boolean impliesNotRun(int status) {
     return status == 408 || status == 421 || status == 429 || status == 503;
   }
 
   @Override
-  public void broken(String reason) {
-    end(new AttemptResult.Broken(reason));
+  public void onInterrupted(String reason) {
+    end(new AttemptResult.Interrupted(reason));
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/AttemptResult.java
+++ b/src/main/java/org/curranthaven/internal/relay/AttemptResult.java
@@ -12,8 +12,9 @@
 
   /** A whole answer; of a stream that ended as complete, what follows its last event. */
   @SuppressWarnings("ArrayRecordComponent")
-  record Answered(ResponseHead head, HttpResponse response, byte[] body) implements AttemptResult {}
+  record Completed(ResponseHead head, HttpResponse response, byte[] body)
+      implements AttemptResult {}
 
   /** The request may have run; no whole answer came. */
-  record Broken(String reason) implements AttemptResult {}
+  record Interrupted(String reason) implements AttemptResult {}
 }
--- a/src/main/java/org/curranthaven/internal/relay/BackendConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendConnection.java
@@ -20,30 +20,30 @@
 
   private final BackendPool pool;
   private final String address;
-  private @Nullable ChannelHandlerContext context;
-  private @Nullable AnswerListener listener;
-  private String expectedId = "";
+  private @Nullable ChannelHandlerContext channelContext;
+  private @Nullable ResponseListener listener;
+  private String expectedRequestId = "";
   private @Nullable ResponseHead head;
-  private boolean skipping;
-  private boolean unsound;
-  private boolean broken;
-  private boolean released;
+  private boolean skippingResponse;
+  private boolean unusable;
+  private boolean readFailed;
+  private boolean releasePending;
   private long idleSinceMillis;
   private long idleUntilMillis;
 
   /** Is told the answer to a call. */
-  interface AnswerListener {
+  interface ResponseListener {
     /** Status and headers arrived. */
-    void head(ResponseHead head, HttpResponse response);
+    void onHead(ResponseHead head, HttpResponse response);
 
     /** A part of the body arrived. */
-    void content(byte[] bytes);
+    void onContent(byte[] bytes);
 
     /** The answer is whole. */
-    void whole();
+    void onComplete();
 
     /** No whole answer will come. */
-    void broken(String reason);
+    void onInterrupted(String reason);
   }
 
   BackendConnection(BackendPool pool, String address) {
@@ -58,24 +58,24 @@
 
   boolean isUsable(long nowMillis, long maxIdleMillis) {
     boolean fresh = nowMillis < idleUntilMillis && nowMillis - idleSinceMillis <= maxIdleMillis;
-    return isOpen() && !unsound && listener == null && fresh;
+    return isOpen() && !unusable && listener == null && fresh;
   }
 
   boolean isOpen() {
-    return context != null && context.channel().isActive();
+    return channelContext != null && channelContext.channel().isActive();
   }
 
   /** Sends a call. The listener is called until the answer is whole or broken. */
-  void send(FullHttpRequest request, String requestId, AnswerListener answerListener) {
-    ChannelHandlerContext open = context;
+  void send(FullHttpRequest request, String requestId, ResponseListener answerListener) {
+    ChannelHandlerContext open = channelContext;
     if (open == null || !open.channel().isActive()) {
-      answerListener.broken("the connection was closed");
+      answerListener.onInterrupted("the connection was closed");
       return;
     }
     listener = answerListener;
-    expectedId = requestId;
+    expectedRequestId = requestId;
     head = null;
-    released = false;
+    releasePending = false;
     open.writeAndFlush(request);
   }
 
@@ -86,22 +86,22 @@
   }
 
   void close() {
-    unsound = true;
-    if (context != null) {
-      context.close();
+    unusable = true;
+    if (channelContext != null) {
+      channelContext.close();
     }
   }
 
   /** Reads on, or not, so that a slow caller bounds what is kept for it. */
   void setReading(boolean reading) {
-    if (context != null) {
-      context.channel().config().setAutoRead(reading);
+    if (channelContext != null) {
+      channelContext.channel().config().setAutoRead(reading);
     }
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext added) {
-    context = added;
+    channelContext = added;
   }
 
   @Override
@@ -111,95 +111,95 @@
       return;
     }
     if (message instanceof HttpResponse response) {
-      startAnswer(response);
+      startResponse(response);
     }
     if (message instanceof HttpContent content) {
-      takeContent(content);
+      handleContent(content);
     }
   }
 
-  private void startAnswer(HttpResponse response) {
+  private void startResponse(HttpResponse response) {
     if (listener == null) {
       // Bytes after a whole answer belong to no request.
       close();
       return;
     }
     if (response.status().code() < FIRST_FINAL_STATUS) {
-      skipping = true;
+      skippingResponse = true;
       return;
     }
-    ResponseHead decoded = pool.protocol().readAnswer(response);
-    if (!decoded.requestId().isEmpty() && !decoded.requestId().equals(expectedId)) {
-      skipping = true;
-      unsound = true;
+    ResponseHead decoded = pool.protocol().readResponseHead(response);
+    if (!decoded.requestId().isEmpty() && !decoded.requestId().equals(expectedRequestId)) {
+      skippingResponse = true;
+      unusable = true;
       return;
     }
     head = decoded;
-    listener.head(decoded, response);
+    listener.onHead(decoded, response);
   }
 
-  private void takeContent(HttpContent content) {
-    AnswerListener current = listener;
-    if (skipping) {
-      skipping = !(content instanceof LastHttpContent);
+  private void handleContent(HttpContent content) {
+    ResponseListener current = listener;
+    if (skippingResponse) {
+      skippingResponse = !(content instanceof LastHttpContent);
       return;
     }
     if (current == null || head == null) {
       return;
     }
     if (content.content().isReadable()) {
-      current.content(ByteBufUtil.getBytes(content.content()));
+      current.onContent(ByteBufUtil.getBytes(content.content()));
     }
     if (content instanceof LastHttpContent && listener == current) {
       finish(current);
     }
   }
 
-  private void finish(AnswerListener current) {
-    if (unsound && broken) {
+  private void finish(ResponseListener current) {
+    if (unusable && readFailed) {
       fail("the connection was reset");
       return;
     }
     listener = null;
     ResponseHead answer = head;
-    if (answer == null || answer.closes() || unsound || !isOpen()) {
+    if (answer == null || answer.closesConnection() || unusable || !isOpen()) {
       close();
     } else {
       idleSinceMillis = pool.nowMillis();
       idleUntilMillis = pool.idleUntilMillis(answer);
-      released = true;
+      releasePending = true;
     }
-    current.whole();
+    current.onComplete();
   }
 
   private void fail(String reason) {
-    AnswerListener current = listener;
+    ResponseListener current = listener;
     listener = null;
     close();
     if (current != null) {
-      current.broken(reason);
+      current.onInterrupted(reason);
     }
   }
 
   @Override
   public void channelReadComplete(ChannelHandlerContext active) {
-    if (released) {
-      released = false;
+    if (releasePending) {
+      releasePending = false;
       pool.release(this);
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext active, Throwable cause) {
-    broken = true;
-    unsound = true;
+    readFailed = true;
+    unusable = true;
     active.close();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext active) {
-    unsound = true;
-    pool.closed(this);
+    unusable = true;
+    pool.onClosed(this);
     fail("the connection was closed before the whole answer");
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/BackendPool.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendPool.java
@@ -26,13 +26,13 @@
   private static final long IDLE_MARGIN_MILLIS = 700;
 
   /** Idle time allowed where a backend server names no limit. */
-  private static final long UNKNOWN_IDLE_MILLIS = 300;
+  private static final long DEFAULT_IDLE_MILLIS = 300;
 
   private final EventLoop loop;
   private final Clock clock;
   private final WireProtocol protocol;
-  private final Map<String, ArrayDeque<BackendConnection>> idle = new HashMap<>();
-  private long opened;
+  private final Map<String, ArrayDeque<BackendConnection>> idleConnections = new HashMap<>();
+  private long connectionsOpened;
 
   BackendPool(EventLoop loop, Clock clock, WireProtocol protocol) {
     this.loop = loop;
@@ -45,8 +45,8 @@
   }
 
   /** Returns the number of connections opened so far. */
-  long opened() {
-    return opened;
+  long connectionsOpened() {
+    return connectionsOpened;
   }
 
   /**
@@ -56,7 +56,7 @@
    *     idle for longer may be gone without a sign
    */
   void acquire(String address, long maxIdleMillis, Consumer<@Nullable BackendConnection> consumer) {
-    ArrayDeque<BackendConnection> connections = idle.get(address);
+    ArrayDeque<BackendConnection> connections = idleConnections.get(address);
     while (connections != null && !connections.isEmpty()) {
       BackendConnection connection = connections.pollLast();
       if (connection.isUsable(clock.nowMillis(), maxIdleMillis)) {
@@ -69,7 +69,7 @@
   }
 
   private void connect(String address, Consumer<@Nullable BackendConnection> consumer) {
-    opened++;
+    connectionsOpened++;
     BackendConnection connection = new BackendConnection(this, address);
     new Bootstrap()
         .group(loop)
@@ -92,7 +92,7 @@
   long idleUntilMillis(ResponseHead answer) {
     long limit = answer.keepAliveMillis();
     long idleMillis =
-        limit == 0 ? UNKNOWN_IDLE_MILLIS : Math.max(limit / 2, limit - IDLE_MARGIN_MILLIS);
+        limit == 0 ? DEFAULT_IDLE_MILLIS : Math.max(limit / 2, limit - IDLE_MARGIN_MILLIS);
     return clock.nowMillis() + idleMillis;
   }
 
@@ -101,11 +101,13 @@
   }
 
   void release(BackendConnection connection) {
-    idle.computeIfAbsent(connection.address(), address -> new ArrayDeque<>()).addLast(connection);
+    idleConnections
+        .computeIfAbsent(connection.address(), address -> new ArrayDeque<>())
+        .addLast(connection);
   }
 
-  void closed(BackendConnection connection) {
-    ArrayDeque<BackendConnection> connections = idle.get(connection.address());
+  void onClosed(BackendConnection connection) {
+    ArrayDeque<BackendConnection> connections = idleConnections.get(connection.address());
     if (connections != null) {
       connections.remove(connection);
     }
@@ -113,7 +115,8 @@
 
   /** Closes idle connections to addresses that no backend server has any more. */
   void retain(Set<String> addresses) {
-    Iterator<Map.Entry<String, ArrayDeque<BackendConnection>>> entries = idle.entrySet().iterator();
+    Iterator<Map.Entry<String, ArrayDeque<BackendConnection>>> entries =
+        idleConnections.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<String, ArrayDeque<BackendConnection>> entry = entries.next();
       if (!addresses.contains(entry.getKey())) {
--- a/src/main/java/org/curranthaven/internal/relay/BackendRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendRequest.java
@@ -9,8 +9,8 @@
  * @param deadlineLeftMillis time left for the answer
  * @param urgency rank at an engine; 0 comes first; negative for a plain service
  * @param resumeAfter event after which a stream goes on; empty for all of it
- * @param takeOverFrom where an engine takes the state of the running request from; empty for a new
- *     run
+ * @param stateReference where an engine takes the state of the running request from; empty for a
+ *     new run
  * @param backupAddress address of the engine that is to keep a copy; empty for none
  */
 public record BackendRequest(
@@ -20,5 +20,5 @@
     long deadlineLeftMillis,
     int urgency,
     String resumeAfter,
-    String takeOverFrom,
+    String stateReference,
     String backupAddress) {}
--- a/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
@@ -46,30 +46,30 @@
  * RoutedRequest} for each, and writes its answer. Used on the event loop only.
  */
 final class CallerConnection extends SimpleChannelInboundHandler<HttpObject> {
-  private static final int MAX_WAITING_REQUESTS = 32;
+  private static final int MAX_QUEUED_REQUESTS = 32;
   private static final long MILLIS_PER_SECOND = 1_000;
   private static final long DRAINING_RETRY_MILLIS = 50;
-  private static final long NOT_INFORMED_RETRY_MILLIS = 1_000;
+  private static final long NOT_INITIALIZED_RETRY_MILLIS = 1_000;
 
   /** Longest time for which a call waits for a catalog: a host that has started gets it soon. */
-  private static final long NOT_INFORMED_WAIT_MILLIS = 900;
+  private static final long INITIALIZATION_WAIT_MILLIS = 900;
 
   /** Calls with less time than this are turned away at once instead: waiting takes most of it. */
-  private static final long MIN_TIME_TO_WAIT_MILLIS = 5 * NOT_INFORMED_WAIT_MILLIS;
+  private static final long MIN_DEADLINE_TO_WAIT_MILLIS = 5 * INITIALIZATION_WAIT_MILLIS;
 
   private final RelayContext context;
-  private final ArrayDeque<FullHttpRequest> waiting = new ArrayDeque<>();
-  private @Nullable ChannelHandlerContext channel;
-  private @Nullable HttpRequest collecting;
+  private final ArrayDeque<FullHttpRequest> queuedRequests = new ArrayDeque<>();
+  private @Nullable ChannelHandlerContext channelContext;
+  private @Nullable HttpRequest incompleteRequest;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private @Nullable RoutedRequest exchange;
+  private @Nullable RoutedRequest currentRequest;
   private boolean keepAlive;
   private boolean headRequest;
-  private boolean answering;
+  private boolean responding;
   private boolean closing;
-  private boolean gone;
-  private long lastUseMillis;
-  private long partialSinceMillis = -1;
+  private boolean disconnected;
+  private long lastActivityMillis;
+  private long partialRequestSinceMillis = -1;
 
   CallerConnection(RelayContext context) {
     super(HttpObject.class);
@@ -77,54 +77,54 @@
   }
 
   boolean isWritable() {
-    return channel != null && channel.channel().isWritable();
+    return channelContext != null && channelContext.channel().isWritable();
   }
 
   // ---- reading ----------------------------------------------------------------------------------
 
   @Override
   public void channelActive(ChannelHandlerContext active) {
-    channel = active;
-    lastUseMillis = context.clock().nowMillis();
-    checkLater(context.catalog().limits().headerTimeoutMillis());
+    channelContext = active;
+    lastActivityMillis = context.clock().nowMillis();
+    scheduleIdleCheck(context.catalog().limits().headerTimeoutMillis());
   }
 
-  private void checkLater(long delayMillis) {
+  private void scheduleIdleCheck(long delayMillis) {
     context.loop().schedule(this::checkIdle, Math.max(50, delayMillis), TimeUnit.MILLISECONDS);
   }
 
   /** Closes a connection whose caller sends nothing, or only parts of a request, for too long. */
   private void checkIdle() {
-    if (gone || closing) {
+    if (disconnected || closing) {
       return;
     }
     long nowMillis = context.clock().nowMillis();
     long headerMillis = context.catalog().limits().headerTimeoutMillis();
     long idleMillis = context.catalog().limits().idleTimeoutMillis();
-    if (answering) {
-      checkLater(idleMillis);
-    } else if (partialSinceMillis >= 0) {
-      long left = partialSinceMillis + headerMillis + idleMillisForBody() - nowMillis;
+    if (responding) {
+      scheduleIdleCheck(idleMillis);
+    } else if (partialRequestSinceMillis >= 0) {
+      long left = partialRequestSinceMillis + headerMillis + bodyTimeoutMillis() - nowMillis;
       if (left <= 0) {
         fail(Failure.of(ResultCode.BODY_TOO_SLOW, "the request did not arrive whole in time"));
       } else {
-        checkLater(left);
+        scheduleIdleCheck(left);
       }
-    } else if (nowMillis - lastUseMillis >= idleMillis) {
+    } else if (nowMillis - lastActivityMillis >= idleMillis) {
       close();
     } else {
-      checkLater(Math.min(headerMillis, lastUseMillis + idleMillis - nowMillis));
+      scheduleIdleCheck(Math.min(headerMillis, lastActivityMillis + idleMillis - nowMillis));
     }
   }
 
-  private long idleMillisForBody() {
-    return collecting == null ? 0 : context.catalog().limits().idleTimeoutMillis();
+  private long bodyTimeoutMillis() {
+    return incompleteRequest == null ? 0 : context.catalog().limits().idleTimeoutMillis();
   }
 
   /** Notes that bytes arrived which may be a part of a request. */
-  void bytesArrived() {
-    if (partialSinceMillis < 0) {
-      partialSinceMillis = context.clock().nowMillis();
+  void onBytesReceived() {
+    if (partialRequestSinceMillis < 0) {
+      partialRequestSinceMillis = context.clock().nowMillis();
     }
   }
 
@@ -134,24 +134,24 @@
       return;
     }
     if (message.decoderResult().isFailure()) {
-      malformed(message.decoderResult().cause());
+      rejectMalformed(message.decoderResult().cause());
       return;
     }
     if (message instanceof HttpRequest request) {
-      collecting = request;
+      incompleteRequest = request;
       body = new ByteArrayOutputStream();
-      if (HttpUtil.is100ContinueExpected(request) && !answering) {
+      if (HttpUtil.is100ContinueExpected(request) && !responding) {
         active.writeAndFlush(
             new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
       }
     }
     if (message instanceof HttpContent content) {
-      takeBody(content);
+      handleBody(content);
     }
   }
 
-  private void malformed(Throwable cause) {
-    if (answering) {
+  private void rejectMalformed(Throwable cause) {
+    if (responding) {
       closing = true;
       return;
     }
@@ -164,21 +164,21 @@
         false);
   }
 
-  private void takeBody(HttpContent content) {
-    HttpRequest head = collecting;
+  private void handleBody(HttpContent content) {
+    HttpRequest head = incompleteRequest;
     if (head == null) {
       return;
     }
     int size = content.content().readableBytes();
     if (body.size() + size > context.catalog().limits().maxBodyBytes()) {
-      collecting = null;
+      incompleteRequest = null;
       fail(Failure.of(ResultCode.BODY_TOO_LARGE, "the body is larger than allowed"));
       return;
     }
     body.writeBytes(ByteBufUtil.getBytes(content.content()));
     if (content instanceof LastHttpContent) {
-      collecting = null;
-      partialSinceMillis = -1;
+      incompleteRequest = null;
+      partialRequestSinceMillis = -1;
       FullHttpRequest whole =
           new DefaultFullHttpRequest(
               head.protocolVersion(),
@@ -187,61 +187,61 @@
               Unpooled.wrappedBuffer(body.toByteArray()),
               head.headers(),
               EmptyHttpHeaders.INSTANCE);
-      accept(whole);
+      processOrQueue(whole);
     }
   }
 
-  private void accept(FullHttpRequest request) {
-    if (!answering) {
-      begin(request);
-    } else if (waiting.size() < MAX_WAITING_REQUESTS) {
-      waiting.add(request);
+  private void processOrQueue(FullHttpRequest request) {
+    if (!responding) {
+      process(request);
+    } else if (queuedRequests.size() < MAX_QUEUED_REQUESTS) {
+      queuedRequests.add(request);
     } else {
       closing = true;
     }
   }
 
-  private void begin(FullHttpRequest request) {
-    answering = true;
+  private void process(FullHttpRequest request) {
+    responding = true;
     keepAlive = HttpUtil.isKeepAlive(request);
     headRequest = request.method().equals(HttpMethod.HEAD);
-    switch (context.protocol().readCall(request)) {
+    switch (context.protocol().readRequest(request)) {
       case Outcome.Failed<InboundRequest> failed -> fail(failed.failure());
-      case Outcome.Success<InboundRequest> success -> routeWhenInformed(success.value());
+      case Outcome.Success<InboundRequest> success -> routeWhenInitialized(success.value());
     }
   }
 
   /** Routes a call; one that comes before the catalog waits for it if it has the time. */
-  private void routeWhenInformed(InboundRequest call) {
+  private void routeWhenInitialized(InboundRequest call) {
     long nowMillis = context.clock().nowMillis();
     boolean mayWait =
-        call.deadlineMillis() <= 0 || call.deadlineMillis() >= MIN_TIME_TO_WAIT_MILLIS;
-    if (context.isInformed()) {
+        call.deadlineMillis() <= 0 || call.deadlineMillis() >= MIN_DEADLINE_TO_WAIT_MILLIS;
+    if (context.isInitialized()) {
       route(call, nowMillis);
     } else if (mayWait) {
-      context.whenInformed(() -> routeHeld(call, nowMillis), NOT_INFORMED_WAIT_MILLIS);
+      context.whenInitialized(() -> routeDeferred(call, nowMillis), INITIALIZATION_WAIT_MILLIS);
     } else {
-      failUninformed();
+      failNotInitialized();
     }
   }
 
-  private void routeHeld(InboundRequest call, long arrivedAtMillis) {
-    if (gone) {
+  private void routeDeferred(InboundRequest call, long arrivedAtMillis) {
+    if (disconnected) {
       return;
     }
-    if (context.isInformed()) {
+    if (context.isInitialized()) {
       route(call, arrivedAtMillis);
     } else {
-      failUninformed();
+      failNotInitialized();
     }
   }
 
-  private void failUninformed() {
+  private void failNotInitialized() {
     fail(
         Failure.retryLater(
             ResultCode.HOST_NOT_FRESH,
             "this host does not know the catalog yet",
-            NOT_INFORMED_RETRY_MILLIS));
+            NOT_INITIALIZED_RETRY_MILLIS));
   }
 
   private void route(InboundRequest call, long arrivedAtMillis) {
@@ -261,13 +261,13 @@
         call.deadlineMillis() > 0
             ? Math.min(call.deadlineMillis(), route.timeoutMillis())
             : route.timeoutMillis();
-    if (!context.mayTake(allowedMillis)) {
+    if (!context.mayAccept(allowedMillis)) {
       fail(
           Failure.retryLater(
               ResultCode.HOST_DRAINING, "this host is being stopped", DRAINING_RETRY_MILLIS));
       return;
     }
-    ServiceSpec service = catalog.service(route.serviceFor(context.draw()));
+    ServiceSpec service = catalog.service(route.serviceFor(context.nextRandom()));
     if (service == null) {
       fail(Failure.of(ResultCode.INTERNAL, "the route's service is missing"));
       return;
@@ -284,8 +284,8 @@
             arrivedAtMillis,
             allowedMillis,
             ranked && workspace != null ? workspace.priority() : route.priority());
-    exchange = next;
-    context.opened(next);
+    currentRequest = next;
+    context.requestOpened(next);
     next.start();
   }
 
@@ -334,7 +334,7 @@
     if (!stays) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    answered(writeAndFlush(response), stays);
+    finishResponse(writeAndFlush(response), stays);
   }
 
   private boolean staysOpen() {
@@ -351,8 +351,8 @@
       keepAlive = false;
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    if (channel != null) {
-      channel.write(response);
+    if (channelContext != null) {
+      channelContext.write(response);
     }
   }
 
@@ -363,7 +363,7 @@
 
   /** Ends a stream as complete. */
   void endStream() {
-    answered(writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), staysOpen());
+    finishResponse(writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), staysOpen());
   }
 
   /** Ends a stream so that the caller sees that it is not complete. */
@@ -372,13 +372,13 @@
   }
 
   private @Nullable ChannelFuture writeAndFlush(HttpObject message) {
-    return channel == null ? null : channel.writeAndFlush(message);
+    return channelContext == null ? null : channelContext.writeAndFlush(message);
   }
 
-  private void answered(@Nullable ChannelFuture written, boolean stays) {
-    answering = false;
-    exchange = null;
-    lastUseMillis = context.clock().nowMillis();
+  private void finishResponse(@Nullable ChannelFuture written, boolean stays) {
+    responding = false;
+    currentRequest = null;
+    lastActivityMillis = context.clock().nowMillis();
     if (!stays) {
       closing = true;
       if (written != null) {
@@ -386,9 +386,9 @@
       }
       return;
     }
-    FullHttpRequest next = waiting.poll();
+    FullHttpRequest next = queuedRequests.poll();
     if (next != null) {
-      begin(next);
+      process(next);
     }
   }
 
@@ -396,33 +396,33 @@
 
   /** Closes the connection if no request is being answered or read. */
   void closeIfIdle() {
-    if (!answering && collecting == null && partialSinceMillis < 0) {
+    if (!responding && incompleteRequest == null && partialRequestSinceMillis < 0) {
       close();
     }
   }
 
   private void close() {
     closing = true;
-    if (channel != null) {
-      channel.close();
+    if (channelContext != null) {
+      channelContext.close();
     }
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext active) {
-    if (exchange != null) {
-      exchange.callerWritable(active.channel().isWritable());
+    if (currentRequest != null) {
+      currentRequest.onCallerWritabilityChanged(active.channel().isWritable());
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext inactive) {
-    gone = true;
+    disconnected = true;
     closing = true;
-    RoutedRequest open = exchange;
-    exchange = null;
+    RoutedRequest open = currentRequest;
+    currentRequest = null;
     if (open != null) {
-      open.callerGone();
+      open.onCallerDisconnected();
     }
   }
 
--- a/src/main/java/org/curranthaven/internal/relay/ControlRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/ControlRequest.java
@@ -8,7 +8,7 @@
   record Register(BackendRecord backend) implements ControlRequest {}
 
   /** A backend server is gone. */
-  record Withdraw(String id) implements ControlRequest {}
+  record Deregister(String id) implements ControlRequest {}
 
   /** An operator replaces the catalog. */
   @SuppressWarnings("ArrayRecordComponent")
--- a/src/main/java/org/curranthaven/internal/relay/DeferredActions.java
+++ b/src/main/java/org/curranthaven/internal/relay/DeferredActions.java
@@ -12,31 +12,31 @@
  */
 final class DeferredActions {
   private final EventLoop loop;
-  private final Set<Runnable> held = new LinkedHashSet<>();
+  private final Set<Runnable> pending = new LinkedHashSet<>();
 
   DeferredActions(EventLoop loop) {
     this.loop = loop;
   }
 
-  void hold(Runnable action, long mostMillis) {
-    held.add(action);
-    loop.schedule(() -> runIfHeld(action), mostMillis, TimeUnit.MILLISECONDS);
+  void defer(Runnable action, long mostMillis) {
+    pending.add(action);
+    loop.schedule(() -> runIfPending(action), mostMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void runIfHeld(Runnable action) {
-    if (held.remove(action)) {
+  private void runIfPending(Runnable action) {
+    if (pending.remove(action)) {
       action.run();
     }
   }
 
   /** Runs all that wait, in order. */
-  void release() {
-    List<Runnable> ready = List.copyOf(held);
-    held.clear();
+  void runPending() {
+    List<Runnable> ready = List.copyOf(pending);
+    pending.clear();
     ready.forEach(loop::execute);
   }
 
   int size() {
-    return held.size();
+    return pending.size();
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/DrainRules.java
+++ b/src/main/java/org/curranthaven/internal/relay/DrainRules.java
@@ -6,7 +6,7 @@
  */
 final class DrainRules {
   /** Time after the start of a stop in which balancers have not noticed it yet. */
-  static final long UNNOTICED_MILLIS = 2_500;
+  static final long BALANCER_DETECTION_MILLIS = 2_500;
 
   /** Time that must be left once the call's own time is up. */
   private static final long MARGIN_MILLIS = 200;
@@ -20,7 +20,8 @@
    * @param leftMillis time until the process ends
    * @param allowedMillis longest time that the call may take
    */
-  static boolean mayTake(long stoppingMillis, long leftMillis, long allowedMillis) {
-    return stoppingMillis < UNNOTICED_MILLIS || allowedMillis + MARGIN_MILLIS <= leftMillis;
+  static boolean mayAccept(long stoppingMillis, long leftMillis, long allowedMillis) {
+    return stoppingMillis < BALANCER_DETECTION_MILLIS
+        || allowedMillis + MARGIN_MILLIS <= leftMillis;
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/EventSplitter.java
+++ b/src/main/java/org/curranthaven/internal/relay/EventSplitter.java
@@ -11,9 +11,9 @@
  */
 final class EventSplitter {
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
-  private static final int FIRST_BUFFER_BYTES = 1_024;
+  private static final int INITIAL_BUFFER_BYTES = 1_024;
 
-  private byte[] buffer = new byte[FIRST_BUFFER_BYTES];
+  private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
   private int length;
   private int scanned;
 
@@ -36,7 +36,7 @@
     List<Event> events = new ArrayList<>();
     int start = 0;
     for (int i = Math.max(scanned, 1); i < length; i++) {
-      if (i > start && buffer[i] == '\n' && endsLineBefore(i, start)) {
+      if (i > start && buffer[i] == '\n' && isEmptyLine(i, start)) {
         byte[] event = Arrays.copyOfRange(buffer, start, i + 1);
         events.add(new Event(idOf(event), event));
         start = i + 1;
@@ -49,11 +49,11 @@
   }
 
   /** Returns the bytes of the event that is not whole. */
-  byte[] rest() {
+  byte[] remainder() {
     return Arrays.copyOf(buffer, length);
   }
 
-  private boolean endsLineBefore(int newline, int start) {
+  private boolean isEmptyLine(int newline, int start) {
     int previous = buffer[newline - 1] == '\r' ? newline - 2 : newline - 1;
     return previous >= start && buffer[previous] == '\n';
   }
--- a/src/main/java/org/curranthaven/internal/relay/Gateway.java
+++ b/src/main/java/org/curranthaven/internal/relay/Gateway.java
@@ -42,7 +42,7 @@
  */
 public final class Gateway implements PeerListener, RelayContext {
   /** Time after the start of a planned stop for which new connections may still arrive. */
-  private static final long LATE_CONNECTIONS_MILLIS = 3_500;
+  private static final long LATE_CONNECTION_WINDOW_MILLIS = 3_500;
 
   /** Time before the end of a planned stop that is left for the process to end. */
   private static final long EXIT_MARGIN_MILLIS = 300;
@@ -61,14 +61,14 @@
   private final RandomGenerator random;
   private final HostRecord self;
   private final @Nullable RoutedMetrics metrics;
-  private final Set<RoutedRequest> open = new HashSet<>();
-  private final DeferredActions awaitingInformation;
+  private final Set<RoutedRequest> openRequests = new HashSet<>();
+  private final DeferredActions awaitingInitialization;
   private Catalog catalog = Catalog.empty();
-  private volatile long stopBeganMillis;
-  private volatile long stopEndsMillis;
+  private volatile long drainStartMillis;
+  private volatile long drainEndMillis;
   private volatile boolean draining;
-  private volatile int openCalls;
-  private long placements = 1;
+  private volatile int openRequestCount;
+  private long placementCounter = 1;
 
   /** Creates a gateway; it starts with {@link #start}. */
   public Gateway(RoutedSettings settings, WireProtocol protocol, Clock clock) {
@@ -100,8 +100,8 @@
             new RetryLimits(
                 settings.retryRatio(), settings.retrySlack(), settings.retryWindowMillis()),
             network::send,
-            new Views());
-    this.awaitingInformation = new DeferredActions(loop);
+            new SchedulerViewListener());
+    this.awaitingInitialization = new DeferredActions(loop);
     this.pool = new BackendPool(loop, clock, protocol);
     this.server = new RelayServer(group, this);
   }
@@ -114,17 +114,17 @@
     if (ready != null && !ready.isEmpty()) {
       server.listenForReadinessChecks(Addresses.parse(ready), this::isReady);
     }
-    startStatus();
+    startStatusServer();
     Logger.info("{} takes callers at {}", settings.name(), settings.callerAddress());
   }
 
-  private void startStatus() {
+  private void startStatusServer() {
     String address = settings.statusAddress();
     RoutedMetrics shown = metrics;
     if (shown == null || address == null) {
       return;
     }
-    shown.gauge("curranthaven_open_calls", () -> openCalls);
+    shown.gauge("curranthaven_open_calls", () -> openRequestCount);
     shown.gauge("curranthaven_peer_bytes_sent", network::bytesSent);
     try {
       StatusServer.start(Addresses.parse(address), shown, this::dump);
@@ -134,7 +134,7 @@
   }
 
   private boolean isReady() {
-    return !draining && isInformed();
+    return !draining && isInitialized();
   }
 
   /**
@@ -146,54 +146,54 @@
   public int drain() throws InterruptedException {
     long startMillis = clock.nowMillis();
     long endMillis = startMillis + settings.drainMillis() - EXIT_MARGIN_MILLIS;
-    stopBeganMillis = startMillis;
-    stopEndsMillis = endMillis;
+    drainStartMillis = startMillis;
+    drainEndMillis = endMillis;
     draining = true;
-    Logger.info("{} drains {} open calls", settings.name(), openCalls);
+    Logger.info("{} drains {} open calls", settings.name(), openRequestCount);
     boolean idleClosed = false;
     while (clock.nowMillis() < endMillis) {
-      boolean late = clock.nowMillis() - startMillis >= LATE_CONNECTIONS_MILLIS;
+      boolean late = clock.nowMillis() - startMillis >= LATE_CONNECTION_WINDOW_MILLIS;
       if (late && !idleClosed) {
         idleClosed = true;
         loop.execute(server::closeIdleConnections);
-      } else if (late && openCalls == 0) {
+      } else if (late && openRequestCount == 0) {
         break;
       }
       Thread.sleep(DRAIN_POLL_MILLIS);
     }
-    return openCalls;
+    return openRequestCount;
   }
 
   /** What a scheduler tells this gateway. */
-  private final class Views implements SchedulerLink.ViewListener {
+  private final class SchedulerViewListener implements SchedulerLink.ViewListener {
     @Override
     public void catalogReceived(byte[] document) {
       switch (protocol.catalogs().decode(document)) {
         case Outcome.Failed<Catalog> failed ->
             Logger.error("a catalog that was accepted cannot be read: {}", failed.failure());
-        case Outcome.Success<Catalog> success -> install(success.value());
+        case Outcome.Success<Catalog> success -> activateCatalog(success.value());
       }
     }
 
     @Override
     public void backendsChanged(Collection<BackendRecord> backends) {
       pool.retain(backends.stream().map(BackendRecord::getAddress).collect(Collectors.toSet()));
-      runAwaiting();
+      runDeferredActions();
     }
   }
 
-  private void install(Catalog newer) {
+  private void activateCatalog(Catalog newer) {
     if (newer.revision() > catalog.revision()) {
       catalog = newer;
-      link.catalogInForce(newer);
+      link.activateCatalog(newer);
       Logger.info("catalog {} is in force", newer.revision());
-      runAwaiting();
+      runDeferredActions();
     }
   }
 
-  private void runAwaiting() {
-    if (isInformed()) {
-      awaitingInformation.release();
+  private void runDeferredActions() {
+    if (isInitialized()) {
+      awaitingInitialization.runPending();
     }
   }
 
@@ -202,8 +202,8 @@
   @Override
   public void received(HostRecord from, Envelope message) {
     switch (message.getPayloadCase()) {
-      case SCHEDULER_VIEW -> link.received(from.getName(), message.getSchedulerView());
-      case DISPATCH_ORDERS -> link.received(from.getName(), message.getDispatchOrders());
+      case SCHEDULER_VIEW -> link.handle(from.getName(), message.getSchedulerView());
+      case DISPATCH_ORDERS -> link.handle(from.getName(), message.getDispatchOrders());
       case KNOWN_HOSTS -> message.getKnownHosts().getControlAddressesList().forEach(network::learn);
       default -> {}
     }
@@ -258,13 +258,13 @@
   }
 
   @Override
-  public boolean isInformed() {
-    return link.isViewed() && catalog.revision() > 0;
+  public boolean isInitialized() {
+    return link.hasReceivedView() && catalog.revision() > 0;
   }
 
   @Override
-  public void whenInformed(Runnable action, long mostMillis) {
-    awaitingInformation.hold(action, mostMillis);
+  public void whenInitialized(Runnable action, long mostMillis) {
+    awaitingInitialization.defer(action, mostMillis);
   }
 
   @Override
@@ -273,11 +273,11 @@
   }
 
   @Override
-  public boolean mayTake(long allowedMillis) {
+  public boolean mayAccept(long allowedMillis) {
     long nowMillis = clock.nowMillis();
     return !draining
-        || DrainRules.mayTake(
-            nowMillis - stopBeganMillis, stopEndsMillis - nowMillis, allowedMillis);
+        || DrainRules.mayAccept(
+            nowMillis - drainStartMillis, drainEndMillis - nowMillis, allowedMillis);
   }
 
   @Override
@@ -287,35 +287,35 @@
 
   @Override
   public long nextPlacementId() {
-    return placements++;
+    return placementCounter++;
   }
 
   @Override
-  public double draw() {
+  public double nextRandom() {
     return random.nextDouble();
   }
 
   @Override
-  public void opened(RoutedRequest exchange) {
-    open.add(exchange);
-    openCalls = open.size();
+  public void requestOpened(RoutedRequest exchange) {
+    openRequests.add(exchange);
+    openRequestCount = openRequests.size();
   }
 
   @Override
-  public void closed(RoutedRequest exchange) {
-    open.remove(exchange);
-    openCalls = open.size();
+  public void requestClosed(RoutedRequest exchange) {
+    openRequests.remove(exchange);
+    openRequestCount = openRequests.size();
   }
 
   @Override
-  public void measured(Route route, long firstReplyMillis) {
+  public void recordFirstReply(Route route, long firstReplyMillis) {
     if (metrics != null) {
       metrics.firstReply(route.name(), firstReplyMillis);
     }
   }
 
   @Override
-  public void failed(Route route, ResultCode code) {
+  public void recordFailure(Route route, ResultCode code) {
     if (metrics != null) {
       metrics.failed(route.name(), code);
     }
@@ -347,8 +347,8 @@
                 draining,
                 link.scheduler(),
                 catalog.revision(),
-                openCalls,
-                pool.opened(),
+                openRequestCount,
+                pool.connectionsOpened(),
                 link.backendNames(),
                 connectedHosts()));
   }
--- a/src/main/java/org/curranthaven/internal/relay/InboundRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/InboundRequest.java
@@ -22,7 +22,7 @@
  * @param lastEventId event after which the caller wants a stream to go on; empty for all of it
  * @param headers headers that are passed on to the backend server
  * @param body whole body
- * @param keepsConnection whether the caller's connection may be used again
+ * @param keepAlive whether the caller's connection may be used again
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record InboundRequest(
@@ -41,4 +41,4 @@
     String lastEventId,
     HttpHeaders headers,
     byte[] body,
-    boolean keepsConnection) {}
+    boolean keepAlive) {}
--- a/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
@@ -12,37 +12,37 @@
  */
 final class MigrationCoordinator {
   private final RelayContext context;
-  private final InboundRequest call;
+  private final InboundRequest request;
   private final Route route;
   private final @Nullable EngineCapabilities engine;
   private final Owner owner;
-  private @Nullable StateTransfer handover;
-  private boolean takingOver;
-  private String copyName = "";
+  private @Nullable StateTransfer transfer;
+  private boolean resuming;
+  private String stateReference = "";
 
   /** Engine that keeps the stopped run if the other one does not take it over. */
-  private String otherwise = "";
+  private String fallbackBackend = "";
 
   /** Is told where the run goes on. */
   interface Owner {
     /** Returns whether the call is over, so that nothing goes on. */
-    boolean isOver();
+    boolean isFinished();
 
     /** The run goes on where it is. */
-    void stays();
+    void onMigrationFailed();
 
     /**
      * The run goes on at another engine.
      *
      * @param newBackup backend server that keeps a copy of it from then on; empty for none
      */
-    void goesOnAt(BackendRecord to, String newBackup);
+    void onMigrated(BackendRecord to, String newBackup);
 
     /** The call is to be sent to an engine that takes the named copy over. */
-    void sendTo(BackendRecord to, String copyName);
+    void resumeAt(BackendRecord to, String copyName);
 
     /** The run is over, and nothing is left to go on from. */
-    void lost(String reason);
+    void onStateLost(String reason);
   }
 
   MigrationCoordinator(
@@ -52,30 +52,30 @@
       @Nullable EngineCapabilities engine,
       Owner owner) {
     this.context = context;
-    this.call = call;
+    this.request = call;
     this.route = route;
     this.engine = engine;
     this.owner = owner;
   }
 
-  boolean isMoving() {
-    return handover != null;
+  boolean isMigrating() {
+    return transfer != null;
   }
 
   /** Begins to move the run to another engine. */
-  void move(Attempt running, BackendRecord target, String newBackup, String backup) {
-    handover =
+  void migrate(Attempt running, BackendRecord target, String newBackup, String backup) {
+    transfer =
         new StateTransfer(
             context,
-            call,
+            request,
             running.backend(),
             target,
-            new MoveEnd(running, newBackup, mayRescue(backup) ? backup : ""));
-    handover.start();
+            new MigrationTransferListener(running, newBackup, mayHaveBackup(backup) ? backup : ""));
+    transfer.start();
   }
 
   /** Returns whether a run that breaks off may have left a copy to go on from. */
-  boolean mayRescue(String backup) {
+  boolean mayHaveBackup(String backup) {
     return engine != null && engine.moves() && !route.isRepeatable() && !backup.isEmpty();
   }
 
@@ -84,123 +84,130 @@
    *
    * @param backup backend server that keeps a copy of the run; empty for none
    */
-  boolean goesOnAfter(Attempt ended, AttemptResult result, String backup) {
-    if (handover != null && result instanceof AttemptResult.Broken) {
-      handover.sourceEnded();
+  boolean continuesAfter(Attempt ended, AttemptResult result, String backup) {
+    if (transfer != null && result instanceof AttemptResult.Interrupted) {
+      transfer.sourceEnded();
       return true;
     }
-    boolean taking = takingOver;
-    takingOver = false;
+    boolean taking = resuming;
+    resuming = false;
     boolean refusedThere =
         result instanceof AttemptResult.NotRun || result instanceof AttemptResult.Unreachable;
     if (taking && refusedThere) {
-      goOnOtherwise();
+      resumeAtFallback();
       return true;
     }
-    if (result instanceof AttemptResult.Broken && !taking && mayRescue(backup)) {
-      rescue(ended, backup);
+    if (result instanceof AttemptResult.Interrupted && !taking && mayHaveBackup(backup)) {
+      resumeFromBackup(ended, backup);
       return true;
     }
     return false;
   }
 
-  private void goOnOtherwise() {
-    BackendRecord stopped = context.backend(otherwise);
-    otherwise = "";
+  private void resumeAtFallback() {
+    BackendRecord stopped = context.backend(fallbackBackend);
+    fallbackBackend = "";
     if (stopped == null) {
-      owner.lost("the moved run could not go on");
+      owner.onStateLost("the moved run could not go on");
       return;
     }
-    takingOver = true;
-    owner.sendTo(stopped, copyName);
+    resuming = true;
+    owner.resumeAt(stopped, stateReference);
   }
 
   /** Has a run whose connection broke stopped for certain, and goes on from what is left of it. */
-  private void rescue(Attempt broken, String backup) {
+  private void resumeFromBackup(Attempt broken, String backup) {
     BackendRecord keeper = context.backend(backup);
     if (keeper == null) {
-      owner.lost("the run broke off and so did its copy");
+      owner.onStateLost("the run broke off and so did its copy");
       return;
     }
-    Logger.info("call {} of {} broke off at {}", call.id(), route.name(), broken.backend().getId());
-    handover =
-        new StateTransfer(context, call, broken.backend(), keeper, new RescueEnd(broken, keeper));
-    handover.startStopped();
+    Logger.info(
+        "call {} of {} broke off at {}", request.id(), route.name(), broken.backend().getId());
+    transfer =
+        new StateTransfer(
+            context,
+            request,
+            broken.backend(),
+            keeper,
+            new RecoveryTransferListener(broken, keeper));
+    transfer.startWithEndedSource();
   }
 
   /** Goes on where a handover led to. */
-  private final class MoveEnd implements StateTransfer.Owner {
+  private final class MigrationTransferListener implements StateTransfer.Listener {
     private final Attempt source;
     private final String newBackup;
     private final String backup;
 
-    MoveEnd(Attempt source, String newBackup, String backup) {
+    MigrationTransferListener(Attempt source, String newBackup, String backup) {
       this.source = source;
       this.newBackup = newBackup;
       this.backup = backup;
     }
 
     @Override
-    public void notMoved(boolean sourceEnded) {
-      handover = null;
-      if (owner.isOver()) {
+    public void onTransferFailed(boolean sourceEnded) {
+      transfer = null;
+      if (owner.isFinished()) {
         return;
       }
-      Logger.info("call {} of {} stays at {}", call.id(), route.name(), source.backend().getId());
+      Logger.info(
+          "call {} of {} stays at {}", request.id(), route.name(), source.backend().getId());
       if (sourceEnded && !backup.isEmpty()) {
-        rescue(source, backup);
+        resumeFromBackup(source, backup);
       } else if (sourceEnded) {
-        owner.lost("the run stopped and could not be moved");
+        owner.onStateLost("the run stopped and could not be moved");
       } else {
-        owner.stays();
+        owner.onMigrationFailed();
       }
     }
 
     @Override
-    public void moved(BackendRecord to, String copy) {
-      goOn(source, to, copy, source.backend().getId(), newBackup);
+    public void onTransferred(BackendRecord to, String copy) {
+      resumeAtTarget(source, to, copy, source.backend().getId(), newBackup);
     }
   }
 
   /** Goes on from the copy where the run itself could not be had any more. */
-  private final class RescueEnd implements StateTransfer.Owner {
-    private final Attempt broken;
-    private final BackendRecord keeper;
+  private final class RecoveryTransferListener implements StateTransfer.Listener {
+    private final Attempt interrupted;
+    private final BackendRecord backupBackend;
 
-    RescueEnd(Attempt broken, BackendRecord keeper) {
-      this.broken = broken;
-      this.keeper = keeper;
+    RecoveryTransferListener(Attempt broken, BackendRecord keeper) {
+      this.interrupted = broken;
+      this.backupBackend = keeper;
     }
 
     @Override
-    public void notMoved(boolean sourceEnded) {
-      moved(keeper, context.protocol().copyName(keeper, call.id()));
+    public void onTransferFailed(boolean sourceEnded) {
+      onTransferred(backupBackend, context.protocol().stateReference(backupBackend, request.id()));
     }
 
     @Override
-    public void moved(BackendRecord to, String copy) {
-      goOn(broken, to, copy, "", "");
+    public void onTransferred(BackendRecord to, String copy) {
+      resumeAtTarget(interrupted, to, copy, "", "");
     }
   }
 
   /** Sends the call to an engine that takes the running request over. */
-  private void goOn(
+  private void resumeAtTarget(
       Attempt source, BackendRecord to, String copy, String elsewhere, String newBackup) {
-    handover = null;
-    if (owner.isOver()) {
+    transfer = null;
+    if (owner.isFinished()) {
       return;
     }
     source.cancel();
-    takingOver = true;
-    otherwise = elsewhere;
-    copyName = copy;
+    resuming = true;
+    fallbackBackend = elsewhere;
+    stateReference = copy;
     Logger.info(
         "call {} of {} moves from {} to {}",
-        call.id(),
+        request.id(),
         route.name(),
         source.backend().getId(),
         to.getId());
-    owner.goesOnAt(to, newBackup);
-    owner.sendTo(to, copy);
+    owner.onMigrated(to, newBackup);
+    owner.resumeAt(to, copy);
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/RelayContext.java
+++ b/src/main/java/org/curranthaven/internal/relay/RelayContext.java
@@ -26,10 +26,10 @@
   Catalog catalog();
 
   /** Returns whether the gateway knows enough to serve. */
-  boolean isInformed();
+  boolean isInitialized();
 
   /** Runs an action once the gateway knows enough to serve, or after the time all the same. */
-  void whenInformed(Runnable action, long mostMillis);
+  void whenInitialized(Runnable action, long mostMillis);
 
   /** Returns whether the gateway is being stopped. */
   boolean isDraining();
@@ -39,7 +39,7 @@
    *
    * @param allowedMillis longest time that the call may take
    */
-  boolean mayTake(long allowedMillis);
+  boolean mayAccept(long allowedMillis);
 
   /** Returns the backend server of the name, or null if it is gone. */
   @Nullable BackendRecord backend(String id);
@@ -48,17 +48,17 @@
   long nextPlacementId();
 
   /** Returns a number from 0 to 1 for a call's choice of service. */
-  double draw();
+  double nextRandom();
 
   /** Notes that a call has begun. */
-  void opened(RoutedRequest exchange);
+  void requestOpened(RoutedRequest exchange);
 
   /** Notes that a call is over. */
-  void closed(RoutedRequest exchange);
+  void requestClosed(RoutedRequest exchange);
 
   /** Counts a first reply. */
-  void measured(Route route, long firstReplyMillis);
+  void recordFirstReply(Route route, long firstReplyMillis);
 
   /** Counts a failure. */
-  void failed(Route route, ResultCode code);
+  void recordFailure(Route route, ResultCode code);
 }
--- a/src/main/java/org/curranthaven/internal/relay/RelayServer.java
+++ b/src/main/java/org/curranthaven/internal/relay/RelayServer.java
@@ -26,7 +26,7 @@
 
 /** Listens for callers and for the balancer's readiness checks. */
 final class RelayServer {
-  private static final int MAX_LINE_BYTES = 16_384;
+  private static final int MAX_REQUEST_LINE_BYTES = 16_384;
   private static final int MAX_HEADER_BYTES = 65_536;
   private static final int BACKLOG = 1_024;
   private static final int OK = 200;
@@ -58,7 +58,7 @@
     channel.closeFuture().addListener(closed -> connections.remove(connection));
     channel
         .pipeline()
-        .addLast(new ByteWatch(connection))
+        .addLast(new ByteArrivalHandler(connection))
         .addLast(new StrictRequestDecoder(), new HttpResponseEncoder(), connection);
   }
 
@@ -72,7 +72,9 @@
             channel
                 .pipeline()
                 .addLast(
-                    new StrictRequestDecoder(), new HttpResponseEncoder(), new ReadyAnswer(ready));
+                    new StrictRequestDecoder(),
+                    new HttpResponseEncoder(),
+                    new ReadinessHandler(ready));
           }
         });
   }
@@ -100,7 +102,7 @@
     StrictRequestDecoder() {
       super(
           new HttpDecoderConfig()
-              .setMaxInitialLineLength(MAX_LINE_BYTES)
+              .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
               .setMaxHeaderSize(MAX_HEADER_BYTES)
               .setStrictLineParsing(true));
     }
@@ -112,25 +114,25 @@
   }
 
   /** Tells a connection that bytes arrived, before it is known what they are. */
-  private static final class ByteWatch extends ChannelInboundHandlerAdapter {
+  private static final class ByteArrivalHandler extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
-    ByteWatch(CallerConnection connection) {
+    ByteArrivalHandler(CallerConnection connection) {
       this.connection = connection;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-      connection.bytesArrived();
+      connection.onBytesReceived();
       context.fireChannelRead(message);
     }
   }
 
   /** Answers readiness checks. */
-  private final class ReadyAnswer extends ChannelInboundHandlerAdapter {
+  private final class ReadinessHandler extends ChannelInboundHandlerAdapter {
     private final BooleanSupplier ready;
 
-    ReadyAnswer(BooleanSupplier ready) {
+    ReadinessHandler(BooleanSupplier ready) {
       this.ready = ready;
     }
 
--- a/src/main/java/org/curranthaven/internal/relay/RequestProgress.java
+++ b/src/main/java/org/curranthaven/internal/relay/RequestProgress.java
@@ -12,12 +12,12 @@
   private final long arrivedAtMillis;
   private final int tokensPerEvent;
   private String lastEventId;
-  private int events;
+  private int eventCount;
   private long sentAtMillis;
   private long firstReplyAtMillis;
   private long lastReplyAtMillis;
   private long longestPauseMillis;
-  private int moves;
+  private int migrations;
 
   /**
    * Begins with a call's arrival.
@@ -40,23 +40,23 @@
   }
 
   int outputTokens() {
-    return events * tokensPerEvent;
+    return eventCount * tokensPerEvent;
   }
 
   /** Notes that the call was sent to a backend server. */
-  void sent(long nowMillis) {
+  void recordSent(long nowMillis) {
     if (sentAtMillis == 0) {
       sentAtMillis = nowMillis;
     }
     lastReplyAtMillis = nowMillis;
   }
 
-  void moved() {
-    moves++;
+  void recordMigration() {
+    migrations++;
   }
 
   /** Notes that a part of the answer came. */
-  void replied(long nowMillis) {
+  void recordReply(long nowMillis) {
     if (firstReplyAtMillis == 0) {
       firstReplyAtMillis = nowMillis;
     } else {
@@ -71,14 +71,14 @@
   }
 
   /** Notes an event; returns whether the caller does not have it yet. */
-  boolean isNew(EventSplitter.Event event) {
+  boolean recordIfNew(EventSplitter.Event event) {
     if (event.id().isEmpty()) {
       return true;
     }
     boolean repeated = !lastEventId.isEmpty() && compareIds(event.id(), lastEventId) <= 0;
     if (!repeated) {
       lastEventId = event.id();
-      events++;
+      eventCount++;
     }
     return !repeated;
   }
@@ -102,7 +102,7 @@
   }
 
   /** Returns where the time went, for a log line. */
-  String times() {
+  String timingSummary() {
     long waited = sentAtMillis == 0 ? 0 : sentAtMillis - arrivedAtMillis;
     return String.format(
         "first reply after %d ms (due after %d), %d of them waiting; longest pause %d ms (at most"
@@ -112,7 +112,7 @@
         waited,
         longestPauseMillis,
         route.gapTargetMillis(),
-        moves,
+        migrations,
         outputTokens());
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/ResponseHead.java
+++ b/src/main/java/org/curranthaven/internal/relay/ResponseHead.java
@@ -10,7 +10,7 @@
  * @param misdirected whether another backend server than the one expected has the address
  * @param eventStream whether the body is a series of events
  * @param keepAliveMillis how long the connection may stay idle; 0 when the answer does not tell
- * @param closes whether the connection ends with the answer
+ * @param closesConnection whether the connection ends with the answer
  */
 public record ResponseHead(
     int status,
@@ -20,7 +20,7 @@
     boolean misdirected,
     boolean eventStream,
     long keepAliveMillis,
-    boolean closes) {
+    boolean closesConnection) {
   /** Returns whether the answer is a success. */
   public boolean isSuccess() {
     return status >= 200 && status < 300;
--- a/src/main/java/org/curranthaven/internal/relay/RetryDecision.java
+++ b/src/main/java/org/curranthaven/internal/relay/RetryDecision.java
@@ -8,7 +8,7 @@
   record Deliver() implements RetryDecision {}
 
   /** Another backend server gets the call. */
-  record SendAgain() implements RetryDecision {}
+  record Retry() implements RetryDecision {}
 
   /** The caller is told that the call failed. */
   record Fail(ResultCode code) implements RetryDecision {}
--- a/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
@@ -23,48 +23,48 @@
  * route allows that, and relays the answer. Used on the event loop only.
  */
 final class RoutedRequest
-    implements RequestPlacer.PlacementListener, Attempt.Owner, MigrationCoordinator.Owner {
+    implements RequestPlacer.PlacementListener, Attempt.Listener, MigrationCoordinator.Owner {
   /** Time left below which a call is not sent any more. */
-  private static final long MIN_SEND_MILLIS = 5;
+  private static final long MIN_ATTEMPT_MILLIS = 5;
 
-  private static final long RETRY_SOON_MILLIS = 500;
+  private static final long RETRY_AFTER_MILLIS = 500;
 
   /** Idle time of a connection above which it is not used for a call that may not run twice. */
-  private static final long UNREPEATABLE_IDLE_MILLIS = 250;
+  private static final long UNREPEATABLE_MAX_IDLE_MILLIS = 250;
 
   /** Shortest silence after which a call is given up at a backend server. */
-  private static final long MIN_SILENCE_MILLIS = 600;
+  private static final long MIN_RESPONSE_TIMEOUT_MILLIS = 600;
 
   /** Pause of a stream after which its engine is taken for lost: many times an ordinary one. */
-  private static final long STREAM_SILENCE_MILLIS = 1_500;
+  private static final long STREAM_STALL_TIMEOUT_MILLIS = 1_500;
 
-  private static final long MIN_CHECK_MILLIS = 100;
+  private static final long MIN_CHECK_INTERVAL_MILLIS = 100;
   private static final int DEFAULT_TOKENS_PER_EVENT = 1;
 
   private final RelayContext context;
   private final CallerConnection caller;
-  private final InboundRequest call;
+  private final InboundRequest request;
   private final Route route;
   private final ServiceSpec service;
   private final String workspace;
   private final int priority;
-  private final long endsAtMillis;
-  private final ScheduledFuture<?> timeout;
+  private final long deadlineAtMillis;
+  private final ScheduledFuture<?> deadlineTimer;
   private final RequestProgress progress;
-  private final MigrationCoordinator moves;
-  private final Set<String> excluded = new LinkedHashSet<>();
+  private final MigrationCoordinator migration;
+  private final Set<String> excludedBackends = new LinkedHashSet<>();
   private long placementId;
-  private @Nullable PlacementRequest ask;
+  private @Nullable PlacementRequest pendingPlacement;
   private @Nullable Attempt attempt;
-  private AttemptResult.@Nullable Answered lastAnswer;
+  private AttemptResult.@Nullable Completed lastFailedResponse;
   private String backend = "";
   private String backup = "";
   private int urgency;
-  private int runs;
-  private int sends;
-  private boolean started;
+  private int executionCount;
+  private int attemptCount;
+  private boolean streamStarted;
   private boolean placed;
-  private boolean done;
+  private boolean finished;
 
   RoutedRequest(
       RelayContext context,
@@ -78,27 +78,27 @@
       int priority) {
     this.context = context;
     this.caller = caller;
-    this.call = call;
+    this.request = call;
     this.route = route;
     this.service = service;
     this.workspace = workspace;
     this.priority = priority;
     EngineCapabilities engine = service.engine();
     int tokensPerEvent = engine == null ? DEFAULT_TOKENS_PER_EVENT : engine.tokensPerEvent();
-    this.moves = new MigrationCoordinator(context, call, route, engine, this);
+    this.migration = new MigrationCoordinator(context, call, route, engine, this);
     this.progress = new RequestProgress(route, tokensPerEvent, call.lastEventId(), arrivedAtMillis);
-    this.endsAtMillis = arrivedAtMillis + allowedMillis;
-    long left = Math.max(0, endsAtMillis - context.clock().nowMillis());
-    this.timeout = context.loop().schedule(this::timeUp, left, TimeUnit.MILLISECONDS);
+    this.deadlineAtMillis = arrivedAtMillis + allowedMillis;
+    long left = Math.max(0, deadlineAtMillis - context.clock().nowMillis());
+    this.deadlineTimer = context.loop().schedule(this::onDeadline, left, TimeUnit.MILLISECONDS);
   }
 
   void start() {
-    askForPlace(false);
+    requestPlacement(false);
   }
 
   // ---- placing ----------------------------------------------------------------------------------
 
-  private void askForPlace(boolean repeat) {
+  private void requestPlacement(boolean repeat) {
     long nowMillis = context.clock().nowMillis();
     EngineCapabilities engine = service.engine();
     placementId = context.nextPlacementId();
@@ -109,21 +109,21 @@
             .setRoute(route.name())
             .setWorkspace(workspace)
             .setPriority(priority)
-            .setPromptTokens(call.promptTokens() + outputTokens())
-            .setMaxOutputTokens(Math.max(0, call.maxOutputTokens() - outputTokens()))
-            .setHintedOutputTokens(Math.max(0, call.hintedOutputTokens() - outputTokens()))
+            .setPromptTokens(request.promptTokens() + outputTokens())
+            .setMaxOutputTokens(Math.max(0, request.maxOutputTokens() - outputTokens()))
+            .setHintedOutputTokens(Math.max(0, request.hintedOutputTokens() - outputTokens()))
             .setTargetLeftMillis(progress.arrivedAtMillis() + route.targetMillis() - nowMillis)
-            .setDeadlineLeftMillis(endsAtMillis - nowMillis)
-            .addAllExcluded(excluded)
+            .setDeadlineLeftMillis(deadlineAtMillis - nowMillis)
+            .addAllExcluded(excludedBackends)
             .setRepeat(repeat)
             .setDataCentre(context.dataCentre())
             .setEngine(engine != null)
             .setIrreplaceable(engine != null && !route.isRepeatable());
     if (engine != null) {
-      builder.addAllParts(call.parts());
+      builder.addAllParts(request.parts());
     }
     PlacementRequest built = builder.build();
-    ask = built;
+    pendingPlacement = built;
     placed = false;
     backend = "";
     context.placer().requestPlacement(built, this);
@@ -131,7 +131,7 @@
 
   @Override
   public PlacementRequest placementRequest() {
-    return ask == null ? PlacementRequest.getDefaultInstance() : ask;
+    return pendingPlacement == null ? PlacementRequest.getDefaultInstance() : pendingPlacement;
   }
 
   @Override
@@ -147,8 +147,8 @@
   @Override
   public void onPlaced(String backendId, int newUrgency, String backupId) {
     BackendRecord record = context.backend(backendId);
-    long left = endsAtMillis - context.clock().nowMillis();
-    if (done || left < MIN_SEND_MILLIS) {
+    long left = deadlineAtMillis - context.clock().nowMillis();
+    if (finished || left < MIN_ATTEMPT_MILLIS) {
       context.placer().reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0);
       return;
     }
@@ -157,31 +157,31 @@
     urgency = newUrgency;
     backup = backupId;
     if (record == null) {
-      sends++;
-      afterAttempt(new AttemptResult.Unreachable("the backend server is gone"));
+      attemptCount++;
+      handleResult(new AttemptResult.Unreachable("the backend server is gone"));
       return;
     }
     Logger.info(
         "call {} of {} goes to {}, try {}, copy at {}",
-        call.id(),
+        request.id(),
         route.name(),
         backendId,
-        sends + 1,
+        attemptCount + 1,
         backupId.isEmpty() ? "none" : backupId);
     send(record, "");
   }
 
   private void send(BackendRecord record, String takeOverFrom) {
-    sends++;
+    attemptCount++;
     BackendRecord keeper = context.backend(backup);
     Attempt next = new Attempt(record, this);
     attempt = next;
     BackendRequest backendCall =
         new BackendRequest(
-            call,
+            request,
             record,
             workspace,
-            Math.max(1, endsAtMillis - context.clock().nowMillis()),
+            Math.max(1, deadlineAtMillis - context.clock().nowMillis()),
             service.engine() == null ? -1 : urgency,
             progress.lastEventId(),
             takeOverFrom,
@@ -189,60 +189,64 @@
     next.start(
         context.pool(),
         context.protocol().backendRequest(backendCall),
-        call.id(),
-        route.isRepeatable() ? Long.MAX_VALUE : UNREPEATABLE_IDLE_MILLIS);
-    progress.sent(context.clock().nowMillis());
-    watchForSilence(next);
+        request.id(),
+        route.isRepeatable() ? Long.MAX_VALUE : UNREPEATABLE_MAX_IDLE_MILLIS);
+    progress.recordSent(context.clock().nowMillis());
+    scheduleResponseCheck(next);
   }
 
   /**
    * Watches a backend server that may be gone without a sign: a call that may run again is given up
    * there once its target is missed; a stream of which a copy is kept, after a long pause.
    */
-  private void watchForSilence(Attempt watched) {
-    if (route.isRepeatable() && runs + 1 < route.attempts()) {
-      long wait = Math.max(MIN_SILENCE_MILLIS, route.targetMillis());
-      context.loop().schedule(() -> giveUpIfUnheard(watched), wait, TimeUnit.MILLISECONDS);
-    } else if (moves.mayRescue(backup)) {
+  private void scheduleResponseCheck(Attempt watched) {
+    if (route.isRepeatable() && executionCount + 1 < route.attempts()) {
+      long wait = Math.max(MIN_RESPONSE_TIMEOUT_MILLIS, route.targetMillis());
+      context.loop().schedule(() -> abandonIfUnresponsive(watched), wait, TimeUnit.MILLISECONDS);
+    } else if (migration.mayHaveBackup(backup)) {
       context
           .loop()
-          .schedule(() -> giveUpIfPaused(watched), STREAM_SILENCE_MILLIS, TimeUnit.MILLISECONDS);
+          .schedule(
+              () -> abandonIfStalled(watched), STREAM_STALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void giveUpIfUnheard(Attempt watched) {
-    if (!done && watched == attempt && !watched.isHeard()) {
-      watched.giveUpSilent();
+  private void abandonIfUnresponsive(Attempt watched) {
+    if (!finished && watched == attempt && !watched.hasReceivedResponse()) {
+      watched.abandonUnresponsive();
     }
   }
 
-  private void giveUpIfPaused(Attempt watched) {
-    if (done || watched != attempt || moves.isMoving()) {
+  private void abandonIfStalled(Attempt watched) {
+    if (finished || watched != attempt || migration.isMigrating()) {
       return;
     }
     long pauseMillis = progress.pauseMillis(context.clock().nowMillis());
-    if (started && caller.isWritable() && pauseMillis >= STREAM_SILENCE_MILLIS) {
-      watched.giveUpSilent();
+    if (streamStarted && caller.isWritable() && pauseMillis >= STREAM_STALL_TIMEOUT_MILLIS) {
+      watched.abandonUnresponsive();
       return;
     }
-    long next = started ? STREAM_SILENCE_MILLIS - pauseMillis : STREAM_SILENCE_MILLIS;
+    long next =
+        streamStarted ? STREAM_STALL_TIMEOUT_MILLIS - pauseMillis : STREAM_STALL_TIMEOUT_MILLIS;
     context
         .loop()
         .schedule(
-            () -> giveUpIfPaused(watched), Math.max(MIN_CHECK_MILLIS, next), TimeUnit.MILLISECONDS);
+            () -> abandonIfStalled(watched),
+            Math.max(MIN_CHECK_INTERVAL_MILLIS, next),
+            TimeUnit.MILLISECONDS);
   }
 
   @Override
   public void onRejected(long retryAfterMillis, String reason) {
-    if (done) {
+    if (finished) {
       return;
     }
-    if (lastAnswer != null) {
+    if (lastFailedResponse != null) {
       // A backend server's own failure says more than the lack of another one.
-      deliver(lastAnswer);
+      deliver(lastFailedResponse);
       return;
     }
-    if (runs > 0) {
+    if (executionCount > 0) {
       fail(ResultCode.BACKEND_FAILED, "it may not be sent again (" + reason + ")", 0);
       return;
     }
@@ -252,19 +256,19 @@
   // ---- answers ----------------------------------------------------------------------------------
 
   @Override
-  public void events(Attempt from, HttpResponse response, List<EventSplitter.Event> newEvents) {
-    if (done || from != attempt) {
+  public void onEvents(Attempt from, HttpResponse response, List<EventSplitter.Event> newEvents) {
+    if (finished || from != attempt) {
       return;
     }
-    progress.replied(context.clock().nowMillis());
-    if (!started) {
-      started = true;
+    progress.recordReply(context.clock().nowMillis());
+    if (!streamStarted) {
+      streamStarted = true;
       caller.startStream(response);
-      context.measured(route, progress.firstReplyMillis());
+      context.recordFirstReply(route, progress.firstReplyMillis());
     }
     boolean first = outputTokens() == 0;
     for (EventSplitter.Event event : newEvents) {
-      if (progress.isNew(event)) {
+      if (progress.recordIfNew(event)) {
         caller.writeStream(event.bytes());
       }
     }
@@ -275,44 +279,45 @@
   }
 
   /** Called when the caller's connection takes more bytes, or none for the moment. */
-  void callerWritable(boolean writable) {
+  void onCallerWritabilityChanged(boolean writable) {
     if (attempt != null) {
       attempt.setReading(writable);
     }
   }
 
   @Override
-  public void ended(Attempt from, AttemptResult result) {
-    if (done || from != attempt) {
+  public void onEnded(Attempt from, AttemptResult result) {
+    if (finished || from != attempt) {
       return;
     }
-    if (!moves.goesOnAfter(from, result, backup)) {
-      afterAttempt(result);
+    if (!migration.continuesAfter(from, result, backup)) {
+      handleResult(result);
     }
   }
 
-  private void afterAttempt(AttemptResult result) {
-    if (result instanceof AttemptResult.Answered || result instanceof AttemptResult.Broken) {
-      runs++;
+  private void handleResult(AttemptResult result) {
+    if (result instanceof AttemptResult.Completed || result instanceof AttemptResult.Interrupted) {
+      executionCount++;
     }
-    RetryDecision step = RetryRules.after(result, route, runs, sends, started);
+    RetryDecision step =
+        RetryRules.decide(result, route, executionCount, attemptCount, streamStarted);
     reportEnd(result, step);
     attempt = null;
     switch (step) {
       case RetryDecision.Deliver ignored -> {
-        if (result instanceof AttemptResult.Answered answer) {
+        if (result instanceof AttemptResult.Completed answer) {
           deliver(answer);
         }
       }
-      case RetryDecision.SendAgain ignored -> {
-        if (result instanceof AttemptResult.Answered answer) {
-          lastAnswer = answer;
+      case RetryDecision.Retry ignored -> {
+        if (result instanceof AttemptResult.Completed answer) {
+          lastFailedResponse = answer;
         }
-        excluded.add(backend);
+        excludedBackends.add(backend);
         // A backend server that was never reached has not been asked.
-        askForPlace(!(result instanceof AttemptResult.Unreachable) || runs > 0);
+        requestPlacement(!(result instanceof AttemptResult.Unreachable) || executionCount > 0);
       }
-      case RetryDecision.Fail failure -> fail(failure.code(), describe(result), RETRY_SOON_MILLIS);
+      case RetryDecision.Fail failure -> fail(failure.code(), describe(result), RETRY_AFTER_MILLIS);
     }
   }
 
@@ -328,17 +333,17 @@
               notRun.head().misdirected()
                   ? DispatchOutcome.DISPATCH_OUTCOME_UNREACHABLE
                   : DispatchOutcome.DISPATCH_OUTCOME_REJECTED;
-          case AttemptResult.Broken ignored -> DispatchOutcome.DISPATCH_OUTCOME_FAILED;
-          case AttemptResult.Answered answer ->
+          case AttemptResult.Interrupted ignored -> DispatchOutcome.DISPATCH_OUTCOME_FAILED;
+          case AttemptResult.Completed answer ->
               answer.head().status() >= 500
                   ? DispatchOutcome.DISPATCH_OUTCOME_FAILED
                   : DispatchOutcome.DISPATCH_OUTCOME_ANSWERED;
         };
     context.placer().reportEnd(placementId, outcome, outputTokens());
-    if (!(result instanceof AttemptResult.Answered) || step instanceof RetryDecision.SendAgain) {
+    if (!(result instanceof AttemptResult.Completed) || step instanceof RetryDecision.Retry) {
       Logger.info(
           "call {} of {} at {}: {}; next: {}",
-          call.id(),
+          request.id(),
           route.name(),
           backend,
           describe(result),
@@ -349,18 +354,18 @@
   private static String describe(AttemptResult result) {
     return switch (result) {
       case AttemptResult.Unreachable unreachable -> unreachable.reason();
-      case AttemptResult.Broken broken -> broken.reason();
+      case AttemptResult.Interrupted broken -> broken.reason();
       case AttemptResult.NotRun notRun ->
           "the backend server turned it away with status " + notRun.head().status();
-      case AttemptResult.Answered answer -> "status " + answer.head().status();
+      case AttemptResult.Completed answer -> "status " + answer.head().status();
     };
   }
 
-  private void deliver(AttemptResult.Answered answer) {
-    if (!started) {
-      progress.replied(context.clock().nowMillis());
+  private void deliver(AttemptResult.Completed answer) {
+    if (!streamStarted) {
+      progress.recordReply(context.clock().nowMillis());
       finish();
-      context.measured(route, progress.firstReplyMillis());
+      context.recordFirstReply(route, progress.firstReplyMillis());
       caller.respond(answer.response(), answer.body());
       return;
     }
@@ -377,36 +382,36 @@
 
   private void fail(ResultCode code, String message, long retryAfterMillis) {
     finish();
-    context.failed(route, code);
-    Logger.info("call {} of {} failed with {}: {}", call.id(), route.name(), code, message);
-    if (started) {
+    context.recordFailure(route, code);
+    Logger.info("call {} of {} failed with {}: {}", request.id(), route.name(), code, message);
+    if (streamStarted) {
       caller.abort();
     } else {
       caller.fail(Failure.retryLater(code, message, retryAfterMillis));
     }
   }
 
-  private void timeUp() {
-    if (done) {
+  private void onDeadline() {
+    if (finished) {
       return;
     }
-    boolean mayHaveRun = runs > 0 || (attempt != null && attempt.wasSent());
-    stop();
+    boolean mayHaveRun = executionCount > 0 || (attempt != null && attempt.wasSent());
+    cancelAttempt();
     fail(
         mayHaveRun ? ResultCode.DEADLINE_PASSED : ResultCode.SHED,
         "its time was up",
-        mayHaveRun ? 0 : RETRY_SOON_MILLIS);
+        mayHaveRun ? 0 : RETRY_AFTER_MILLIS);
   }
 
   /** Called when the caller has gone. */
-  void callerGone() {
-    if (!done) {
-      stop();
+  void onCallerDisconnected() {
+    if (!finished) {
+      cancelAttempt();
       finish();
     }
   }
 
-  private void stop() {
+  private void cancelAttempt() {
     if (attempt != null) {
       attempt.cancel();
       attempt = null;
@@ -418,12 +423,13 @@
   }
 
   private void finish() {
-    if (!done) {
-      done = true;
-      timeout.cancel(false);
-      context.closed(this);
+    if (!finished) {
+      finished = true;
+      deadlineTimer.cancel(false);
+      context.requestClosed(this);
       if (progress.isLate()) {
-        Logger.info("call {} of {} was late: {}", call.id(), route.name(), progress.times());
+        Logger.info(
+            "call {} of {} was late: {}", request.id(), route.name(), progress.timingSummary());
       }
     }
   }
@@ -434,29 +440,34 @@
   public void onMigrate(String target, String newBackup) {
     Attempt running = attempt;
     BackendRecord record = context.backend(target);
-    if (done || !placed || !started || running == null || record == null || moves.isMoving()) {
-      if (!done && placed) {
-        stays();
+    if (finished
+        || !placed
+        || !streamStarted
+        || running == null
+        || record == null
+        || migration.isMigrating()) {
+      if (!finished && placed) {
+        onMigrationFailed();
       }
       return;
     }
-    moves.move(running, record, newBackup, backup);
+    migration.migrate(running, record, newBackup, backup);
   }
 
   @Override
-  public boolean isOver() {
-    return done;
+  public boolean isFinished() {
+    return finished;
   }
 
   @Override
-  public void stays() {
+  public void onMigrationFailed() {
     context.placer().reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_MOVE_FAILED, 0);
   }
 
   @Override
-  public void goesOnAt(BackendRecord to, String newBackup) {
+  public void onMigrated(BackendRecord to, String newBackup) {
     backup = newBackup;
-    progress.moved();
+    progress.recordMigration();
     if (!to.getId().equals(backend)) {
       backend = to.getId();
       context
@@ -466,18 +477,18 @@
   }
 
   @Override
-  public void sendTo(BackendRecord to, String copyName) {
+  public void resumeAt(BackendRecord to, String copyName) {
     send(to, copyName);
   }
 
   @Override
-  public void lost(String reason) {
-    afterAttempt(new AttemptResult.Broken(reason));
+  public void onStateLost(String reason) {
+    handleResult(new AttemptResult.Interrupted(reason));
   }
 
   /** Returns whether the call is a stream that has begun. */
   boolean isStreaming() {
-    return started && route.kind() == Repeatability.STREAM;
+    return streamStarted && route.kind() == Repeatability.STREAM;
   }
 
   /** Returns the number by which the scheduler knows the call. */
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -41,16 +41,16 @@
  */
 final class SchedulerLink implements RequestPlacer {
   /** Silence after which a scheduler counts as lost. */
-  static final long LOST_AFTER_MILLIS = 450;
+  static final long SCHEDULER_TIMEOUT_MILLIS = 450;
 
   /**
    * Time for a scheduler to answer a call, if only that it waits: many times what an answer takes,
    * and below the targets of short calls.
    */
-  static final long ANSWER_MILLIS = 150;
+  static final long PLACEMENT_REPLY_TIMEOUT_MILLIS = 150;
 
-  private static final long CHECK_MILLIS = 100;
-  private static final long PROGRESS_MILLIS = 500;
+  private static final long CHECK_INTERVAL_MILLIS = 100;
+  private static final long PROGRESS_INTERVAL_MILLIS = 500;
 
   private final String self;
   private final EventLoop loop;
@@ -59,23 +59,23 @@
   private final RetryLimits retryLimits;
   private final BiConsumer<String, Envelope.Builder> sender;
   private final ViewListener listener;
-  private final Map<Long, PlacementListener> calls = new LinkedHashMap<>();
+  private final Map<Long, PlacementListener> openRequests = new LinkedHashMap<>();
   private final Map<String, BackendRecord> backends = new HashMap<>();
-  private final Set<String> gone = new HashSet<>();
-  private final Map<Long, Integer> reported = new HashMap<>();
+  private final Set<String> removedBackends = new HashSet<>();
+  private final Map<Long, Integer> reportedTokens = new HashMap<>();
 
   /** Calls of which the scheduler has not said yet what becomes of them. */
-  private final Set<Long> unanswered = new HashSet<>();
+  private final Set<Long> unacknowledged = new HashSet<>();
 
   private String scheduler = "";
   private long term;
-  private long version;
-  private long lastHeardMillis = Long.MIN_VALUE / 2;
-  private int gateways = 1;
+  private long viewVersion;
+  private long lastMessageMillis = Long.MIN_VALUE / 2;
+  private int gatewayCount = 1;
   private Catalog catalog = Catalog.empty();
-  private boolean viewed;
-  private @Nullable DispatchCore alone;
-  private boolean checking;
+  private boolean viewReceived;
+  private @Nullable DispatchCore localDispatch;
+  private boolean checkScheduled;
   private long lastProgressMillis;
 
   /** Is told what a scheduler says. */
@@ -115,8 +115,8 @@
   }
 
   /** Returns whether a scheduler has told its view at least once. */
-  boolean isViewed() {
-    return viewed;
+  boolean hasReceivedView() {
+    return viewReceived;
   }
 
   /** Returns the host that schedules, or an empty text while the gateway decides alone. */
@@ -125,19 +125,20 @@
   }
 
   private boolean isConnected() {
-    return !scheduler.isEmpty() && clock.nowMillis() - lastHeardMillis <= LOST_AFTER_MILLIS;
+    return !scheduler.isEmpty()
+        && clock.nowMillis() - lastMessageMillis <= SCHEDULER_TIMEOUT_MILLIS;
   }
 
   // ---- the scheduler's view ---------------------------------------------------------------------
 
   /** Takes in a scheduler's view. */
-  void received(String host, SchedulerView view) {
+  void handle(String host, SchedulerView view) {
     if (view.getTerm() < term) {
       return;
     }
     if (view.getResigned()) {
       if (host.equals(scheduler)) {
-        lose("it resigned");
+        loseScheduler("it resigned");
       }
       return;
     }
@@ -145,73 +146,73 @@
     boolean returned = !changed && !isConnected();
     term = view.getTerm();
     scheduler = host;
-    lastHeardMillis = clock.nowMillis();
-    gateways = Math.max(1, view.getGateways());
+    lastMessageMillis = clock.nowMillis();
+    gatewayCount = Math.max(1, view.getGateways());
     if (changed) {
-      version = 0;
+      viewVersion = 0;
     }
     if (!view.getCatalog().isEmpty()) {
       listener.catalogReceived(view.getCatalog().toByteArray());
     }
-    boolean news = applyBackends(view);
+    boolean news = applyBackendUpdate(view);
     if (changed || returned) {
-      follow();
+      followScheduler();
     } else if (news || !view.getCatalog().isEmpty()) {
       sendStatus(false);
     }
   }
 
-  private boolean applyBackends(SchedulerView view) {
-    if (view.getBaseVersion() == 0 && view.getVersion() > 0 && view.getVersion() > version) {
-      mergeAll(view.getBackendsList());
-    } else if (view.getBaseVersion() > 0 && view.getBaseVersion() == version) {
-      view.getBackendsList().forEach(record -> put(record));
+  private boolean applyBackendUpdate(SchedulerView view) {
+    if (view.getBaseVersion() == 0 && view.getVersion() > 0 && view.getVersion() > viewVersion) {
+      replaceBackends(view.getBackendsList());
+    } else if (view.getBaseVersion() > 0 && view.getBaseVersion() == viewVersion) {
+      view.getBackendsList().forEach(record -> putBackend(record));
     } else {
       return false;
     }
     for (String id : view.getGoneList()) {
-      remove(id);
+      removeBackend(id);
     }
-    version = view.getVersion();
-    viewed = true;
+    viewVersion = view.getVersion();
+    viewReceived = true;
     listener.backendsChanged(backends.values());
     return true;
   }
 
   /** A complete list replaces what is held, but never brings back what is gone. */
-  private void mergeAll(List<BackendRecord> records) {
+  private void replaceBackends(List<BackendRecord> records) {
     Set<String> listed = new HashSet<>();
     records.forEach(record -> listed.add(record.getId()));
     List.copyOf(backends.keySet()).stream()
         .filter(id -> !listed.contains(id))
         .forEach(backends::remove);
-    records.forEach(this::put);
+    records.forEach(this::putBackend);
   }
 
-  private void put(BackendRecord record) {
-    if (!gone.contains(record.getId())) {
+  private void putBackend(BackendRecord record) {
+    if (!removedBackends.contains(record.getId())) {
       backends.put(record.getId(), record);
     }
   }
 
-  private void remove(String id) {
-    gone.add(id);
+  private void removeBackend(String id) {
+    removedBackends.add(id);
     backends.remove(id);
   }
 
   /** Puts a catalog into force for deciding alone, and tells the scheduler. */
-  void catalogInForce(Catalog newer) {
+  void activateCatalog(Catalog newer) {
     catalog = newer;
-    if (alone != null) {
-      alone.setCatalog(newer);
+    if (localDispatch != null) {
+      localDispatch.setCatalog(newer);
     }
   }
 
-  private void follow() {
+  private void followScheduler() {
     Logger.info("{} schedules in term {}", scheduler, term);
-    alone = null;
+    localDispatch = null;
     sendStatus(true);
-    for (PlacementListener call : List.copyOf(calls.values())) {
+    for (PlacementListener call : List.copyOf(openRequests.values())) {
       if (call.backend().isEmpty()) {
         send(DispatchRequests.newBuilder().addAsks(call.placementRequest()));
       }
@@ -222,12 +223,12 @@
     GatewayStatus.Builder status =
         GatewayStatus.newBuilder()
             .setTerm(term)
-            .setVersion(version)
+            .setVersion(viewVersion)
             .setCatalogRevision(catalog.revision())
             .setFull(full);
     if (full) {
-      status.addAllBackends(backends.values()).addAllGone(gone);
-      for (PlacementListener call : calls.values()) {
+      status.addAllBackends(backends.values()).addAllGone(removedBackends);
+      for (PlacementListener call : openRequests.values()) {
         if (!call.backend().isEmpty()) {
           status.addOpen(
               OpenDispatch.newBuilder()
@@ -248,47 +249,49 @@
 
   @Override
   public void requestPlacement(PlacementRequest ask, PlacementListener placed) {
-    calls.put(ask.getId(), placed);
+    openRequests.put(ask.getId(), placed);
     if (isConnected()) {
-      askScheduler(ask);
-      checkLater();
+      sendPlacementRequest(ask);
+      scheduleCheck();
     } else {
-      askAlone(ask);
+      placeLocally(ask);
     }
   }
 
-  private void askScheduler(PlacementRequest ask) {
+  private void sendPlacementRequest(PlacementRequest ask) {
     send(DispatchRequests.newBuilder().addAsks(ask));
     // A scheduler that rebuilds its state has told no version yet, and answers only after that.
-    if (version > 0) {
-      unanswered.add(ask.getId());
+    if (viewVersion > 0) {
+      unacknowledged.add(ask.getId());
       long askedAtMillis = clock.nowMillis();
       long askedTerm = term;
       loop.schedule(
-          () -> checkAnswered(ask, askedTerm, askedAtMillis), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+          () -> checkAcknowledged(ask, askedTerm, askedAtMillis),
+          PLACEMENT_REPLY_TIMEOUT_MILLIS,
+          TimeUnit.MILLISECONDS);
     }
   }
 
   /** Decides alone if the scheduler is silent; asks again if only the question was lost. */
-  private void checkAnswered(PlacementRequest ask, long askedTerm, long askedAtMillis) {
-    if (!unanswered.contains(ask.getId()) || term != askedTerm || !isConnected()) {
+  private void checkAcknowledged(PlacementRequest ask, long askedTerm, long askedAtMillis) {
+    if (!unacknowledged.contains(ask.getId()) || term != askedTerm || !isConnected()) {
       return;
     }
-    if (lastHeardMillis <= askedAtMillis) {
-      lose("it does not answer");
+    if (lastMessageMillis <= askedAtMillis) {
+      loseScheduler("it does not answer");
     } else {
-      askScheduler(ask);
+      sendPlacementRequest(ask);
     }
   }
 
   @Override
   public void reportProgress(long id, int outputTokens) {
-    reported.put(id, outputTokens);
+    reportedTokens.put(id, outputTokens);
     if (isConnected()) {
       send(DispatchRequests.newBuilder().addProgress(progress(id, outputTokens)));
-    } else if (alone != null) {
-      alone.outputProgressed(key(id), outputTokens, clock.nowMillis());
-      carryOutAlone();
+    } else if (localDispatch != null) {
+      localDispatch.outputProgressed(requestId(id), outputTokens, clock.nowMillis());
+      applyLocalDecisions();
     }
   }
 
@@ -302,9 +305,9 @@
         outcome != DispatchOutcome.DISPATCH_OUTCOME_MOVED
             && outcome != DispatchOutcome.DISPATCH_OUTCOME_MOVE_FAILED;
     if (over) {
-      calls.remove(id);
-      reported.remove(id);
-      unanswered.remove(id);
+      openRequests.remove(id);
+      reportedTokens.remove(id);
+      unacknowledged.remove(id);
     }
     if (isConnected()) {
       send(
@@ -314,35 +317,35 @@
                       .setId(id)
                       .setOutcome(outcome)
                       .setOutputTokens(outputTokens)));
-    } else if (alone != null) {
-      alone.requestEnded(key(id), outcome, outputTokens, clock.nowMillis());
-      carryOutAlone();
+    } else if (localDispatch != null) {
+      localDispatch.requestEnded(requestId(id), outcome, outputTokens, clock.nowMillis());
+      applyLocalDecisions();
     }
   }
 
   /** Takes in what the scheduler decided. */
-  void received(String host, DispatchOrders orders) {
+  void handle(String host, DispatchOrders orders) {
     if (orders.getTerm() != term || !host.equals(scheduler)) {
       return;
     }
-    lastHeardMillis = clock.nowMillis();
-    orders.getWaitingList().forEach(unanswered::remove);
+    lastMessageMillis = clock.nowMillis();
+    orders.getWaitingList().forEach(unacknowledged::remove);
     for (Placement placement : orders.getPlacementsList()) {
-      unanswered.remove(placement.getId());
-      PlacementListener call = calls.get(placement.getId());
+      unacknowledged.remove(placement.getId());
+      PlacementListener call = openRequests.get(placement.getId());
       if (call != null && call.backend().isEmpty()) {
         call.onPlaced(placement.getBackend(), placement.getUrgency(), placement.getBackup());
       }
     }
     for (Refusal refusal : orders.getRefusalsList()) {
-      unanswered.remove(refusal.getId());
-      PlacementListener call = calls.remove(refusal.getId());
+      unacknowledged.remove(refusal.getId());
+      PlacementListener call = openRequests.remove(refusal.getId());
       if (call != null) {
         call.onRejected(refusal.getRetryAfterMillis(), refusal.getReason());
       }
     }
     for (Move move : orders.getMovesList()) {
-      PlacementListener call = calls.get(move.getId());
+      PlacementListener call = openRequests.get(move.getId());
       if (call != null) {
         call.onMigrate(move.getTarget(), move.getBackup());
       }
@@ -351,40 +354,40 @@
 
   // ---- deciding alone ---------------------------------------------------------------------------
 
-  private void checkLater() {
-    if (!checking) {
-      checking = true;
-      loop.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleCheck() {
+    if (!checkScheduled) {
+      checkScheduled = true;
+      loop.schedule(this::check, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void check() {
-    checking = false;
+    checkScheduled = false;
     if (!scheduler.isEmpty() && !isConnected()) {
-      lose("it is silent");
+      loseScheduler("it is silent");
     }
-    if (alone != null) {
-      alone.tick(clock.nowMillis());
-      carryOutAlone();
+    if (localDispatch != null) {
+      localDispatch.tick(clock.nowMillis());
+      applyLocalDecisions();
     }
     reportProgress();
-    if (!calls.isEmpty()) {
-      checkLater();
+    if (!openRequests.isEmpty()) {
+      scheduleCheck();
     }
   }
 
   private void reportProgress() {
     long nowMillis = clock.nowMillis();
-    if (nowMillis - lastProgressMillis < PROGRESS_MILLIS || !isConnected()) {
+    if (nowMillis - lastProgressMillis < PROGRESS_INTERVAL_MILLIS || !isConnected()) {
       return;
     }
     lastProgressMillis = nowMillis;
     DispatchRequests.Builder requests = DispatchRequests.newBuilder();
-    calls.forEach(
+    openRequests.forEach(
         (id, call) -> {
           int tokens = call.outputTokens();
-          if (tokens > reported.getOrDefault(id, 0)) {
-            reported.put(id, tokens);
+          if (tokens > reportedTokens.getOrDefault(id, 0)) {
+            reportedTokens.put(id, tokens);
             requests.addProgress(progress(id, tokens));
           }
         });
@@ -393,65 +396,69 @@
     }
   }
 
-  private void lose(String reason) {
+  private void loseScheduler(String reason) {
     Logger.info("scheduler {} is lost: {}; deciding alone", scheduler, reason);
     scheduler = "";
-    unanswered.clear();
-    startAlone();
+    unacknowledged.clear();
+    startLocalFallback();
   }
 
   /** Called when the connection to a host is gone. */
   void disconnected(String host) {
     if (host.equals(scheduler)) {
-      lose("its connection is gone");
+      loseScheduler("its connection is gone");
     }
   }
 
-  private DispatchCore startAlone() {
+  private DispatchCore startLocalFallback() {
     long nowMillis = clock.nowMillis();
-    DispatchCore core = new DispatchCore(retryLimits, gateways, random);
-    alone = core;
+    DispatchCore core = new DispatchCore(retryLimits, gatewayCount, random);
+    localDispatch = core;
     core.setCatalog(catalog);
     backends.values().forEach(record -> core.updateBackend(record, nowMillis));
     List<PlacementRequest> waiting = new ArrayList<>();
-    calls.forEach(
+    openRequests.forEach(
         (id, call) -> {
           if (call.backend().isEmpty()) {
             waiting.add(call.placementRequest());
           } else {
             core.restoreRunning(
-                key(id), call.placementRequest(), call.backend(), call.outputTokens(), nowMillis);
+                requestId(id),
+                call.placementRequest(),
+                call.backend(),
+                call.outputTokens(),
+                nowMillis);
           }
         });
-    waiting.forEach(ask -> core.submit(key(ask.getId()), ask, nowMillis));
-    loop.execute(this::carryOutAlone);
-    checkLater();
+    waiting.forEach(ask -> core.submit(requestId(ask.getId()), ask, nowMillis));
+    loop.execute(this::applyLocalDecisions);
+    scheduleCheck();
     return core;
   }
 
-  private void askAlone(PlacementRequest ask) {
-    DispatchCore core = alone;
+  private void placeLocally(PlacementRequest ask) {
+    DispatchCore core = localDispatch;
     if (core == null) {
       // The new call is among those that wait.
-      startAlone();
+      startLocalFallback();
       return;
     }
-    core.submit(key(ask.getId()), ask, clock.nowMillis());
-    loop.execute(this::carryOutAlone);
-    checkLater();
+    core.submit(requestId(ask.getId()), ask, clock.nowMillis());
+    loop.execute(this::applyLocalDecisions);
+    scheduleCheck();
   }
 
-  private RequestId key(long id) {
+  private RequestId requestId(long id) {
     return new RequestId(self, id);
   }
 
-  private void carryOutAlone() {
-    DispatchCore core = alone;
+  private void applyLocalDecisions() {
+    DispatchCore core = localDispatch;
     if (core == null) {
       return;
     }
     for (DispatchDecision decision : core.drainDecisions()) {
-      PlacementListener call = calls.get(decision.key().id());
+      PlacementListener call = openRequests.get(decision.key().id());
       if (call == null) {
         continue;
       }
@@ -459,7 +466,7 @@
         case DispatchDecision.Place place ->
             call.onPlaced(place.backend(), place.urgency(), place.backup());
         case DispatchDecision.Reject refuse -> {
-          calls.remove(refuse.key().id());
+          openRequests.remove(refuse.key().id());
           call.onRejected(refuse.retryAfterMillis(), refuse.reason().name());
         }
         case DispatchDecision.Migrate move -> call.onMigrate(move.target(), move.backup());
--- a/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
+++ b/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
@@ -14,7 +14,7 @@
  */
 final class StateTransfer {
   private static final int OK = 200;
-  private static final long MAX_IDLE_MILLIS = 250;
+  private static final long MAX_CONNECTION_IDLE_MILLIS = 250;
 
   /** Longest time for one copy; after it the move is given up. */
   private static final long COPY_TIMEOUT_MILLIS = 4_000;
@@ -23,29 +23,29 @@
   private static final long STOP_TIMEOUT_MILLIS = 600;
 
   /** Time after the last copy for which the rest of the source's stream is awaited. */
-  private static final long SOURCE_END_MILLIS = 400;
+  private static final long SOURCE_END_TIMEOUT_MILLIS = 400;
 
   private final RelayContext context;
-  private final InboundRequest call;
+  private final InboundRequest request;
   private final BackendRecord source;
   private final BackendRecord target;
-  private final Owner owner;
+  private final Listener listener;
   private long copyTimeoutMillis = COPY_TIMEOUT_MILLIS;
-  private long startAtMillis;
-  private long stopAtMillis;
+  private long startedAtMillis;
+  private long stopRequestedAtMillis;
   private boolean sourceEnded;
-  private boolean over;
+  private boolean finished;
   private boolean stopping;
-  private String copyName = "";
+  private String stateReference = "";
   private BackendRecord destination;
 
   /** Is told how the handover ended. */
-  interface Owner {
+  interface Listener {
     /** The run stays where it is, or is over if {@code sourceEnded}. */
-    void notMoved(boolean sourceEnded);
+    void onTransferFailed(boolean sourceEnded);
 
     /** The run goes on from the named copy at another engine, or at the source itself. */
-    void moved(BackendRecord to, String copyName);
+    void onTransferred(BackendRecord to, String copyName);
   }
 
   StateTransfer(
@@ -53,42 +53,42 @@
       InboundRequest call,
       BackendRecord source,
       BackendRecord target,
-      Owner owner) {
+      Listener owner) {
     this.context = context;
-    this.call = call;
+    this.request = call;
     this.source = source;
     this.target = target;
-    this.owner = owner;
+    this.listener = owner;
     this.destination = target;
   }
 
   void start() {
-    startAtMillis = context.clock().nowMillis();
-    order(false, this::copiedWhileRunning);
+    startedAtMillis = context.clock().nowMillis();
+    requestCopy(false, this::onFirstCopy);
   }
 
   /** Starts with a run whose stream has ended already: it is stopped for certain first. */
-  void startStopped() {
+  void startWithEndedSource() {
     copyTimeoutMillis = STOP_TIMEOUT_MILLIS;
-    startAtMillis = context.clock().nowMillis();
+    startedAtMillis = context.clock().nowMillis();
     sourceEnded = true;
     stopping = true;
-    stopAtMillis = context.clock().nowMillis();
-    order(true, this::copiedAndStopped);
+    stopRequestedAtMillis = context.clock().nowMillis();
+    requestCopy(true, this::onFinalCopy);
   }
 
   /** Called when the source's stream has ended without its end. */
   void sourceEnded() {
     sourceEnded = true;
-    if (!copyName.isEmpty()) {
+    if (!stateReference.isEmpty()) {
       finishMoved();
     } else if (!stopping) {
       finishNotMoved();
     }
   }
 
-  private void copiedWhileRunning(TransferResponse answer) {
-    if (over) {
+  private void onFirstCopy(TransferResponse answer) {
+    if (finished) {
       return;
     }
     if (answer.status() != OK) {
@@ -96,109 +96,109 @@
       return;
     }
     stopping = true;
-    stopAtMillis = context.clock().nowMillis();
-    order(true, this::copiedAndStopped);
+    stopRequestedAtMillis = context.clock().nowMillis();
+    requestCopy(true, this::onFinalCopy);
   }
 
-  private void copiedAndStopped(TransferResponse answer) {
-    if (over) {
+  private void onFinalCopy(TransferResponse answer) {
+    if (finished) {
       return;
     }
     if (answer.handle().isEmpty()) {
       finishNotMoved();
       return;
     }
-    copyName = context.protocol().copyName(source, answer.handle());
+    stateReference = context.protocol().stateReference(source, answer.handle());
     destination = answer.status() == OK ? target : source;
     if (sourceEnded) {
       finishMoved();
     } else {
-      context.loop().schedule(this::finishMoved, SOURCE_END_MILLIS, TimeUnit.MILLISECONDS);
+      context.loop().schedule(this::finishMoved, SOURCE_END_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void finishMoved() {
-    if (!over) {
-      over = true;
+    if (!finished) {
+      finished = true;
       Logger.info(
           "call {}: copied in {} ms, stopped and copied in {} ms",
-          call.id(),
-          stopAtMillis - startAtMillis,
-          context.clock().nowMillis() - stopAtMillis);
-      owner.moved(destination, copyName);
+          request.id(),
+          stopRequestedAtMillis - startedAtMillis,
+          context.clock().nowMillis() - stopRequestedAtMillis);
+      listener.onTransferred(destination, stateReference);
     }
   }
 
   private void finishNotMoved() {
-    if (!over) {
-      over = true;
-      owner.notMoved(sourceEnded);
+    if (!finished) {
+      finished = true;
+      listener.onTransferFailed(sourceEnded);
     }
   }
 
-  private void order(boolean last, Consumer<TransferResponse> consumer) {
-    FullHttpRequest request = context.protocol().moveRequest(call, source, target, last);
+  private void requestCopy(boolean last, Consumer<TransferResponse> consumer) {
+    FullHttpRequest copyRequest = context.protocol().transferRequest(request, source, target, last);
     context
         .pool()
         .acquire(
             source.getAddress(),
-            MAX_IDLE_MILLIS,
+            MAX_CONNECTION_IDLE_MILLIS,
             connection -> {
               if (connection == null || !connection.isOpen()) {
-                request.release();
+                copyRequest.release();
                 consumer.accept(new TransferResponse(0, ""));
                 return;
               }
-              OrderAnswer answer = new OrderAnswer(consumer);
-              connection.send(request, call.id(), answer);
+              CopyResponseListener answer = new CopyResponseListener(consumer);
+              connection.send(copyRequest, request.id(), answer);
               context
                   .loop()
                   .schedule(
-                      () -> answer.tooLate(connection), copyTimeoutMillis, TimeUnit.MILLISECONDS);
+                      () -> answer.onTimeout(connection), copyTimeoutMillis, TimeUnit.MILLISECONDS);
             });
   }
 
   /** Collects the answer to one order. */
-  private final class OrderAnswer implements BackendConnection.AnswerListener {
+  private final class CopyResponseListener implements BackendConnection.ResponseListener {
     private final Consumer<TransferResponse> consumer;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
-    private boolean answered;
+    private boolean completed;
 
-    OrderAnswer(Consumer<TransferResponse> consumer) {
+    CopyResponseListener(Consumer<TransferResponse> consumer) {
       this.consumer = consumer;
     }
 
     @Override
-    public void head(ResponseHead head, HttpResponse response) {
+    public void onHead(ResponseHead head, HttpResponse response) {
       status = head.status();
     }
 
     @Override
-    public void content(byte[] bytes) {
+    public void onContent(byte[] bytes) {
       body.writeBytes(bytes);
     }
 
     @Override
-    public void whole() {
-      answer(context.protocol().readMoveAnswer(status, body.toByteArray()));
+    public void onComplete() {
+      complete(context.protocol().readTransferResponse(status, body.toByteArray()));
     }
 
     @Override
-    public void broken(String reason) {
-      answer(new TransferResponse(0, ""));
+    public void onInterrupted(String reason) {
+      complete(new TransferResponse(0, ""));
     }
 
-    void tooLate(BackendConnection connection) {
-      if (!answered) {
+    void onTimeout(BackendConnection connection) {
+      if (!completed) {
         connection.cancel();
-        answer(new TransferResponse(0, ""));
+        complete(new TransferResponse(0, ""));
       }
     }
 
-    private void answer(TransferResponse result) {
-      if (!answered) {
-        answered = true;
+    private void complete(TransferResponse result) {
+      if (!completed) {
+        completed = true;
         consumer.accept(result);
       }
     }
--- a/src/main/java/org/curranthaven/internal/relay/WireProtocol.java
+++ b/src/main/java/org/curranthaven/internal/relay/WireProtocol.java
@@ -18,23 +18,23 @@
   CatalogCodec catalogs();
 
   /** Reads a caller's request; fails if it cannot be understood. */
-  Outcome<InboundRequest> readCall(FullHttpRequest request);
+  Outcome<InboundRequest> readRequest(FullHttpRequest request);
 
   /** Writes a call to a backend server. */
   FullHttpRequest backendRequest(BackendRequest call);
 
   /** Reads the status and headers of a backend server's answer. */
-  ResponseHead readAnswer(HttpResponse response);
+  ResponseHead readResponseHead(HttpResponse response);
 
   /** Writes an order to copy a running request to another backend server. */
-  FullHttpRequest moveRequest(
+  FullHttpRequest transferRequest(
       InboundRequest call, BackendRecord source, BackendRecord target, boolean last);
 
   /** Reads the answer to such an order. */
-  TransferResponse readMoveAnswer(int status, byte[] body);
+  TransferResponse readTransferResponse(int status, byte[] body);
 
-  /** Returns how a copy is named in {@link BackendRequest#takeOverFrom}. */
-  String copyName(BackendRecord source, String handle);
+  /** Returns how a copy is named in {@link BackendRequest#stateReference}. */
+  String stateReference(BackendRecord source, String handle);
 
   /** Reads a call of a backend server or an operator to the control interface. */
   ControlRequest readControlRequest(FullHttpRequest request);
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -198,7 +198,7 @@
               register.backend().toByteString(),
               LeaderClient.REGISTRATION_MILLIS,
               answer);
-      case ControlRequest.Withdraw withdraw ->
+      case ControlRequest.Deregister withdraw ->
           leader.ask(
               LeaderClient.WITHDRAW,
               ByteString.copyFromUtf8(withdraw.id()),
--- a/src/main/java/org/curranthaven/platform/BackendTranslation.java
+++ b/src/main/java/org/curranthaven/platform/BackendTranslation.java
@@ -53,8 +53,8 @@
     } else {
       headers.set(Headers.LAST_EVENT_ID, call.resumeAfter());
     }
-    if (!call.takeOverFrom().isEmpty()) {
-      headers.set(Headers.TAKE_OVER, call.takeOverFrom());
+    if (!call.stateReference().isEmpty()) {
+      headers.set(Headers.TAKE_OVER, call.stateReference());
     }
     if (!call.backupAddress().isEmpty()) {
       headers.set(Headers.BACKUP, call.backupAddress());
--- a/src/main/java/org/curranthaven/platform/ControlTranslation.java
+++ b/src/main/java/org/curranthaven/platform/ControlTranslation.java
@@ -29,7 +29,7 @@
       String id = URLDecoder.decode(path.substring(REGISTRATIONS.length()), StandardCharsets.UTF_8);
       return switch (method) {
         case "PUT" -> registration(id, ByteBufUtil.getBytes(request.content()));
-        case "DELETE" -> new ControlRequest.Withdraw(id);
+        case "DELETE" -> new ControlRequest.Deregister(id);
         default -> notFound(method, path);
       };
     }
--- a/src/main/java/org/curranthaven/platform/PlatformProtocol.java
+++ b/src/main/java/org/curranthaven/platform/PlatformProtocol.java
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public Outcome<InboundRequest> readCall(FullHttpRequest request) {
+  public Outcome<InboundRequest> readRequest(FullHttpRequest request) {
     return RequestTranslation.read(request);
   }
 
@@ -37,23 +37,23 @@
   }
 
   @Override
-  public ResponseHead readAnswer(HttpResponse response) {
+  public ResponseHead readResponseHead(HttpResponse response) {
     return BackendTranslation.answer(response);
   }
 
   @Override
-  public FullHttpRequest moveRequest(
+  public FullHttpRequest transferRequest(
       InboundRequest call, BackendRecord source, BackendRecord target, boolean last) {
     return BackendTranslation.moveRequest(call, source, target, last);
   }
 
   @Override
-  public TransferResponse readMoveAnswer(int status, byte[] body) {
+  public TransferResponse readTransferResponse(int status, byte[] body) {
     return BackendTranslation.moveAnswer(status, body);
   }
 
   @Override
-  public String copyName(BackendRecord source, String handle) {
+  public String stateReference(BackendRecord source, String handle) {
     return source.getAddress() + "/" + handle;
   }
 
--- a/src/test/java/org/curranthaven/internal/relay/CallerConnectionTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/CallerConnectionTest.java
@@ -21,7 +21,7 @@
   private static final long LONG_DEADLINE_MILLIS = 39_000;
   private static final long SHORT_DEADLINE_MILLIS = 600;
 
-  private final GivenTime time = new GivenTime();
+  private final ManualTime time = new ManualTime();
   private final DeferredActions awaiting = new DeferredActions(time.loop());
   private boolean informed;
   private long deadlineMillis = LONG_DEADLINE_MILLIS;
@@ -39,10 +39,10 @@
                   case "clock" -> time;
                   case "catalog" -> Catalog.empty();
                   case "protocol" -> protocol();
-                  case "isInformed" -> informed;
+                  case "isInitialized" -> informed;
                   case "isDraining" -> false;
-                  case "whenInformed" -> {
-                    awaiting.hold((Runnable) arguments[0], (long) arguments[1]);
+                  case "whenInitialized" -> {
+                    awaiting.defer((Runnable) arguments[0], (long) arguments[1]);
                     yield null;
                   }
                   default -> throw new UnsupportedOperationException(method.getName());
@@ -55,7 +55,7 @@
             WireProtocol.class.getClassLoader(),
             new Class<?>[] {WireProtocol.class},
             (proxy, method, arguments) -> {
-              if (method.getName().equals("readCall")) {
+              if (method.getName().equals("readRequest")) {
                 return Outcome.success(call((FullHttpRequest) arguments[0]));
               }
               throw new UnsupportedOperationException(method.getName());
@@ -93,27 +93,27 @@
 
   private void becomeInformed() {
     informed = true;
-    awaiting.release();
-    time.pass(10);
+    awaiting.runPending();
+    time.advance(10);
   }
 
   @Test
   void a_call_that_comes_before_the_catalog_is_served_once_the_catalog_is_there() {
     send();
-    time.pass(500);
+    time.advance(500);
     assertThat(status()).isZero();
 
     becomeInformed();
 
     assertThat(status()).isEqualTo(404);
-    time.pass(2_000);
+    time.advance(2_000);
     assertThat(status()).isZero();
   }
 
   @Test
   void a_call_is_turned_away_when_no_catalog_comes() {
     send();
-    time.pass(2_000);
+    time.advance(2_000);
 
     FullHttpResponse response = caller.readOutbound();
     assertThat(response.status().code()).isEqualTo(503);
--- a/src/test/java/org/curranthaven/internal/relay/EventSplitterTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/EventSplitterTest.java
@@ -31,7 +31,7 @@
       }
       assertThat(ids).as("pieces of %d bytes", piece).containsExactly("1", "2", "3");
       assertThat(text.toString()).isEqualTo(new String(stream, StandardCharsets.UTF_8));
-      assertThat(cut.rest()).isEmpty();
+      assertThat(cut.remainder()).isEmpty();
     }
   }
 
@@ -40,6 +40,6 @@
     List<EventSplitter.Event> events = splitter.add(bytes("id: 1\ndata: a\n\nid: 2\ndat"));
 
     assertThat(events).extracting(EventSplitter.Event::id).containsExactly("1");
-    assertThat(splitter.rest()).isEqualTo(bytes("id: 2\ndat"));
+    assertThat(splitter.remainder()).isEqualTo(bytes("id: 2\ndat"));
   }
 }
--- a/src/test/java/org/curranthaven/internal/relay/GivenTime.java
+++ b/src/test/java/org/curranthaven/internal/relay/ManualTime.java
@@ -6,14 +6,14 @@
 import org.curranthaven.internal.supervision.Clock;
 
 /** An event loop and a clock that advance only when a test says so. */
-public final class GivenTime implements Clock {
+public final class ManualTime implements Clock {
   private static final long STEP_MILLIS = 10;
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowMillis = 1_000;
 
   /** Creates the loop with its time standing still. */
-  public GivenTime() {
+  public ManualTime() {
     channel.freezeTime();
   }
 
@@ -23,7 +23,7 @@
   }
 
   /** Lets time pass, and runs what becomes due. */
-  public void pass(long millis) {
+  public void advance(long millis) {
     for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
       nowMillis += STEP_MILLIS;
       channel.advanceTimeBy(STEP_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/test/java/org/curranthaven/internal/relay/RequestProgressTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/RequestProgressTest.java
@@ -32,9 +32,9 @@
 
   @Test
   void a_call_whose_first_reply_and_pauses_keep_the_targets_is_not_late() {
-    progress.sent(1_100);
-    progress.replied(2_500);
-    progress.replied(2_680);
+    progress.recordSent(1_100);
+    progress.recordReply(2_500);
+    progress.recordReply(2_680);
 
     assertThat(progress.isLate()).isFalse();
     assertThat(progress.firstReplyMillis()).isEqualTo(1_500);
@@ -42,27 +42,28 @@
 
   @Test
   void a_first_reply_after_the_target_is_late_whatever_part_of_it_was_waiting() {
-    progress.sent(2_400);
-    progress.replied(2_501);
+    progress.recordSent(2_400);
+    progress.recordReply(2_501);
 
     assertThat(progress.isLate()).isTrue();
-    assertThat(progress.times()).contains("first reply after 1501 ms", "1400 of them waiting");
+    assertThat(progress.timingSummary())
+        .contains("first reply after 1501 ms", "1400 of them waiting");
   }
 
   @Test
   void a_pause_above_the_target_is_late() {
-    progress.sent(1_000);
-    progress.replied(1_200);
-    progress.replied(1_381);
+    progress.recordSent(1_000);
+    progress.recordReply(1_200);
+    progress.recordReply(1_381);
 
     assertThat(progress.isLate()).isTrue();
   }
 
   @Test
   void an_event_that_the_caller_has_is_not_new_and_not_counted() {
-    assertThat(progress.isNew(event("9"))).isTrue();
-    assertThat(progress.isNew(event("10"))).isTrue();
-    assertThat(progress.isNew(event("9"))).isFalse();
+    assertThat(progress.recordIfNew(event("9"))).isTrue();
+    assertThat(progress.recordIfNew(event("10"))).isTrue();
+    assertThat(progress.recordIfNew(event("9"))).isFalse();
 
     assertThat(progress.outputTokens()).isEqualTo(8);
     assertThat(progress.lastEventId()).isEqualTo("10");
--- a/src/test/java/org/curranthaven/internal/relay/RetryRulesTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/RetryRulesTest.java
@@ -30,7 +30,7 @@
   }
 
   private static AttemptResult answered(int status) {
-    return new AttemptResult.Answered(
+    return new AttemptResult.Completed(
         head(status, false),
         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status)),
         new byte[0]);
@@ -40,7 +40,7 @@
     return new ResponseHead(status, "id", true, notRun, false, false, 0, false);
   }
 
-  private static final AttemptResult BROKEN = new AttemptResult.Broken("reset");
+  private static final AttemptResult BROKEN = new AttemptResult.Interrupted("reset");
   private static final AttemptResult NOT_RUN = new AttemptResult.NotRun(head(503, true));
   private static final AttemptResult UNREACHABLE = new AttemptResult.Unreachable("refused");
 
@@ -48,9 +48,9 @@
   void what_may_not_repeat_is_never_sent_again_once_it_may_have_run() {
     Route route = route(Repeatability.NON_IDEMPOTENT, 3, false);
 
-    assertThat(RetryRules.after(BROKEN, route, 1, 1, false))
+    assertThat(RetryRules.decide(BROKEN, route, 1, 1, false))
         .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
-    assertThat(RetryRules.after(answered(500), route, 1, 1, false))
+    assertThat(RetryRules.decide(answered(500), route, 1, 1, false))
         .isEqualTo(new RetryDecision.Deliver());
   }
 
@@ -58,29 +58,28 @@
   void what_provably_did_not_run_is_offered_elsewhere() {
     Route route = route(Repeatability.NON_IDEMPOTENT, 1, false);
 
-    assertThat(RetryRules.after(NOT_RUN, route, 0, 1, false))
-        .isEqualTo(new RetryDecision.SendAgain());
-    assertThat(RetryRules.after(UNREACHABLE, route, 0, 1, false))
-        .isEqualTo(new RetryDecision.SendAgain());
+    assertThat(RetryRules.decide(NOT_RUN, route, 0, 1, false)).isEqualTo(new RetryDecision.Retry());
+    assertThat(RetryRules.decide(UNREACHABLE, route, 0, 1, false))
+        .isEqualTo(new RetryDecision.Retry());
   }
 
   @Test
   void an_idempotent_call_runs_at_most_as_often_as_its_route_allows() {
     Route route = route(Repeatability.IDEMPOTENT, 2, false);
 
-    assertThat(RetryRules.after(answered(500), route, 1, 1, false))
-        .isEqualTo(new RetryDecision.SendAgain());
-    assertThat(RetryRules.after(answered(500), route, 2, 2, false))
+    assertThat(RetryRules.decide(answered(500), route, 1, 1, false))
+        .isEqualTo(new RetryDecision.Retry());
+    assertThat(RetryRules.decide(answered(500), route, 2, 2, false))
         .isEqualTo(new RetryDecision.Deliver());
-    assertThat(RetryRules.after(BROKEN, route, 2, 2, false))
+    assertThat(RetryRules.decide(BROKEN, route, 2, 2, false))
         .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
   }
 
   @Test
   void a_stream_is_run_again_only_where_it_may_resume() {
-    assertThat(RetryRules.after(BROKEN, route(Repeatability.STREAM, 2, true), 1, 1, true))
-        .isEqualTo(new RetryDecision.SendAgain());
-    assertThat(RetryRules.after(BROKEN, route(Repeatability.STREAM, 2, false), 1, 1, true))
+    assertThat(RetryRules.decide(BROKEN, route(Repeatability.STREAM, 2, true), 1, 1, true))
+        .isEqualTo(new RetryDecision.Retry());
+    assertThat(RetryRules.decide(BROKEN, route(Repeatability.STREAM, 2, false), 1, 1, true))
         .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
   }
 
@@ -89,7 +88,7 @@
     Route route = route(Repeatability.NON_IDEMPOTENT, 1, false);
 
     RetryDecision.Fail refused =
-        (RetryDecision.Fail) RetryRules.after(NOT_RUN, route, 0, RetryRules.MAX_SENDS, false);
+        (RetryDecision.Fail) RetryRules.decide(NOT_RUN, route, 0, RetryRules.MAX_ATTEMPTS, false);
 
     assertThat(refused.code().ran()).isEqualTo(org.curranthaven.api.Ran.NO);
   }
@@ -97,7 +96,8 @@
   @Test
   void a_backend_servers_own_time_limit_is_passed_on() {
     assertThat(
-            RetryRules.after(answered(504), route(Repeatability.IDEMPOTENT, 2, false), 1, 1, false))
+            RetryRules.decide(
+                answered(504), route(Repeatability.IDEMPOTENT, 2, false), 1, 1, false))
         .isEqualTo(new RetryDecision.Deliver());
   }
 }
--- a/src/test/java/org/curranthaven/internal/relay/SchedulerLinkTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/SchedulerLinkTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class SchedulerLinkTest {
-  private final GivenTime time = new GivenTime();
+  private final ManualTime time = new ManualTime();
   private final List<Envelope> sent = new ArrayList<>();
   private final SchedulerLink link =
       new SchedulerLink(
@@ -36,11 +36,11 @@
           });
 
   /** A call that notes where it was placed. */
-  private static final class Call implements RequestPlacer.PlacementListener {
+  private static final class RecordingListener implements RequestPlacer.PlacementListener {
     private final PlacementRequest ask;
     private String backend = "";
 
-    Call(long id) {
+    RecordingListener(long id) {
       this.ask =
           PlacementRequest.newBuilder()
               .setId(id)
@@ -89,12 +89,12 @@
     for (String id : backends) {
       view.addBackends(backend(id));
     }
-    link.received(host, view.build());
+    link.handle(host, view.build());
   }
 
-  private void ask(Call call) {
+  private void requestPlacement(RecordingListener call) {
     link.requestPlacement(call.placementRequest(), call);
-    time.pass(10);
+    time.advance(10);
   }
 
   private GatewayStatus lastStatus() {
@@ -108,10 +108,10 @@
   @Test
   void a_call_goes_to_the_scheduler_and_runs_where_it_says() {
     view("control-1", 3, 1, "i-1");
-    Call call = new Call(7);
-    ask(call);
+    RecordingListener call = new RecordingListener(7);
+    requestPlacement(call);
 
-    link.received(
+    link.handle(
         "control-1",
         DispatchOrders.newBuilder()
             .setTerm(3)
@@ -124,13 +124,13 @@
   @Test
   void calls_go_on_being_placed_while_no_scheduler_is_heard() {
     view("control-1", 3, 1, "i-1");
-    Call waiting = new Call(1);
-    ask(waiting);
+    RecordingListener waiting = new RecordingListener(1);
+    requestPlacement(waiting);
     assertThat(waiting.backend()).isEmpty();
 
-    time.pass(SchedulerLink.LOST_AFTER_MILLIS + 200);
-    Call later = new Call(2);
-    ask(later);
+    time.advance(SchedulerLink.SCHEDULER_TIMEOUT_MILLIS + 200);
+    RecordingListener later = new RecordingListener(2);
+    requestPlacement(later);
 
     assertThat(waiting.backend()).isEqualTo("i-1");
     assertThat(later.backend()).isEqualTo("i-1");
@@ -139,10 +139,10 @@
   @Test
   void a_call_is_placed_without_a_scheduler_that_does_not_answer_it() {
     view("control-1", 3, 1, "i-1");
-    Call call = new Call(1);
+    RecordingListener call = new RecordingListener(1);
 
-    ask(call);
-    time.pass(SchedulerLink.ANSWER_MILLIS + 20);
+    requestPlacement(call);
+    time.advance(SchedulerLink.PLACEMENT_REPLY_TIMEOUT_MILLIS + 20);
 
     assertThat(call.backend()).isEqualTo("i-1");
   }
@@ -150,11 +150,11 @@
   @Test
   void a_call_that_the_scheduler_keeps_waiting_is_not_placed_without_it() {
     view("control-1", 3, 1, "i-1");
-    Call call = new Call(1);
-    ask(call);
-    link.received("control-1", DispatchOrders.newBuilder().setTerm(3).addWaiting(1).build());
+    RecordingListener call = new RecordingListener(1);
+    requestPlacement(call);
+    link.handle("control-1", DispatchOrders.newBuilder().setTerm(3).addWaiting(1).build());
 
-    time.pass(SchedulerLink.ANSWER_MILLIS + 20);
+    time.advance(SchedulerLink.PLACEMENT_REPLY_TIMEOUT_MILLIS + 20);
 
     assertThat(call.backend()).isEmpty();
     assertThat(link.scheduler()).isEqualTo("control-1");
@@ -163,10 +163,10 @@
   @Test
   void a_call_whose_question_was_lost_is_asked_again() {
     view("control-1", 3, 1, "i-1");
-    ask(new Call(1));
+    requestPlacement(new RecordingListener(1));
     view("control-1", 3, 1, "i-1");
 
-    time.pass(SchedulerLink.ANSWER_MILLIS);
+    time.advance(SchedulerLink.PLACEMENT_REPLY_TIMEOUT_MILLIS);
 
     assertThat(sent.stream().filter(Envelope::hasDispatchRequests).count()).isEqualTo(2);
     assertThat(link.scheduler()).isEqualTo("control-1");
@@ -176,10 +176,10 @@
   void orders_of_an_earlier_term_are_not_obeyed() {
     view("control-1", 3, 1, "i-1");
     view("control-2", 4, 1, "i-1");
-    Call call = new Call(7);
-    ask(call);
+    RecordingListener call = new RecordingListener(7);
+    requestPlacement(call);
 
-    link.received(
+    link.handle(
         "control-1",
         DispatchOrders.newBuilder()
             .setTerm(3)
@@ -194,7 +194,7 @@
   @Test
   void a_backend_server_that_is_gone_is_not_brought_back_by_an_older_list() {
     view("control-1", 3, 1, "i-1", "i-2");
-    link.received(
+    link.handle(
         "control-1",
         SchedulerView.newBuilder()
             .setTerm(3)
@@ -212,19 +212,19 @@
   @Test
   void a_new_scheduler_is_told_all_that_runs_and_all_that_waits() {
     view("control-1", 3, 1, "i-1");
-    Call running = new Call(1);
-    Call waiting = new Call(2);
-    ask(running);
-    link.received(
+    RecordingListener running = new RecordingListener(1);
+    RecordingListener waiting = new RecordingListener(2);
+    requestPlacement(running);
+    link.handle(
         "control-1",
         DispatchOrders.newBuilder()
             .setTerm(3)
             .addPlacements(Placement.newBuilder().setId(1).setBackend("i-1"))
             .build());
-    ask(waiting);
+    requestPlacement(waiting);
     sent.clear();
 
-    link.received("control-2", SchedulerView.newBuilder().setTerm(4).build());
+    link.handle("control-2", SchedulerView.newBuilder().setTerm(4).build());
 
     assertThat(lastStatus().getFull()).isTrue();
     assertThat(lastStatus().getOpenList()).extracting(open -> open.getAsk().getId()).contains(1L);
--- a/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
+++ b/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
@@ -10,7 +10,7 @@
 import org.curranthaven.internal.catalog.Catalog;
 import org.curranthaven.internal.catalog.RequestLimits;
 import org.curranthaven.internal.dispatch.RetryLimits;
-import org.curranthaven.internal.relay.GivenTime;
+import org.curranthaven.internal.relay.ManualTime;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.curranthaven.internal.transport.wire.DispatchRequests;
 import org.curranthaven.internal.transport.wire.Envelope;
@@ -23,7 +23,7 @@
 class SchedulerTest {
   private static final long REBUILT_MILLIS = 300;
 
-  private final GivenTime time = new GivenTime();
+  private final ManualTime time = new ManualTime();
   private final List<Map.Entry<String, Envelope>> sent = new ArrayList<>();
   private final List<HostRecord> gateways = new ArrayList<>(List.of(host("g1"), host("g2")));
   private final Scheduler scheduler =
@@ -66,7 +66,7 @@
     scheduler.lead(5);
     status("g1", 0, 0, true);
     status("g2", 0, 0, true);
-    time.pass(REBUILT_MILLIS);
+    time.advance(REBUILT_MILLIS);
   }
 
   private long lastVersion() {
@@ -164,7 +164,7 @@
     status("g1", 0, 0, true);
     Answer answer = new Answer();
     scheduler.register(backend(1, false), answer::accept);
-    time.pass(Scheduler.MIN_REBUILD_MILLIS + 20);
+    time.advance(Scheduler.MIN_REBUILD_MILLIS + 20);
     assertThat(answer.value).isNull();
 
     status("g2", 0, 0, true);
@@ -189,7 +189,7 @@
 
     scheduler.received(host("g2"), ask);
     assertThat(sent).noneMatch(message -> message.getValue().hasDispatchOrders());
-    time.pass(REBUILT_MILLIS);
+    time.advance(REBUILT_MILLIS);
 
     // Two slots carry three calls at most: the ninth waits.
     assertThat(sent)
