--- a/src/main/java/org/curranthaven/internal/relay/Attempt.java
+++ b/src/main/java/org/curranthaven/internal/relay/Attempt.java
@@ -8,8 +8,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One sending of a call to one backend server. Events of a stream are passed on as they become
- * whole; any other answer is passed on once it is. Used on the event loop only.
+ * One transmission of a request to one backend server. Reports each event of a stream as soon as it
+ * is complete, and any other response once it is complete. Confined to the event loop.
  */
 final class Attempt implements BackendConnection.ResponseListener {
   private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
@@ -27,25 +27,25 @@
   private boolean ended;
   private boolean responseReceived;
 
-  /** Is told how the attempt goes. */
+  /** Receives the events and the result of an attempt. */
   interface Listener {
-    /** Events of a stream became whole. */
+    /** Handles complete events of a stream. */
     void onEvents(Attempt attempt, HttpResponse response, List<EventSplitter.Event> events);
 
-    /** The attempt has ended. */
+    /** Handles the end of the attempt. */
     void onEnded(Attempt attempt, AttemptResult result);
   }
 
-  Attempt(BackendRecord backend, Listener owner) {
+  Attempt(BackendRecord backend, Listener listener) {
     this.backend = backend;
-    this.listener = owner;
+    this.listener = listener;
   }
 
   BackendRecord backend() {
     return backend;
   }
 
-  /** Returns whether the backend server got the request, or a part of it. */
+  /** Returns whether the request, or a part of it, may have reached the backend server. */
   boolean wasSent() {
     return sent;
   }
@@ -62,7 +62,12 @@
             }
           } else if (acquired == null || !acquired.isOpen()) {
             request.release();
-            end(new AttemptResult.Unreachable("no connection to " + backend.getAddress()));
+            end(
+                new AttemptResult.Unreachable(
+                    "no connection to backend server "
+                        + backend.getId()
+                        + " at "
+                        + backend.getAddress()));
           } else {
             connection = acquired;
             sent = true;
@@ -71,17 +76,26 @@
         });
   }
 
-  /** Returns whether any part of an answer has come. */
+  /** Returns whether any part of a response has been received. */
   boolean hasReceivedResponse() {
     return responseReceived;
   }
 
-  /** Gives the attempt up because the backend server is silent. */
-  void abandonUnresponsive() {
-    abandon("the backend server is silent");
+  /**
+   * Ends the attempt as interrupted because the backend server has sent nothing for the given time.
+   */
+  void abandonUnresponsive(long unresponsiveMillis) {
+    abandon(
+        "no response from backend server "
+            + backend.getId()
+            + " within "
+            + unresponsiveMillis
+            + " ms");
   }
 
-  /** Ends the attempt; the backend server is told to stop by the end of its connection. */
+  /**
+   * Ends the attempt without a result. Closing the connection signals the backend server to stop.
+   */
   void cancel() {
     cancelled = true;
     ended = true;
@@ -107,31 +121,36 @@
   }
 
   @Override
-  public void onHead(ResponseHead answerHead, HttpResponse answer) {
-    head = answerHead;
-    response = answer;
+  public void onHead(ResponseHead responseHead, HttpResponse newResponse) {
+    head = responseHead;
+    response = newResponse;
     responseReceived = true;
-    boolean unproven = !answerHead.sealed() || answerHead.requestId().isEmpty();
-    if (answerHead.isSuccess() && unproven) {
-      abandon("a success that the backend server does not vouch for");
+    boolean unproven = !responseHead.sealed() || responseHead.requestId().isEmpty();
+    if (responseHead.isSuccess() && unproven) {
+      abandon(
+          "status "
+              + responseHead.status()
+              + " from backend server "
+              + backend.getId()
+              + " without the headers that prove a successful response");
       return;
     }
-    streaming = answerHead.isSuccess() && answerHead.eventStream();
+    streaming = responseHead.isSuccess() && responseHead.eventStream();
   }
 
   @Override
   public void onContent(byte[] bytes) {
-    HttpResponse answer = response;
-    if (ended || answer == null) {
+    HttpResponse streamResponse = response;
+    if (ended || streamResponse == null) {
       return;
     }
     if (streaming) {
       List<EventSplitter.Event> events = splitter.add(bytes);
       if (!events.isEmpty()) {
-        listener.onEvents(this, answer, events);
+        listener.onEvents(this, streamResponse, events);
       }
     } else if (body.size() + bytes.length > MAX_BUFFERED_BYTES) {
-      abandon("the answer is too large");
+      abandon("the response exceeds the limit of " + MAX_BUFFERED_BYTES + " bytes");
     } else {
       body.writeBytes(bytes);
     }
@@ -146,22 +165,28 @@
 
   @Override
   public void onComplete() {
-    ResponseHead answer = head;
-    HttpResponse whole = response;
-    if (answer == null || whole == null) {
-      end(new AttemptResult.Interrupted("an answer without a status"));
-    } else if (answer.notRun() || answer.misdirected()) {
-      end(new AttemptResult.NotRun(answer));
-    } else if (impliesNotRun(answer.status())) {
-      end(new AttemptResult.Interrupted("status " + answer.status() + " without the proof of it"));
+    ResponseHead receivedHead = head;
+    HttpResponse receivedResponse = response;
+    if (receivedHead == null || receivedResponse == null) {
+      end(new AttemptResult.Interrupted("the response has no status"));
+    } else if (receivedHead.notRun() || receivedHead.misdirected()) {
+      end(new AttemptResult.NotRun(receivedHead));
+    } else if (impliesNotRun(receivedHead.status())) {
+      end(
+          new AttemptResult.Interrupted(
+              "status "
+                  + receivedHead.status()
+                  + " without the header that proves that the request did not run"));
     } else {
       end(
           new AttemptResult.Completed(
-              answer, whole, streaming ? splitter.remainder() : body.toByteArray()));
+              receivedHead,
+              receivedResponse,
+              streaming ? splitter.remainder() : body.toByteArray()));
     }
   }
 
-  /** Returns whether callers would read the status as a promise that the request did not run. */
+  /** Returns whether callers would take the status to mean that the request did not run. */
   private static boolean impliesNotRun(int status) {
     return status == 408 || status == 421 || status == 429 || status == 503;
   }
--- a/src/main/java/org/curranthaven/internal/relay/BackendConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendConnection.java
@@ -11,9 +11,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to a backend server. It carries one call at a time and goes back to its pool only
- * after a clean and whole answer. An answer that belongs to another request is skipped. Used on the
- * event loop only.
+ * One connection to a backend server. Carries one request at a time and returns to its pool only
+ * after a complete response without errors. Skips a response that belongs to another request.
+ * Confined to the event loop.
  */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final int FIRST_FINAL_STATUS = 200;
@@ -31,18 +31,18 @@
   private long idleSinceMillis;
   private long idleUntilMillis;
 
-  /** Is told the answer to a call. */
+  /** Receives the response to a request. */
   interface ResponseListener {
-    /** Status and headers arrived. */
+    /** Handles the status and headers. */
     void onHead(ResponseHead head, HttpResponse response);
 
-    /** A part of the body arrived. */
+    /** Handles a part of the body. */
     void onContent(byte[] bytes);
 
-    /** The answer is whole. */
+    /** Handles the end of a complete response. */
     void onComplete();
 
-    /** No whole answer will come. */
+    /** Handles a failure after which no complete response can be received. */
     void onInterrupted(String reason);
   }
 
@@ -57,29 +57,31 @@
   }
 
   boolean isUsable(long nowMillis, long maxIdleMillis) {
-    boolean fresh = nowMillis < idleUntilMillis && nowMillis - idleSinceMillis <= maxIdleMillis;
-    return isOpen() && !unusable && listener == null && fresh;
+    boolean withinIdleLimit =
+        nowMillis < idleUntilMillis && nowMillis - idleSinceMillis <= maxIdleMillis;
+    return isOpen() && !unusable && listener == null && withinIdleLimit;
   }
 
   boolean isOpen() {
     return channelContext != null && channelContext.channel().isActive();
   }
 
-  /** Sends a call. The listener is called until the answer is whole or broken. */
-  void send(FullHttpRequest request, String requestId, ResponseListener answerListener) {
-    ChannelHandlerContext open = channelContext;
-    if (open == null || !open.channel().isActive()) {
-      answerListener.onInterrupted("the connection was closed");
+  /** Sends a request. The listener is called until the response is complete or interrupted. */
+  void send(FullHttpRequest request, String requestId, ResponseListener responseListener) {
+    ChannelHandlerContext openContext = channelContext;
+    if (openContext == null || !openContext.channel().isActive()) {
+      responseListener.onInterrupted(
+          "the connection to " + address + " was closed before the request was sent");
       return;
     }
-    listener = answerListener;
+    listener = responseListener;
     expectedRequestId = requestId;
     head = null;
     releasePending = false;
-    open.writeAndFlush(request);
+    openContext.writeAndFlush(request);
   }
 
-  /** Stops listening and closes the connection, which tells the backend server to stop working. */
+  /** Removes the listener and closes the connection, which signals the backend server to stop. */
   void cancel() {
     listener = null;
     close();
@@ -92,7 +94,7 @@
     }
   }
 
-  /** Reads on, or not, so that a slow caller bounds what is kept for it. */
+  /** Resumes or pauses reading, which bounds the memory buffered for a slow caller. */
   void setReading(boolean reading) {
     if (channelContext != null) {
       channelContext.channel().config().setAutoRead(reading);
@@ -100,14 +102,14 @@
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext added) {
-    channelContext = added;
+  public void handlerAdded(ChannelHandlerContext newContext) {
+    channelContext = newContext;
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext active, HttpObject message) {
+  protected void channelRead0(ChannelHandlerContext handlerContext, HttpObject message) {
     if (message.decoderResult().isFailure()) {
-      fail("the backend server sent bytes that are no answer");
+      fail("the backend server at " + address + " sent a malformed HTTP response");
       return;
     }
     if (message instanceof HttpResponse response) {
@@ -120,7 +122,7 @@
 
   private void startResponse(HttpResponse response) {
     if (listener == null) {
-      // Bytes after a whole answer belong to no request.
+      // Bytes after a complete response belong to no request.
       close();
       return;
     }
@@ -128,61 +130,62 @@
       skippingResponse = true;
       return;
     }
-    ResponseHead decoded = pool.protocol().readResponseHead(response);
-    if (!decoded.requestId().isEmpty() && !decoded.requestId().equals(expectedRequestId)) {
+    ResponseHead responseHead = pool.protocol().readResponseHead(response);
+    if (!responseHead.requestId().isEmpty()
+        && !responseHead.requestId().equals(expectedRequestId)) {
       skippingResponse = true;
       unusable = true;
       return;
     }
-    head = decoded;
-    listener.onHead(decoded, response);
+    head = responseHead;
+    listener.onHead(responseHead, response);
   }
 
   private void handleContent(HttpContent content) {
-    ResponseListener current = listener;
+    ResponseListener currentListener = listener;
     if (skippingResponse) {
       skippingResponse = !(content instanceof LastHttpContent);
       return;
     }
-    if (current == null || head == null) {
+    if (currentListener == null || head == null) {
       return;
     }
     if (content.content().isReadable()) {
-      current.onContent(ByteBufUtil.getBytes(content.content()));
+      currentListener.onContent(ByteBufUtil.getBytes(content.content()));
     }
-    if (content instanceof LastHttpContent && listener == current) {
-      finish(current);
+    if (content instanceof LastHttpContent && listener == currentListener) {
+      finish(currentListener);
     }
   }
 
-  private void finish(ResponseListener current) {
+  private void finish(ResponseListener currentListener) {
     if (unusable && readFailed) {
-      fail("the connection was reset");
+      fail("the connection to " + address + " was reset");
       return;
     }
     listener = null;
-    ResponseHead answer = head;
-    if (answer == null || answer.closesConnection() || unusable || !isOpen()) {
+    ResponseHead responseHead = head;
+    if (responseHead == null || responseHead.closesConnection() || unusable || !isOpen()) {
       close();
     } else {
       idleSinceMillis = pool.nowMillis();
-      idleUntilMillis = pool.idleUntilMillis(answer);
+      idleUntilMillis = pool.idleUntilMillis(responseHead);
       releasePending = true;
     }
-    current.onComplete();
+    currentListener.onComplete();
   }
 
   private void fail(String reason) {
-    ResponseListener current = listener;
+    ResponseListener currentListener = listener;
     listener = null;
     close();
-    if (current != null) {
-      current.onInterrupted(reason);
+    if (currentListener != null) {
+      currentListener.onInterrupted(reason);
     }
   }
 
   @Override
-  public void channelReadComplete(ChannelHandlerContext active) {
+  public void channelReadComplete(ChannelHandlerContext handlerContext) {
     if (releasePending) {
       releasePending = false;
       pool.release(this);
@@ -190,16 +193,16 @@
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext active, Throwable cause) {
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
     readFailed = true;
     unusable = true;
-    active.close();
+    handlerContext.close();
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext active) {
+  public void channelInactive(ChannelHandlerContext handlerContext) {
     unusable = true;
     pool.onClosed(this);
-    fail("the connection was closed before the whole answer");
+    fail("the connection to " + address + " was closed before the response was complete");
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/BackendPool.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendPool.java
@@ -18,14 +18,17 @@
 import org.curranthaven.internal.supervision.Clock;
 import org.jspecify.annotations.Nullable;
 
-/** Connections to backend servers that wait for their next call. Used on the event loop only. */
+/** Pool of idle connections to backend servers. Confined to the event loop. */
 final class BackendPool {
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
 
-  /** Time before a backend server's own limit at which an idle connection is given up. */
+  /**
+   * Time before a backend server's own idle timeout at which an idle connection is no longer
+   * reused.
+   */
   private static final long IDLE_MARGIN_MILLIS = 700;
 
-  /** Idle time allowed where a backend server names no limit. */
+  /** Longest idle time of a connection whose backend server states no idle timeout. */
   private static final long DEFAULT_IDLE_MILLIS = 300;
 
   private final EventLoop loop;
@@ -44,16 +47,16 @@
     return protocol;
   }
 
-  /** Returns the number of connections opened so far. */
+  /** Returns the number of connection attempts so far. */
   long connectionsOpened() {
     return connectionsOpened;
   }
 
   /**
-   * Passes a connection to the consumer, or null if none can be made.
+   * Passes an idle or new connection to the consumer, or null if the connection fails.
    *
-   * @param maxIdleMillis longest time for which the connection may have been idle: one that was
-   *     idle for longer may be gone without a sign
+   * @param maxIdleMillis longest time for which the connection may have been idle; one that was
+   *     idle for longer may be closed without this side having been notified
    */
   void acquire(String address, long maxIdleMillis, Consumer<@Nullable BackendConnection> consumer) {
     ArrayDeque<BackendConnection> connections = idleConnections.get(address);
@@ -89,10 +92,12 @@
         .addListener(future -> consumer.accept(future.isSuccess() ? connection : null));
   }
 
-  long idleUntilMillis(ResponseHead answer) {
-    long limit = answer.keepAliveMillis();
+  long idleUntilMillis(ResponseHead responseHead) {
+    long keepAliveMillis = responseHead.keepAliveMillis();
     long idleMillis =
-        limit == 0 ? DEFAULT_IDLE_MILLIS : Math.max(limit / 2, limit - IDLE_MARGIN_MILLIS);
+        keepAliveMillis == 0
+            ? DEFAULT_IDLE_MILLIS
+            : Math.max(keepAliveMillis / 2, keepAliveMillis - IDLE_MARGIN_MILLIS);
     return clock.nowMillis() + idleMillis;
   }
 
@@ -113,7 +118,7 @@
     }
   }
 
-  /** Closes idle connections to addresses that no backend server has any more. */
+  /** Closes the idle connections to all addresses but the given ones. */
   void retain(Set<String> addresses) {
     Iterator<Map.Entry<String, ArrayDeque<BackendConnection>>> entries =
         idleConnections.entrySet().iterator();
--- a/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
@@ -42,8 +42,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection of a caller: reads whole requests, one after the other, starts an {@link
- * RoutedRequest} for each, and writes its answer. Used on the event loop only.
+ * One connection of a caller. Reads requests one after the other, starts a {@link RoutedRequest}
+ * for each, and writes its response. Confined to the event loop.
  */
 final class CallerConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final int MAX_QUEUED_REQUESTS = 32;
@@ -51,10 +51,16 @@
   private static final long DRAINING_RETRY_MILLIS = 50;
   private static final long NOT_INITIALIZED_RETRY_MILLIS = 1_000;
 
-  /** Longest time for which a call waits for a catalog: a host that has started gets it soon. */
+  /**
+   * Longest time for which a request waits for the catalog, which a host receives soon after its
+   * start.
+   */
   private static final long INITIALIZATION_WAIT_MILLIS = 900;
 
-  /** Calls with less time than this are turned away at once instead: waiting takes most of it. */
+  /**
+   * Shortest deadline with which a request waits for the catalog. A request with less time is
+   * rejected at once, because the wait could use up most of it.
+   */
   private static final long MIN_DEADLINE_TO_WAIT_MILLIS = 5 * INITIALIZATION_WAIT_MILLIS;
 
   private final RelayContext context;
@@ -83,8 +89,8 @@
   // ---- reading ----------------------------------------------------------------------------------
 
   @Override
-  public void channelActive(ChannelHandlerContext active) {
-    channelContext = active;
+  public void channelActive(ChannelHandlerContext handlerContext) {
+    channelContext = handlerContext;
     lastActivityMillis = context.clock().nowMillis();
     scheduleIdleCheck(context.catalog().limits().headerTimeoutMillis());
   }
@@ -93,7 +99,9 @@
     context.loop().schedule(this::checkIdle, Math.max(50, delayMillis), TimeUnit.MILLISECONDS);
   }
 
-  /** Closes a connection whose caller sends nothing, or only parts of a request, for too long. */
+  /**
+   * Closes a connection on which the caller sends nothing, or only part of a request, for too long.
+   */
   private void checkIdle() {
     if (disconnected || closing) {
       return;
@@ -104,11 +112,16 @@
     if (responding) {
       scheduleIdleCheck(idleMillis);
     } else if (partialRequestSinceMillis >= 0) {
-      long left = partialRequestSinceMillis + headerMillis + bodyTimeoutMillis() - nowMillis;
-      if (left <= 0) {
-        fail(Failure.of(ResultCode.BODY_TOO_SLOW, "the request did not arrive whole in time"));
+      long leftMillis = partialRequestSinceMillis + headerMillis + bodyTimeoutMillis() - nowMillis;
+      if (leftMillis <= 0) {
+        fail(
+            Failure.of(
+                ResultCode.BODY_TOO_SLOW,
+                "the request was not complete "
+                    + (nowMillis - partialRequestSinceMillis)
+                    + " ms after its first byte; send it again on a new connection"));
       } else {
-        scheduleIdleCheck(left);
+        scheduleIdleCheck(leftMillis);
       }
     } else if (nowMillis - lastActivityMillis >= idleMillis) {
       close();
@@ -121,7 +134,7 @@
     return incompleteRequest == null ? 0 : context.catalog().limits().idleTimeoutMillis();
   }
 
-  /** Notes that bytes arrived which may be a part of a request. */
+  /** Records that bytes were received which may be part of a request. */
   void onBytesReceived() {
     if (partialRequestSinceMillis < 0) {
       partialRequestSinceMillis = context.clock().nowMillis();
@@ -129,7 +142,7 @@
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext active, HttpObject message) {
+  protected void channelRead0(ChannelHandlerContext handlerContext, HttpObject message) {
     if (closing) {
       return;
     }
@@ -141,7 +154,7 @@
       incompleteRequest = request;
       body = new ByteArrayOutputStream();
       if (HttpUtil.is100ContinueExpected(request) && !responding) {
-        active.writeAndFlush(
+        handlerContext.writeAndFlush(
             new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
       }
     }
@@ -160,34 +173,43 @@
         tooLong
             ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             : HttpResponseStatus.BAD_REQUEST,
-        Failure.of(ResultCode.MALFORMED_BODY, "the request is not HTTP as it should be"),
+        Failure.of(
+            ResultCode.MALFORMED_BODY,
+            tooLong
+                ? "the request line or the headers are longer than allowed"
+                : "the request is not valid HTTP/1.1"),
         false);
   }
 
   private void handleBody(HttpContent content) {
-    HttpRequest head = incompleteRequest;
-    if (head == null) {
+    HttpRequest requestHead = incompleteRequest;
+    if (requestHead == null) {
       return;
     }
     int size = content.content().readableBytes();
     if (body.size() + size > context.catalog().limits().maxBodyBytes()) {
       incompleteRequest = null;
-      fail(Failure.of(ResultCode.BODY_TOO_LARGE, "the body is larger than allowed"));
+      fail(
+          Failure.of(
+              ResultCode.BODY_TOO_LARGE,
+              "the request body exceeds the limit of "
+                  + context.catalog().limits().maxBodyBytes()
+                  + " bytes"));
       return;
     }
     body.writeBytes(ByteBufUtil.getBytes(content.content()));
     if (content instanceof LastHttpContent) {
       incompleteRequest = null;
       partialRequestSinceMillis = -1;
-      FullHttpRequest whole =
+      FullHttpRequest completeRequest =
           new DefaultFullHttpRequest(
-              head.protocolVersion(),
-              head.method(),
-              head.uri(),
+              requestHead.protocolVersion(),
+              requestHead.method(),
+              requestHead.uri(),
               Unpooled.wrappedBuffer(body.toByteArray()),
-              head.headers(),
+              requestHead.headers(),
               EmptyHttpHeaders.INSTANCE);
-      processOrQueue(whole);
+      processOrQueue(completeRequest);
     }
   }
 
@@ -211,26 +233,26 @@
     }
   }
 
-  /** Routes a call; one that comes before the catalog waits for it if it has the time. */
-  private void routeWhenInitialized(InboundRequest call) {
+  /** Routes a request; one that arrives before the catalog waits for it if its deadline allows. */
+  private void routeWhenInitialized(InboundRequest request) {
     long nowMillis = context.clock().nowMillis();
     boolean mayWait =
-        call.deadlineMillis() <= 0 || call.deadlineMillis() >= MIN_DEADLINE_TO_WAIT_MILLIS;
+        request.deadlineMillis() <= 0 || request.deadlineMillis() >= MIN_DEADLINE_TO_WAIT_MILLIS;
     if (context.isInitialized()) {
-      route(call, nowMillis);
+      route(request, nowMillis);
     } else if (mayWait) {
-      context.whenInitialized(() -> routeDeferred(call, nowMillis), INITIALIZATION_WAIT_MILLIS);
+      context.whenInitialized(() -> routeDeferred(request, nowMillis), INITIALIZATION_WAIT_MILLIS);
     } else {
       failNotInitialized();
     }
   }
 
-  private void routeDeferred(InboundRequest call, long arrivedAtMillis) {
+  private void routeDeferred(InboundRequest request, long arrivedAtMillis) {
     if (disconnected) {
       return;
     }
     if (context.isInitialized()) {
-      route(call, arrivedAtMillis);
+      route(request, arrivedAtMillis);
     } else {
       failNotInitialized();
     }
@@ -240,75 +262,91 @@
     fail(
         Failure.retryLater(
             ResultCode.HOST_NOT_FRESH,
-            "this host does not know the catalog yet",
+            "this host has not received the catalog yet; retry later or at another host",
             NOT_INITIALIZED_RETRY_MILLIS));
   }
 
-  private void route(InboundRequest call, long arrivedAtMillis) {
+  private void route(InboundRequest request, long arrivedAtMillis) {
     Catalog catalog = context.catalog();
-    Optional<Route> found = catalog.routeFor(call.host(), call.path());
-    if (found.isEmpty()) {
-      fail(Failure.of(ResultCode.UNKNOWN_PATH, "no route leads to " + call.path()));
+    Optional<Route> matchingRoute = catalog.routeFor(request.host(), request.path());
+    if (matchingRoute.isEmpty()) {
+      fail(
+          Failure.of(
+              ResultCode.UNKNOWN_PATH,
+              "no route matches host " + request.host() + " and path " + request.path()));
       return;
     }
-    Route route = found.get();
-    CatalogWorkspace workspace = catalog.workspaceOf(call.key());
+    Route route = matchingRoute.get();
+    CatalogWorkspace workspace = catalog.workspaceOf(request.key());
     if (catalog.needsKey(route) && workspace == null) {
-      fail(Failure.of(ResultCode.BAD_KEY, "the key is not known"));
+      fail(
+          Failure.of(
+              ResultCode.BAD_KEY,
+              "the route requires the key of a workspace; the request has none or an unknown one"));
       return;
     }
-    long allowedMillis =
-        call.deadlineMillis() > 0
-            ? Math.min(call.deadlineMillis(), route.timeoutMillis())
+    long timeoutMillis =
+        request.deadlineMillis() > 0
+            ? Math.min(request.deadlineMillis(), route.timeoutMillis())
             : route.timeoutMillis();
-    if (!context.mayAccept(allowedMillis)) {
+    if (!context.mayAccept(timeoutMillis)) {
       fail(
           Failure.retryLater(
-              ResultCode.HOST_DRAINING, "this host is being stopped", DRAINING_RETRY_MILLIS));
+              ResultCode.HOST_DRAINING,
+              "this host is shutting down; retry on a new connection",
+              DRAINING_RETRY_MILLIS));
       return;
     }
     ServiceSpec service = catalog.service(route.serviceFor(context.nextRandom()));
     if (service == null) {
-      fail(Failure.of(ResultCode.INTERNAL, "the route's service is missing"));
+      fail(
+          Failure.of(
+              ResultCode.INTERNAL,
+              "route "
+                  + route.name()
+                  + " names a service that is not in the catalog; correct the catalog"));
       return;
     }
-    boolean ranked = workspace != null && workspace.priority() >= 0 && catalog.needsKey(route);
-    RoutedRequest next =
+    boolean hasWorkspacePriority =
+        workspace != null && workspace.priority() >= 0 && catalog.needsKey(route);
+    RoutedRequest routedRequest =
         new RoutedRequest(
             context,
             this,
-            call,
+            request,
             route,
             service,
             workspace == null || !catalog.needsKey(route) ? "" : workspace.name(),
             arrivedAtMillis,
-            allowedMillis,
-            ranked && workspace != null ? workspace.priority() : route.priority());
-    currentRequest = next;
-    context.requestOpened(next);
-    next.start();
+            timeoutMillis,
+            hasWorkspacePriority && workspace != null ? workspace.priority() : route.priority());
+    currentRequest = routedRequest;
+    context.requestOpened(routedRequest);
+    routedRequest.start();
   }
 
-  // ---- answering --------------------------------------------------------------------------------
+  // ---- responses --------------------------------------------------------------------------------
 
-  /** Passes a whole answer of a backend server on, unchanged but for what concerns connections. */
-  void respond(HttpResponse answer, byte[] content) {
+  /** Forwards a complete response of a backend server, unchanged except for hop-by-hop headers. */
+  void respond(HttpResponse backendResponse, byte[] content) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, answer.status(), Unpooled.wrappedBuffer(content));
+            HttpVersion.HTTP_1_1, backendResponse.status(), Unpooled.wrappedBuffer(content));
     HopByHopHeaders.copy(
-        answer.headers(), response.headers(), HopByHopHeaders.of(answer.headers()));
+        backendResponse.headers(),
+        response.headers(),
+        HopByHopHeaders.of(backendResponse.headers()));
     write(response);
   }
 
-  /** Answers with a failure of the system's own. */
+  /** Responds with a failure reported by this system. */
   void fail(Failure failure) {
-    boolean stays =
+    boolean keepOpen =
         failure.code() != ResultCode.BODY_TOO_LARGE && failure.code() != ResultCode.BODY_TOO_SLOW;
-    respond(HttpResponseStatus.valueOf(failure.code().httpStatus()), failure, stays);
+    respond(HttpResponseStatus.valueOf(failure.code().httpStatus()), failure, keepOpen);
   }
 
-  private void respond(HttpResponseStatus status, Failure failure, boolean stays) {
+  private void respond(HttpResponseStatus status, Failure failure, boolean keepOpen) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -316,12 +354,12 @@
             Unpooled.wrappedBuffer(Json.write(ErrorBodies.json(failure)).toByteArray()));
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
     if (failure.retryAfterMillis() > 0) {
-      double seconds = (double) failure.retryAfterMillis() / MILLIS_PER_SECOND;
+      double retryAfterSeconds = (double) failure.retryAfterMillis() / MILLIS_PER_SECOND;
       response
           .headers()
-          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", seconds));
+          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterSeconds));
     }
-    keepAlive = keepAlive && stays;
+    keepAlive = keepAlive && keepOpen;
     write(response);
   }
 
@@ -330,24 +368,26 @@
       response.content().clear();
     }
     HttpUtil.setContentLength(response, response.content().readableBytes());
-    boolean stays = staysOpen();
-    if (!stays) {
+    boolean keepOpen = mayKeepOpen();
+    if (!keepOpen) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    finishResponse(writeAndFlush(response), stays);
+    finishResponse(writeAndFlush(response), keepOpen);
   }
 
-  private boolean staysOpen() {
+  private boolean mayKeepOpen() {
     return keepAlive && !closing && !context.isDraining();
   }
 
-  /** Starts to pass a stream on. */
-  void startStream(HttpResponse answer) {
-    HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status());
+  /** Starts to forward a stream. */
+  void startStream(HttpResponse backendResponse) {
+    HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, backendResponse.status());
     HopByHopHeaders.copy(
-        answer.headers(), response.headers(), HopByHopHeaders.of(answer.headers()));
+        backendResponse.headers(),
+        response.headers(),
+        HopByHopHeaders.of(backendResponse.headers()));
     response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    if (!staysOpen()) {
+    if (!mayKeepOpen()) {
       keepAlive = false;
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
@@ -356,17 +396,20 @@
     }
   }
 
-  /** Passes a part of a stream on. */
+  /** Forwards part of a stream. */
   void writeStream(byte[] bytes) {
     writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
   }
 
-  /** Ends a stream as complete. */
+  /** Ends a complete stream. */
   void endStream() {
-    finishResponse(writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), staysOpen());
+    finishResponse(writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), mayKeepOpen());
   }
 
-  /** Ends a stream so that the caller sees that it is not complete. */
+  /**
+   * Closes the connection before the end of a stream, so that the caller can detect that the stream
+   * is incomplete.
+   */
   void abort() {
     close();
   }
@@ -375,11 +418,11 @@
     return channelContext == null ? null : channelContext.writeAndFlush(message);
   }
 
-  private void finishResponse(@Nullable ChannelFuture written, boolean stays) {
+  private void finishResponse(@Nullable ChannelFuture written, boolean keepOpen) {
     responding = false;
     currentRequest = null;
     lastActivityMillis = context.clock().nowMillis();
-    if (!stays) {
+    if (!keepOpen) {
       closing = true;
       if (written != null) {
         written.addListener(ChannelFutureListener.CLOSE);
@@ -394,7 +437,7 @@
 
   // ---- closing ----------------------------------------------------------------------------------
 
-  /** Closes the connection if no request is being answered or read. */
+  /** Closes the connection if no request is being processed or received. */
   void closeIfIdle() {
     if (!responding && incompleteRequest == null && partialRequestSinceMillis < 0) {
       close();
@@ -409,25 +452,25 @@
   }
 
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext active) {
+  public void channelWritabilityChanged(ChannelHandlerContext handlerContext) {
     if (currentRequest != null) {
-      currentRequest.onCallerWritabilityChanged(active.channel().isWritable());
+      currentRequest.onCallerWritabilityChanged(handlerContext.channel().isWritable());
     }
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext inactive) {
+  public void channelInactive(ChannelHandlerContext handlerContext) {
     disconnected = true;
     closing = true;
-    RoutedRequest open = currentRequest;
+    RoutedRequest openRequest = currentRequest;
     currentRequest = null;
-    if (open != null) {
-      open.onCallerDisconnected();
+    if (openRequest != null) {
+      openRequest.onCallerDisconnected();
     }
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext active, Throwable cause) {
-    active.close();
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+    handlerContext.close();
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/ControlRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/ControlRequest.java
@@ -2,21 +2,21 @@
 
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
-/** A call to the control interface, decoded. */
+/** A decoded request to the control interface. */
 public sealed interface ControlRequest {
   /** A backend server registers, or renews its registration. */
   record Register(BackendRecord backend) implements ControlRequest {}
 
-  /** A backend server is gone. */
+  /** A backend server deregisters or is deregistered. */
   record Deregister(String id) implements ControlRequest {}
 
   /** An operator replaces the catalog. */
   @SuppressWarnings("ArrayRecordComponent")
   record ReplaceCatalog(byte[] document) implements ControlRequest {}
 
-  /** An operator reads the catalog in force. */
+  /** An operator reads the active catalog. */
   record ReadCatalog() implements ControlRequest {}
 
-  /** The call is not understood. */
+  /** The request is invalid; the status and message form the response. */
   record Invalid(int status, String message) implements ControlRequest {}
 }
--- a/src/main/java/org/curranthaven/internal/relay/DeferredActions.java
+++ b/src/main/java/org/curranthaven/internal/relay/DeferredActions.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Actions that wait until they are released or their time is up, whichever comes first; each runs
- * once and is forgotten then. Used on the event loop only.
+ * Actions deferred until they are released or their delay has expired, whichever comes first. Each
+ * runs once and is then discarded. Confined to the event loop.
  */
 final class DeferredActions {
   private final EventLoop loop;
@@ -18,9 +18,9 @@
     this.loop = loop;
   }
 
-  void defer(Runnable action, long mostMillis) {
+  void defer(Runnable action, long maxDelayMillis) {
     pending.add(action);
-    loop.schedule(() -> runIfPending(action), mostMillis, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> runIfPending(action), maxDelayMillis, TimeUnit.MILLISECONDS);
   }
 
   private void runIfPending(Runnable action) {
@@ -29,11 +29,11 @@
     }
   }
 
-  /** Runs all that wait, in order. */
+  /** Runs all pending actions on the event loop, in the order in which they were deferred. */
   void runPending() {
-    List<Runnable> ready = List.copyOf(pending);
+    List<Runnable> released = List.copyOf(pending);
     pending.clear();
-    ready.forEach(loop::execute);
+    released.forEach(loop::execute);
   }
 
   int size() {
--- a/src/main/java/org/curranthaven/internal/relay/DrainRules.java
+++ b/src/main/java/org/curranthaven/internal/relay/DrainRules.java
@@ -1,27 +1,27 @@
 package org.curranthaven.internal.relay;
 
 /**
- * Decides which calls a gateway still takes during a planned stop: balancers send connections for a
- * while, and for the whole stop where few hosts are left to send them to.
+ * Decides which requests a draining gateway still accepts. Load balancers keep sending connections
+ * for a while, and during the whole drain if few other hosts are available.
  */
 final class DrainRules {
-  /** Time after the start of a stop in which balancers have not noticed it yet. */
+  /** Time after the start of a drain within which load balancers have not detected it yet. */
   static final long BALANCER_DETECTION_MILLIS = 2_500;
 
-  /** Time that must be left once the call's own time is up. */
+  /** Time that must remain between the latest end of a request and the end of the process. */
   private static final long MARGIN_MILLIS = 200;
 
   private DrainRules() {}
 
   /**
-   * Returns whether a call is taken.
+   * Returns whether a request is accepted.
    *
-   * @param stoppingMillis time since the stop began
+   * @param drainingMillis time since the drain began
    * @param leftMillis time until the process ends
-   * @param allowedMillis longest time that the call may take
+   * @param timeoutMillis longest time that the request may take
    */
-  static boolean mayAccept(long stoppingMillis, long leftMillis, long allowedMillis) {
-    return stoppingMillis < BALANCER_DETECTION_MILLIS
-        || allowedMillis + MARGIN_MILLIS <= leftMillis;
+  static boolean mayAccept(long drainingMillis, long leftMillis, long timeoutMillis) {
+    return drainingMillis < BALANCER_DETECTION_MILLIS
+        || timeoutMillis + MARGIN_MILLIS <= leftMillis;
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/EventSplitter.java
+++ b/src/main/java/org/curranthaven/internal/relay/EventSplitter.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Cuts a stream into whole events, each ended by an empty line. Bytes of an event that is not whole
- * yet are kept. Not thread-safe.
+ * Splits a server-sent event stream into events, each ended by an empty line. Buffers the bytes of
+ * an incomplete event. Not thread-safe.
  */
 final class EventSplitter {
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
@@ -18,15 +18,15 @@
   private int scanned;
 
   /**
-   * One event.
+   * A complete event.
    *
-   * @param id its id; empty when it has none
-   * @param bytes the event with the empty line that ends it
+   * @param id value of the id field; empty if there is none
+   * @param bytes the event, including the empty line that ends it
    */
   @SuppressWarnings("ArrayRecordComponent")
   record Event(String id, byte[] bytes) {}
 
-  /** Adds bytes and returns the events that became whole. */
+  /** Adds bytes and returns the events that they complete. */
   List<Event> add(byte[] bytes) {
     if (length + bytes.length > buffer.length) {
       buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + bytes.length));
@@ -48,7 +48,7 @@
     return events;
   }
 
-  /** Returns the bytes of the event that is not whole. */
+  /** Returns the bytes of the incomplete event. */
   byte[] remainder() {
     return Arrays.copyOf(buffer, length);
   }
--- a/src/main/java/org/curranthaven/internal/relay/Gateway.java
+++ b/src/main/java/org/curranthaven/internal/relay/Gateway.java
@@ -32,7 +32,8 @@
 import org.tinylog.Logger;
 
 /**
- * A host that takes callers' calls: its parts, wired on one event loop.
+ * A gateway host: accepts requests of callers and relays them to backend servers. Its components
+ * run on one event loop.
  *
  * <pre>{@code
  * Gateway gateway = new Gateway(settings, protocol, Clock.system());
@@ -41,10 +42,10 @@
  * }</pre>
  */
 public final class Gateway implements PeerListener, RelayContext {
-  /** Time after the start of a planned stop for which new connections may still arrive. */
+  /** Time after the start of a drain during which load balancers may still open connections. */
   private static final long LATE_CONNECTION_WINDOW_MILLIS = 3_500;
 
-  /** Time before the end of a planned stop that is left for the process to end. */
+  /** Time reserved at the end of a drain for the process to exit. */
   private static final long EXIT_MARGIN_MILLIS = 300;
 
   private static final long DRAIN_POLL_MILLIS = 50;
@@ -70,14 +71,14 @@
   private volatile int openRequestCount;
   private long placementCounter = 1;
 
-  /** Creates a gateway; it starts with {@link #start}. */
+  /** Creates a gateway, which {@link #start} starts. */
   public Gateway(RoutedSettings settings, WireProtocol protocol, Clock clock) {
     this.settings = settings;
     this.protocol = protocol;
     this.clock = clock;
     long incarnation = clock.epochMillis();
-    String status = settings.statusAddress();
-    this.metrics = status == null || status.isEmpty() ? null : new RoutedMetrics();
+    String statusAddress = settings.statusAddress();
+    this.metrics = statusAddress == null || statusAddress.isEmpty() ? null : new RoutedMetrics();
     this.random = new SplittableRandom(settings.name().hashCode() ^ System.nanoTime());
     this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     this.loop = group.next();
@@ -106,30 +107,33 @@
     this.server = new RelayServer(group, this);
   }
 
-  /** Starts to listen and to look for a scheduler. */
+  /** Starts to listen for callers and to look for a scheduler. */
   public void start() throws InterruptedException {
     network.start();
     server.listenForCallers(Addresses.parse(String.valueOf(settings.callerAddress())));
-    String ready = settings.readyAddress();
-    if (ready != null && !ready.isEmpty()) {
-      server.listenForReadinessChecks(Addresses.parse(ready), this::isReady);
+    String readyAddress = settings.readyAddress();
+    if (readyAddress != null && !readyAddress.isEmpty()) {
+      server.listenForReadinessChecks(Addresses.parse(readyAddress), this::isReady);
     }
     startStatusServer();
-    Logger.info("{} takes callers at {}", settings.name(), settings.callerAddress());
+    Logger.info("gateway {} listens for callers at {}", settings.name(), settings.callerAddress());
   }
 
   private void startStatusServer() {
     String address = settings.statusAddress();
-    RoutedMetrics shown = metrics;
-    if (shown == null || address == null) {
+    RoutedMetrics statusMetrics = metrics;
+    if (statusMetrics == null || address == null) {
       return;
     }
-    shown.gauge("curranthaven_open_calls", () -> openRequestCount);
-    shown.gauge("curranthaven_peer_bytes_sent", network::bytesSent);
+    statusMetrics.gauge("curranthaven_open_calls", () -> openRequestCount);
+    statusMetrics.gauge("curranthaven_peer_bytes_sent", network::bytesSent);
     try {
-      StatusServer.start(Addresses.parse(address), shown, this::dump);
+      StatusServer.start(Addresses.parse(address), statusMetrics, this::dump);
     } catch (IOException e) {
-      Logger.error("no status at {}: {}; the gateway serves without it", address, e.getMessage());
+      Logger.error(
+          "status server cannot listen at {}: {}; the gateway runs without it",
+          address,
+          e.getMessage());
     }
   }
 
@@ -138,10 +142,10 @@
   }
 
   /**
-   * Carries out a planned stop: takes no new connections from the balancer, and waits until the
-   * open calls have ended or the time allowed is nearly up.
+   * Drains the gateway: reports it as not ready to load balancers, and waits until the open
+   * requests have finished or the drain time has nearly expired.
    *
-   * @return the number of calls that were cut off
+   * @return the number of requests that are still open
    */
   public int drain() throws InterruptedException {
     long startMillis = clock.nowMillis();
@@ -149,14 +153,19 @@
     drainStartMillis = startMillis;
     drainEndMillis = endMillis;
     draining = true;
-    Logger.info("{} drains {} open calls", settings.name(), openRequestCount);
+    Logger.info(
+        "gateway {} drains {} open requests for at most {} ms",
+        settings.name(),
+        openRequestCount,
+        endMillis - startMillis);
     boolean idleClosed = false;
     while (clock.nowMillis() < endMillis) {
-      boolean late = clock.nowMillis() - startMillis >= LATE_CONNECTION_WINDOW_MILLIS;
-      if (late && !idleClosed) {
+      boolean lateConnectionsOver =
+          clock.nowMillis() - startMillis >= LATE_CONNECTION_WINDOW_MILLIS;
+      if (lateConnectionsOver && !idleClosed) {
         idleClosed = true;
         loop.execute(server::closeIdleConnections);
-      } else if (late && openRequestCount == 0) {
+      } else if (lateConnectionsOver && openRequestCount == 0) {
         break;
       }
       Thread.sleep(DRAIN_POLL_MILLIS);
@@ -164,13 +173,18 @@
     return openRequestCount;
   }
 
-  /** What a scheduler tells this gateway. */
+  /** Handles the catalogs and backend servers that the scheduler publishes. */
   private final class SchedulerViewListener implements SchedulerLink.ViewListener {
     @Override
     public void catalogReceived(byte[] document) {
       switch (protocol.catalogs().decode(document)) {
         case Outcome.Failed<Catalog> failed ->
-            Logger.error("a catalog that was accepted cannot be read: {}", failed.failure());
+            Logger.error(
+                "catalog of {} bytes from the scheduler cannot be decoded: {};"
+                    + " catalog {} stays active",
+                document.length,
+                failed.failure(),
+                catalog.revision());
         case Outcome.Success<Catalog> success -> activateCatalog(success.value());
       }
     }
@@ -182,11 +196,11 @@
     }
   }
 
-  private void activateCatalog(Catalog newer) {
-    if (newer.revision() > catalog.revision()) {
-      catalog = newer;
-      link.activateCatalog(newer);
-      Logger.info("catalog {} is in force", newer.revision());
+  private void activateCatalog(Catalog newCatalog) {
+    if (newCatalog.revision() > catalog.revision()) {
+      catalog = newCatalog;
+      link.activateCatalog(newCatalog);
+      Logger.info("catalog {} activated", newCatalog.revision());
       runDeferredActions();
     }
   }
@@ -211,16 +225,16 @@
 
   @Override
   public void connected(HostRecord host) {
-    Logger.info("connected to {}", host.getName());
+    Logger.info("connected to host {}", host.getName());
   }
 
   @Override
   public void disconnected(HostRecord host) {
-    Logger.info("the connection to {} is gone", host.getName());
+    Logger.info("connection to host {} lost", host.getName());
     loop.execute(() -> link.disconnected(host.getName()));
   }
 
-  // ---- context of the calls ---------------------------------------------------------------------
+  // ---- context of the requests ------------------------------------------------------------------
 
   @Override
   public EventLoop loop() {
@@ -263,8 +277,8 @@
   }
 
   @Override
-  public void whenInitialized(Runnable action, long mostMillis) {
-    awaitingInitialization.defer(action, mostMillis);
+  public void whenInitialized(Runnable action, long maxDelayMillis) {
+    awaitingInitialization.defer(action, maxDelayMillis);
   }
 
   @Override
@@ -273,11 +287,11 @@
   }
 
   @Override
-  public boolean mayAccept(long allowedMillis) {
+  public boolean mayAccept(long timeoutMillis) {
     long nowMillis = clock.nowMillis();
     return !draining
         || DrainRules.mayAccept(
-            nowMillis - drainStartMillis, drainEndMillis - nowMillis, allowedMillis);
+            nowMillis - drainStartMillis, drainEndMillis - nowMillis, timeoutMillis);
   }
 
   @Override
@@ -296,14 +310,14 @@
   }
 
   @Override
-  public void requestOpened(RoutedRequest exchange) {
-    openRequests.add(exchange);
+  public void requestOpened(RoutedRequest request) {
+    openRequests.add(request);
     openRequestCount = openRequests.size();
   }
 
   @Override
-  public void requestClosed(RoutedRequest exchange) {
-    openRequests.remove(exchange);
+  public void requestClosed(RoutedRequest request) {
+    openRequests.remove(request);
     openRequestCount = openRequests.size();
   }
 
@@ -322,9 +336,9 @@
   }
 
   /**
-   * State of a gateway for operators.
+   * State of a gateway, for operators.
    *
-   * @param scheduler host that schedules; empty while the gateway decides alone
+   * @param scheduler host of the current scheduler; empty during local fallback
    */
   public record Dump(
       String name,
--- a/src/main/java/org/curranthaven/internal/relay/HopByHopHeaders.java
+++ b/src/main/java/org/curranthaven/internal/relay/HopByHopHeaders.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * Tells which headers of a message concern one connection only and are not passed on (RFC 9110,
- * section 7.6.1).
+ * Determines the headers of a message that apply to one connection only and are not forwarded (RFC
+ * 9110, section 7.6.1).
  *
  * <pre>{@code
  * Set<String> dropped = HopByHopHeaders.of(request.headers());
@@ -31,7 +31,10 @@
 
   private HopByHopHeaders() {}
 
-  /** Returns the names in lower case, those that the message's own Connection header lists too. */
+  /**
+   * Returns the lower-case names of the hop-by-hop headers, including those that the message's
+   * Connection header lists.
+   */
   public static Set<String> of(HttpHeaders headers) {
     Set<String> names = new HashSet<>(ALWAYS);
     for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
@@ -42,7 +45,7 @@
     return names;
   }
 
-  /** Adds the headers whose names are not among the dropped ones. */
+  /** Copies all headers except those whose lower-case names are in {@code dropped}. */
   public static void copy(HttpHeaders from, HttpHeaders to, Set<String> dropped) {
     from.forEach(
         header -> {
--- a/src/main/java/org/curranthaven/internal/relay/InboundRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/InboundRequest.java
@@ -6,23 +6,24 @@
 import org.curranthaven.internal.transport.wire.PromptPart;
 
 /**
- * A caller's whole request, decoded.
+ * A caller's complete request, decoded.
  *
- * @param id the caller's name for the request; empty when it gave none
- * @param host host name asked for, without a port
+ * @param id id that the caller gave the request; empty if none
+ * @param host requested host name, without port
  * @param uri path and query as the caller sent them
- * @param path path alone
- * @param key key of the workspace; empty when the caller sent none
- * @param deadlineMillis how long the caller waits; 0 when it does not tell
- * @param model model asked for; empty for a plain service
- * @param promptTokens length of the prompt; 0 when unknown
- * @param maxOutputTokens largest output; 0 when unknown
- * @param hintedOutputTokens output that the caller expects; 0 when unknown
+ * @param path path without the query
+ * @param key key of the workspace; empty if the caller sent none
+ * @param deadlineMillis how long the caller waits; 0 if the request does not state it
+ * @param model requested model; empty for a plain service
+ * @param promptTokens length of the prompt; 0 if unknown
+ * @param maxOutputTokens limit on the output; 0 if unknown
+ * @param hintedOutputTokens output length that the caller expects; 0 if unknown
  * @param parts parts of the prompt, in order
- * @param lastEventId event after which the caller wants a stream to go on; empty for all of it
- * @param headers headers that are passed on to the backend server
- * @param body whole body
- * @param keepAlive whether the caller's connection may be used again
+ * @param lastEventId id of the event after which the caller wants a stream to resume; empty for the
+ *     whole stream
+ * @param headers headers that are forwarded to the backend server
+ * @param body complete body
+ * @param keepAlive whether the caller's connection may be reused
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record InboundRequest(
--- a/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
@@ -7,8 +7,8 @@
 import org.tinylog.Logger;
 
 /**
- * Moves one call's run to another engine, and goes on from a copy where the run broke off. Used on
- * the event loop only.
+ * Migrates one running request to another engine, and resumes it from its backup copy after an
+ * interruption. Confined to the event loop.
  */
 final class MigrationCoordinator {
   private final RelayContext context;
@@ -20,39 +20,41 @@
   private boolean resuming;
   private String stateReference = "";
 
-  /** Engine that keeps the stopped run if the other one does not take it over. */
+  /**
+   * Engine that still holds the stopped request if the target does not resume it; empty for none.
+   */
   private String fallbackBackend = "";
 
-  /** Is told where the run goes on. */
+  /** The migrated request: receives the outcome and sends the request on. */
   interface Owner {
-    /** Returns whether the call is over, so that nothing goes on. */
+    /** Returns whether the request has finished, so that it must not be resumed. */
     boolean isFinished();
 
-    /** The run goes on where it is. */
+    /** Handles a failed migration: the request continues on its present engine. */
     void onMigrationFailed();
 
     /**
-     * The run goes on at another engine.
+     * Handles a migration: the request continues on the given engine.
      *
-     * @param newBackup backend server that keeps a copy of it from then on; empty for none
+     * @param newBackup backend server that keeps its backup copy from now on; empty for none
      */
-    void onMigrated(BackendRecord to, String newBackup);
+    void onMigrated(BackendRecord target, String newBackup);
 
-    /** The call is to be sent to an engine that takes the named copy over. */
-    void resumeAt(BackendRecord to, String copyName);
+    /** Sends the request to an engine that resumes it from the referenced state. */
+    void resumeAt(BackendRecord target, String stateReference);
 
-    /** The run is over, and nothing is left to go on from. */
+    /** Handles the loss of the request's state: nothing is left to resume from. */
     void onStateLost(String reason);
   }
 
   MigrationCoordinator(
       RelayContext context,
-      InboundRequest call,
+      InboundRequest request,
       Route route,
       @Nullable EngineCapabilities engine,
       Owner owner) {
     this.context = context;
-    this.request = call;
+    this.request = request;
     this.route = route;
     this.engine = engine;
     this.owner = owner;
@@ -62,7 +64,7 @@
     return transfer != null;
   }
 
-  /** Begins to move the run to another engine. */
+  /** Starts the migration of a running request to another engine. */
   void migrate(Attempt running, BackendRecord target, String newBackup, String backup) {
     transfer =
         new StateTransfer(
@@ -74,30 +76,30 @@
     transfer.start();
   }
 
-  /** Returns whether a run that breaks off may have left a copy to go on from. */
+  /** Returns whether a backup copy may exist from which an interrupted request can resume. */
   boolean mayHaveBackup(String backup) {
     return engine != null && engine.moves() && !route.isRepeatable() && !backup.isEmpty();
   }
 
   /**
-   * Takes in the end of an attempt; returns whether the run goes on for all that.
+   * Handles the end of an attempt; returns whether the request continues nevertheless.
    *
-   * @param backup backend server that keeps a copy of the run; empty for none
+   * @param backup backend server that keeps the backup copy; empty for none
    */
   boolean continuesAfter(Attempt ended, AttemptResult result, String backup) {
     if (transfer != null && result instanceof AttemptResult.Interrupted) {
-      transfer.sourceEnded();
+      transfer.onSourceEnded();
       return true;
     }
-    boolean taking = resuming;
+    boolean wasResuming = resuming;
     resuming = false;
-    boolean refusedThere =
+    boolean targetRejected =
         result instanceof AttemptResult.NotRun || result instanceof AttemptResult.Unreachable;
-    if (taking && refusedThere) {
+    if (wasResuming && targetRejected) {
       resumeAtFallback();
       return true;
     }
-    if (result instanceof AttemptResult.Interrupted && !taking && mayHaveBackup(backup)) {
+    if (result instanceof AttemptResult.Interrupted && !wasResuming && mayHaveBackup(backup)) {
       resumeFromBackup(ended, backup);
       return true;
     }
@@ -105,36 +107,50 @@
   }
 
   private void resumeAtFallback() {
-    BackendRecord stopped = context.backend(fallbackBackend);
+    BackendRecord fallback = context.backend(fallbackBackend);
     fallbackBackend = "";
-    if (stopped == null) {
-      owner.onStateLost("the moved run could not go on");
+    if (fallback == null) {
+      owner.onStateLost(
+          "neither the target of the migration nor its source could resume the request");
       return;
     }
     resuming = true;
-    owner.resumeAt(stopped, stateReference);
+    owner.resumeAt(fallback, stateReference);
   }
 
-  /** Has a run whose connection broke stopped for certain, and goes on from what is left of it. */
-  private void resumeFromBackup(Attempt broken, String backup) {
-    BackendRecord keeper = context.backend(backup);
-    if (keeper == null) {
-      owner.onStateLost("the run broke off and so did its copy");
+  /**
+   * Makes sure that a request whose connection was lost has stopped, and resumes it from the state
+   * that is left.
+   */
+  private void resumeFromBackup(Attempt interruptedAttempt, String backup) {
+    BackendRecord backupBackend = context.backend(backup);
+    if (backupBackend == null) {
+      owner.onStateLost(
+          "the request was interrupted at backend server "
+              + interruptedAttempt.backend().getId()
+              + ", and backend server "
+              + backup
+              + " with the backup copy is unavailable");
       return;
     }
     Logger.info(
-        "call {} of {} broke off at {}", request.id(), route.name(), broken.backend().getId());
+        "request {} on route {}: interrupted at backend server {};"
+            + " resuming with the backup copy at {}",
+        request.id(),
+        route.name(),
+        interruptedAttempt.backend().getId(),
+        backup);
     transfer =
         new StateTransfer(
             context,
             request,
-            broken.backend(),
-            keeper,
-            new RecoveryTransferListener(broken, keeper));
+            interruptedAttempt.backend(),
+            backupBackend,
+            new RecoveryTransferListener(interruptedAttempt, backupBackend));
     transfer.startWithEndedSource();
   }
 
-  /** Goes on where a handover led to. */
+  /** Handles the outcome of the state transfer of a migration. */
   private final class MigrationTransferListener implements StateTransfer.Listener {
     private final Attempt source;
     private final String newBackup;
@@ -153,30 +169,39 @@
         return;
       }
       Logger.info(
-          "call {} of {} stays at {}", request.id(), route.name(), source.backend().getId());
+          "request {} on route {}: migration from backend server {} failed; {}",
+          request.id(),
+          route.name(),
+          source.backend().getId(),
+          sourceEnded ? "the request has stopped there" : "the request continues there");
       if (sourceEnded && !backup.isEmpty()) {
         resumeFromBackup(source, backup);
       } else if (sourceEnded) {
-        owner.onStateLost("the run stopped and could not be moved");
+        owner.onStateLost(
+            "the request stopped at backend server "
+                + source.backend().getId()
+                + " and its state could not be transferred");
       } else {
         owner.onMigrationFailed();
       }
     }
 
     @Override
-    public void onTransferred(BackendRecord to, String copy) {
-      resumeAtTarget(source, to, copy, source.backend().getId(), newBackup);
+    public void onTransferred(BackendRecord target, String newStateReference) {
+      resumeAtTarget(source, target, newStateReference, source.backend().getId(), newBackup);
     }
   }
 
-  /** Goes on from the copy where the run itself could not be had any more. */
+  /**
+   * Resumes from the backup copy if the state of the interrupted request can no longer be fetched.
+   */
   private final class RecoveryTransferListener implements StateTransfer.Listener {
-    private final Attempt interrupted;
+    private final Attempt interruptedAttempt;
     private final BackendRecord backupBackend;
 
-    RecoveryTransferListener(Attempt broken, BackendRecord keeper) {
-      this.interrupted = broken;
-      this.backupBackend = keeper;
+    RecoveryTransferListener(Attempt interruptedAttempt, BackendRecord backupBackend) {
+      this.interruptedAttempt = interruptedAttempt;
+      this.backupBackend = backupBackend;
     }
 
     @Override
@@ -185,29 +210,33 @@
     }
 
     @Override
-    public void onTransferred(BackendRecord to, String copy) {
-      resumeAtTarget(interrupted, to, copy, "", "");
+    public void onTransferred(BackendRecord target, String newStateReference) {
+      resumeAtTarget(interruptedAttempt, target, newStateReference, "", "");
     }
   }
 
-  /** Sends the call to an engine that takes the running request over. */
+  /** Resumes the request at the target of a state transfer. */
   private void resumeAtTarget(
-      Attempt source, BackendRecord to, String copy, String elsewhere, String newBackup) {
+      Attempt source,
+      BackendRecord target,
+      String newStateReference,
+      String newFallbackBackend,
+      String newBackup) {
     transfer = null;
     if (owner.isFinished()) {
       return;
     }
     source.cancel();
     resuming = true;
-    fallbackBackend = elsewhere;
-    stateReference = copy;
+    fallbackBackend = newFallbackBackend;
+    stateReference = newStateReference;
     Logger.info(
-        "call {} of {} moves from {} to {}",
+        "request {} on route {}: migrates from backend server {} to {}",
         request.id(),
         route.name(),
         source.backend().getId(),
-        to.getId());
-    owner.onMigrated(to, newBackup);
-    owner.resumeAt(to, copy);
+        target.getId());
+    owner.onMigrated(target, newBackup);
+    owner.resumeAt(target, newStateReference);
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/RelayContext.java
+++ b/src/main/java/org/curranthaven/internal/relay/RelayContext.java
@@ -8,7 +8,7 @@
 import org.curranthaven.internal.transport.wire.BackendRecord;
 import org.jspecify.annotations.Nullable;
 
-/** What the calls of a gateway share. Used on the event loop only. */
+/** The services and state that all requests of a gateway share. Confined to the event loop. */
 interface RelayContext {
   EventLoop loop();
 
@@ -22,43 +22,48 @@
 
   String dataCentre();
 
-  /** Returns the catalog in force. */
+  /** Returns the active catalog. */
   Catalog catalog();
 
-  /** Returns whether the gateway knows enough to serve. */
+  /**
+   * Returns whether the gateway has received a catalog and the backend servers, which it needs to
+   * serve.
+   */
   boolean isInitialized();
 
-  /** Runs an action once the gateway knows enough to serve, or after the time all the same. */
-  void whenInitialized(Runnable action, long mostMillis);
+  /**
+   * Runs an action once the gateway is initialized, or after the given delay if it still is not.
+   */
+  void whenInitialized(Runnable action, long maxDelayMillis);
 
-  /** Returns whether the gateway is being stopped. */
+  /** Returns whether the gateway is draining. */
   boolean isDraining();
 
   /**
-   * Returns whether a call may still be taken, though the gateway may be being stopped.
+   * Returns whether a request may be accepted, also while the gateway is draining.
    *
-   * @param allowedMillis longest time that the call may take
+   * @param timeoutMillis longest time that the request may take
    */
-  boolean mayAccept(long allowedMillis);
+  boolean mayAccept(long timeoutMillis);
 
-  /** Returns the backend server of the name, or null if it is gone. */
+  /** Returns the backend server with the given id, or null if it is unknown or removed. */
   @Nullable BackendRecord backend(String id);
 
-  /** Returns a new number for a placement. */
+  /** Returns a new id for a placement request. */
   long nextPlacementId();
 
-  /** Returns a number from 0 to 1 for a call's choice of service. */
+  /** Returns a random number from 0 to 1 that selects the service of a request. */
   double nextRandom();
 
-  /** Notes that a call has begun. */
-  void requestOpened(RoutedRequest exchange);
+  /** Records the start of a request. */
+  void requestOpened(RoutedRequest request);
 
-  /** Notes that a call is over. */
-  void requestClosed(RoutedRequest exchange);
+  /** Records the end of a request. */
+  void requestClosed(RoutedRequest request);
 
-  /** Counts a first reply. */
+  /** Records the time of a first reply in the metrics. */
   void recordFirstReply(Route route, long firstReplyMillis);
 
-  /** Counts a failure. */
+  /** Counts a failed request in the metrics. */
   void recordFailure(Route route, ResultCode code);
 }
--- a/src/main/java/org/curranthaven/internal/relay/RelayServer.java
+++ b/src/main/java/org/curranthaven/internal/relay/RelayServer.java
@@ -24,7 +24,10 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** Listens for callers and for the balancer's readiness checks. */
+/**
+ * Listens for callers and for the readiness checks of load balancers. Connections are handled on
+ * the event loop.
+ */
 final class RelayServer {
   private static final int MAX_REQUEST_LINE_BYTES = 16_384;
   private static final int MAX_HEADER_BYTES = 65_536;
@@ -92,12 +95,15 @@
         .sync();
   }
 
-  /** Closes the connections on which no request is being answered. */
+  /** Closes the connections on which no request is being processed or received. */
   void closeIdleConnections() {
     List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
   }
 
-  /** Refuses requests whose framing two readers could understand in two ways. */
+  /**
+   * Rejects requests whose framing is ambiguous, which could otherwise be used for request
+   * smuggling.
+   */
   private static final class StrictRequestDecoder extends HttpRequestDecoder {
     StrictRequestDecoder() {
       super(
@@ -109,11 +115,12 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-      throw new IllegalArgumentException("both a length and chunks are declared");
+      throw new IllegalArgumentException(
+          "the request declares both Content-Length and chunked transfer encoding; send only one");
     }
   }
 
-  /** Tells a connection that bytes arrived, before it is known what they are. */
+  /** Notifies a caller connection of received bytes before they are decoded. */
   private static final class ByteArrivalHandler extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
@@ -128,7 +135,7 @@
     }
   }
 
-  /** Answers readiness checks. */
+  /** Responds to readiness checks. */
   private final class ReadinessHandler extends ChannelInboundHandlerAdapter {
     private final BooleanSupplier ready;
 
--- a/src/main/java/org/curranthaven/internal/relay/RequestPlacer.java
+++ b/src/main/java/org/curranthaven/internal/relay/RequestPlacer.java
@@ -3,35 +3,41 @@
 import org.curranthaven.internal.transport.wire.DispatchOutcome;
 import org.curranthaven.internal.transport.wire.PlacementRequest;
 
-/** Has calls placed on backend servers. Used on the event loop only. */
+/** Requests the placement of requests on backend servers. Confined to the event loop. */
 public interface RequestPlacer {
-  /** Is told where a call runs. */
+  /** A request to place; receives the placement decisions for it. */
   interface PlacementListener {
-    /** The call is to run on a backend server; another one may keep a copy of it. */
+    /**
+     * Handles a placement: the request runs on {@code backend}, and {@code backup}, unless empty,
+     * keeps its backup copy.
+     */
     void onPlaced(String backend, int urgency, String backup);
 
-    /** The call is turned away. */
+    /** Handles the rejection of the request. */
     void onRejected(long retryAfterMillis, String reason);
 
-    /** The running call is to go on at another backend server. */
+    /** Handles a decision to migrate the running request to {@code target}. */
     void onMigrate(String target, String backup);
 
-    /** Returns the call as it was asked for. */
+    /** Returns the placement request. */
     PlacementRequest placementRequest();
 
-    /** Returns the output tokens that have come. */
+    /** Returns the number of output tokens received so far. */
     int outputTokens();
 
-    /** Returns the backend server that the call runs on; empty while it waits. */
+    /** Returns the backend server that the request runs on; empty while it is queued. */
     String backend();
   }
 
-  /** Asks for a place; the answer comes on the event loop, possibly at once. */
-  void requestPlacement(PlacementRequest ask, PlacementListener placed);
+  /**
+   * Requests a placement. The listener is called on the event loop, possibly before this method
+   * returns.
+   */
+  void requestPlacement(PlacementRequest placementRequest, PlacementListener listener);
 
-  /** Notes that the first output of a call has come. */
+  /** Reports the first output of a request. */
   void reportProgress(long id, int outputTokens);
 
-  /** Notes that a call no longer waits, or no longer runs where it was placed. */
+  /** Reports that a request is no longer queued, or no longer runs where it was placed. */
   void reportEnd(long id, DispatchOutcome outcome, int outputTokens);
 }
--- a/src/main/java/org/curranthaven/internal/relay/RequestProgress.java
+++ b/src/main/java/org/curranthaven/internal/relay/RequestProgress.java
@@ -4,8 +4,8 @@
 import org.curranthaven.internal.catalog.Route;
 
 /**
- * How far a call has come: the events passed on, and the times by which it is told whether the
- * route's targets were kept. Used on the event loop only.
+ * Progress of a request: the events forwarded so far, and the times that show whether the targets
+ * of the route were met. Confined to the event loop.
  */
 final class RequestProgress {
   private final Route route;
@@ -20,9 +20,10 @@
   private int migrations;
 
   /**
-   * Begins with a call's arrival.
+   * Creates the progress of a request that has just arrived.
    *
-   * @param lastEventId last event that the caller has from an earlier call; empty for none
+   * @param lastEventId id of the last event that the caller has from an earlier request; empty for
+   *     none
    */
   RequestProgress(Route route, int tokensPerEvent, String lastEventId, long arrivedAtMillis) {
     this.route = route;
@@ -43,7 +44,7 @@
     return eventCount * tokensPerEvent;
   }
 
-  /** Notes that the call was sent to a backend server. */
+  /** Records the transmission of the request to a backend server. */
   void recordSent(long nowMillis) {
     if (sentAtMillis == 0) {
       sentAtMillis = nowMillis;
@@ -55,7 +56,7 @@
     migrations++;
   }
 
-  /** Notes that a part of the answer came. */
+  /** Records the receipt of part of the response. */
   void recordReply(long nowMillis) {
     if (firstReplyAtMillis == 0) {
       firstReplyAtMillis = nowMillis;
@@ -65,51 +66,56 @@
     lastReplyAtMillis = nowMillis;
   }
 
-  /** Returns the time since the last part of the answer, or since the sending. */
+  /** Returns the time since the last part of the response, or since the last transmission. */
   long pauseMillis(long nowMillis) {
     return nowMillis - lastReplyAtMillis;
   }
 
-  /** Notes an event; returns whether the caller does not have it yet. */
+  /**
+   * Records an event unless the caller already has it; returns whether the event is new to the
+   * caller.
+   */
   boolean recordIfNew(EventSplitter.Event event) {
     if (event.id().isEmpty()) {
       return true;
     }
-    boolean repeated = !lastEventId.isEmpty() && compareIds(event.id(), lastEventId) <= 0;
-    if (!repeated) {
+    boolean alreadyReceived = !lastEventId.isEmpty() && compareIds(event.id(), lastEventId) <= 0;
+    if (!alreadyReceived) {
       lastEventId = event.id();
       eventCount++;
     }
-    return !repeated;
+    return !alreadyReceived;
   }
 
   private static int compareIds(String a, String b) {
     return a.length() == b.length() ? a.compareTo(b) : Integer.compare(a.length(), b.length());
   }
 
-  /** Returns the time from the arrival to the first part of the answer; 0 before it. */
+  /**
+   * Returns the time from the arrival to the first part of the response; 0 until it is received.
+   */
   long firstReplyMillis() {
     return firstReplyAtMillis == 0 ? 0 : firstReplyAtMillis - arrivedAtMillis;
   }
 
-  /** Returns whether the call missed a target of its route. */
+  /** Returns whether the request missed a target of its route. */
   boolean isLate() {
-    boolean pausedLong =
+    boolean pauseTooLong =
         route.kind() == Repeatability.STREAM
             && route.gapTargetMillis() > 0
             && longestPauseMillis > route.gapTargetMillis();
-    return pausedLong || firstReplyMillis() > route.targetMillis();
+    return pauseTooLong || firstReplyMillis() > route.targetMillis();
   }
 
-  /** Returns where the time went, for a log line. */
+  /** Returns a summary of the times, for a log line. */
   String timingSummary() {
-    long waited = sentAtMillis == 0 ? 0 : sentAtMillis - arrivedAtMillis;
+    long queuedMillis = sentAtMillis == 0 ? 0 : sentAtMillis - arrivedAtMillis;
     return String.format(
-        "first reply after %d ms (due after %d), %d of them waiting; longest pause %d ms (at most"
-            + " %d); %d moves; %d tokens",
+        "first reply after %d ms (target %d ms), %d ms of them queued; longest pause %d ms (target"
+            + " %d ms); %d migrations; %d output tokens",
         firstReplyMillis(),
         route.targetMillis(),
-        waited,
+        queuedMillis,
         longestPauseMillis,
         route.gapTargetMillis(),
         migrations,
--- a/src/main/java/org/curranthaven/internal/relay/ResponseHead.java
+++ b/src/main/java/org/curranthaven/internal/relay/ResponseHead.java
@@ -1,16 +1,17 @@
 package org.curranthaven.internal.relay;
 
 /**
- * Status and headers of a backend server's answer, decoded.
+ * Status and headers of a backend server's response, decoded.
  *
  * @param status HTTP status
- * @param requestId request that the answer belongs to; empty when it does not tell
- * @param sealed whether the backend server vouches for the answer
- * @param notRun whether it states that the request did not run and never will
- * @param misdirected whether another backend server than the one expected has the address
- * @param eventStream whether the body is a series of events
- * @param keepAliveMillis how long the connection may stay idle; 0 when the answer does not tell
- * @param closesConnection whether the connection ends with the answer
+ * @param requestId id of the request that the response belongs to; empty if not stated
+ * @param sealed whether the response carries the seal header, which proves that it comes from the
+ *     backend server itself
+ * @param notRun whether the response states that the request did not run and will not run
+ * @param misdirected whether the address belongs to another backend server than the expected one
+ * @param eventStream whether the body is an event stream
+ * @param keepAliveMillis how long the connection may stay idle; 0 if not stated
+ * @param closesConnection whether the connection closes after the response
  */
 public record ResponseHead(
     int status,
@@ -21,7 +22,7 @@
     boolean eventStream,
     long keepAliveMillis,
     boolean closesConnection) {
-  /** Returns whether the answer is a success. */
+  /** Returns whether the status is a success (2xx). */
   public boolean isSuccess() {
     return status >= 200 && status < 300;
   }
--- a/src/main/java/org/curranthaven/internal/relay/RetryDecision.java
+++ b/src/main/java/org/curranthaven/internal/relay/RetryDecision.java
@@ -2,14 +2,14 @@
 
 import org.curranthaven.api.ResultCode;
 
-/** What follows an attempt. */
+/** The next step after an attempt. */
 sealed interface RetryDecision {
-  /** The backend server's answer goes to the caller. */
+  /** The backend server's response is delivered to the caller. */
   record Deliver() implements RetryDecision {}
 
-  /** Another backend server gets the call. */
+  /** The request is placed on another backend server. */
   record Retry() implements RetryDecision {}
 
-  /** The caller is told that the call failed. */
+  /** The caller receives an error response with the given code. */
   record Fail(ResultCode code) implements RetryDecision {}
 }
--- a/src/main/java/org/curranthaven/internal/relay/RetryRules.java
+++ b/src/main/java/org/curranthaven/internal/relay/RetryRules.java
@@ -4,9 +4,12 @@
 import org.curranthaven.internal.catalog.Repeatability;
 import org.curranthaven.internal.catalog.Route;
 
-/** Decides what follows an attempt, so that nothing runs more often than its route allows. */
+/**
+ * Decides whether the result of an attempt is delivered, retried or reported as a failure, so that
+ * no request runs more often than its route allows.
+ */
 final class RetryRules {
-  /** Most backend servers that one call is offered to, also where none of them ran it. */
+  /** Limit on the attempts of one request, also if none of the backend servers ran it. */
   static final int MAX_ATTEMPTS = 4;
 
   private static final int MIN_SERVER_ERROR_STATUS = 500;
@@ -15,36 +18,43 @@
   private RetryRules() {}
 
   /**
-   * Returns what follows.
+   * Returns the next step after an attempt.
    *
-   * @param runs attempts that ran or may have, the latest included
-   * @param sends attempts in all, the latest included
-   * @param started whether the caller has got a part of the answer
+   * @param executionCount attempts in which the request ran or may have run, including the latest
+   * @param attemptCount all attempts, including the latest
+   * @param streamStarted whether part of the response has been sent to the caller
    */
   static RetryDecision decide(
-      AttemptResult result, Route route, int runs, int sends, boolean started) {
-    boolean mayOffer = sends < MAX_ATTEMPTS;
-    boolean mayRunAgain = mayOffer && route.isRepeatable() && runs < route.attempts();
+      AttemptResult result,
+      Route route,
+      int executionCount,
+      int attemptCount,
+      boolean streamStarted) {
+    boolean mayTryAnother = attemptCount < MAX_ATTEMPTS;
+    boolean mayRunAgain =
+        mayTryAnother && route.isRepeatable() && executionCount < route.attempts();
     return switch (result) {
       case AttemptResult.Unreachable ignored ->
-          mayOffer ? new RetryDecision.Retry() : new RetryDecision.Fail(ResultCode.NO_BACKEND);
+          mayTryAnother ? new RetryDecision.Retry() : new RetryDecision.Fail(ResultCode.NO_BACKEND);
       case AttemptResult.NotRun ignored ->
-          mayOffer ? new RetryDecision.Retry() : new RetryDecision.Fail(ResultCode.BACKEND_REFUSED);
+          mayTryAnother
+              ? new RetryDecision.Retry()
+              : new RetryDecision.Fail(ResultCode.BACKEND_REFUSED);
       case AttemptResult.Interrupted ignored ->
           mayRunAgain
               ? new RetryDecision.Retry()
               : new RetryDecision.Fail(ResultCode.BACKEND_FAILED);
-      case AttemptResult.Completed answer ->
-          mayRunAgain && isRetryableFailure(answer, route, started)
+      case AttemptResult.Completed completed ->
+          mayRunAgain && isRetryableFailure(completed, route, streamStarted)
               ? new RetryDecision.Retry()
               : new RetryDecision.Deliver();
     };
   }
 
   private static boolean isRetryableFailure(
-      AttemptResult.Completed answer, Route route, boolean started) {
-    int status = answer.head().status();
-    boolean failed = status >= MIN_SERVER_ERROR_STATUS && status != GATEWAY_TIMEOUT;
-    return failed && (!started || route.kind() == Repeatability.STREAM);
+      AttemptResult.Completed completed, Route route, boolean streamStarted) {
+    int status = completed.head().status();
+    boolean serverError = status >= MIN_SERVER_ERROR_STATUS && status != GATEWAY_TIMEOUT;
+    return serverError && (!streamStarted || route.kind() == Repeatability.STREAM);
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
@@ -19,23 +19,29 @@
 import org.tinylog.Logger;
 
 /**
- * One call from its arrival to its final answer: has it placed, sends it, repeats it where its
- * route allows that, and relays the answer. Used on the event loop only.
+ * One request from its arrival to its final response: requests its placement, sends it to a backend
+ * server, retries it where its route allows that, and relays the response. Confined to the event
+ * loop.
  */
 final class RoutedRequest
     implements RequestPlacer.PlacementListener, Attempt.Listener, MigrationCoordinator.Owner {
-  /** Time left below which a call is not sent any more. */
+  /** Time to the deadline below which no further attempt is made. */
   private static final long MIN_ATTEMPT_MILLIS = 5;
 
   private static final long RETRY_AFTER_MILLIS = 500;
 
-  /** Idle time of a connection above which it is not used for a call that may not run twice. */
+  /**
+   * Longest idle time of a connection that is reused for a request that must not run twice. A
+   * longer idle connection may be closed already, and the request would then fail without a retry.
+   */
   private static final long UNREPEATABLE_MAX_IDLE_MILLIS = 250;
 
-  /** Shortest silence after which a call is given up at a backend server. */
+  /** Shortest time without a response after which an attempt is abandoned. */
   private static final long MIN_RESPONSE_TIMEOUT_MILLIS = 600;
 
-  /** Pause of a stream after which its engine is taken for lost: many times an ordinary one. */
+  /**
+   * Pause of a stream after which its engine counts as lost; many times longer than a normal pause.
+   */
   private static final long STREAM_STALL_TIMEOUT_MILLIS = 1_500;
 
   private static final long MIN_CHECK_INTERVAL_MILLIS = 100;
@@ -69,34 +75,36 @@
   RoutedRequest(
       RelayContext context,
       CallerConnection caller,
-      InboundRequest call,
+      InboundRequest request,
       Route route,
       ServiceSpec service,
       String workspace,
       long arrivedAtMillis,
-      long allowedMillis,
+      long timeoutMillis,
       int priority) {
     this.context = context;
     this.caller = caller;
-    this.request = call;
+    this.request = request;
     this.route = route;
     this.service = service;
     this.workspace = workspace;
     this.priority = priority;
     EngineCapabilities engine = service.engine();
     int tokensPerEvent = engine == null ? DEFAULT_TOKENS_PER_EVENT : engine.tokensPerEvent();
-    this.migration = new MigrationCoordinator(context, call, route, engine, this);
-    this.progress = new RequestProgress(route, tokensPerEvent, call.lastEventId(), arrivedAtMillis);
-    this.deadlineAtMillis = arrivedAtMillis + allowedMillis;
-    long left = Math.max(0, deadlineAtMillis - context.clock().nowMillis());
-    this.deadlineTimer = context.loop().schedule(this::onDeadline, left, TimeUnit.MILLISECONDS);
+    this.migration = new MigrationCoordinator(context, request, route, engine, this);
+    this.progress =
+        new RequestProgress(route, tokensPerEvent, request.lastEventId(), arrivedAtMillis);
+    this.deadlineAtMillis = arrivedAtMillis + timeoutMillis;
+    long leftMillis = Math.max(0, deadlineAtMillis - context.clock().nowMillis());
+    this.deadlineTimer =
+        context.loop().schedule(this::onDeadline, leftMillis, TimeUnit.MILLISECONDS);
   }
 
   void start() {
     requestPlacement(false);
   }
 
-  // ---- placing ----------------------------------------------------------------------------------
+  // ---- placement --------------------------------------------------------------------------------
 
   private void requestPlacement(boolean repeat) {
     long nowMillis = context.clock().nowMillis();
@@ -122,11 +130,11 @@
     if (engine != null) {
       builder.addAllParts(request.parts());
     }
-    PlacementRequest built = builder.build();
-    pendingPlacement = built;
+    PlacementRequest newPlacement = builder.build();
+    pendingPlacement = newPlacement;
     placed = false;
     backend = "";
-    context.placer().requestPlacement(built, this);
+    context.placer().requestPlacement(newPlacement, this);
   }
 
   @Override
@@ -146,9 +154,9 @@
 
   @Override
   public void onPlaced(String backendId, int newUrgency, String backupId) {
-    BackendRecord record = context.backend(backendId);
-    long left = deadlineAtMillis - context.clock().nowMillis();
-    if (finished || left < MIN_ATTEMPT_MILLIS) {
+    BackendRecord target = context.backend(backendId);
+    long leftMillis = deadlineAtMillis - context.clock().nowMillis();
+    if (finished || leftMillis < MIN_ATTEMPT_MILLIS) {
       context.placer().reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0);
       return;
     }
@@ -156,83 +164,94 @@
     backend = backendId;
     urgency = newUrgency;
     backup = backupId;
-    if (record == null) {
+    if (target == null) {
       attemptCount++;
-      handleResult(new AttemptResult.Unreachable("the backend server is gone"));
+      handleResult(
+          new AttemptResult.Unreachable("backend server " + backendId + " is no longer known"));
       return;
     }
     Logger.info(
-        "call {} of {} goes to {}, try {}, copy at {}",
+        "request {} on route {}: attempt {} at backend server {} (backup copy at {}),"
+            + " {} ms to deadline",
         request.id(),
         route.name(),
-        backendId,
         attemptCount + 1,
-        backupId.isEmpty() ? "none" : backupId);
-    send(record, "");
+        backendId,
+        backupId.isEmpty() ? "none" : backupId,
+        leftMillis);
+    send(target, "");
   }
 
-  private void send(BackendRecord record, String takeOverFrom) {
+  private void send(BackendRecord target, String stateReference) {
     attemptCount++;
-    BackendRecord keeper = context.backend(backup);
-    Attempt next = new Attempt(record, this);
-    attempt = next;
-    BackendRequest backendCall =
+    BackendRecord backupRecord = context.backend(backup);
+    Attempt newAttempt = new Attempt(target, this);
+    attempt = newAttempt;
+    BackendRequest backendRequest =
         new BackendRequest(
             request,
-            record,
+            target,
             workspace,
             Math.max(1, deadlineAtMillis - context.clock().nowMillis()),
             service.engine() == null ? -1 : urgency,
             progress.lastEventId(),
-            takeOverFrom,
-            keeper != null ? keeper.getAddress() : "");
-    next.start(
+            stateReference,
+            backupRecord != null ? backupRecord.getAddress() : "");
+    newAttempt.start(
         context.pool(),
-        context.protocol().backendRequest(backendCall),
+        context.protocol().backendRequest(backendRequest),
         request.id(),
         route.isRepeatable() ? Long.MAX_VALUE : UNREPEATABLE_MAX_IDLE_MILLIS);
     progress.recordSent(context.clock().nowMillis());
-    scheduleResponseCheck(next);
+    scheduleResponseCheck(newAttempt);
   }
 
   /**
-   * Watches a backend server that may be gone without a sign: a call that may run again is given up
-   * there once its target is missed; a stream of which a copy is kept, after a long pause.
+   * Schedules the detection of a backend server that fails without closing its connection. An
+   * attempt of a repeatable request is abandoned once the first-reply target is missed; an attempt
+   * of a stream with a backup copy, after a long pause.
    */
-  private void scheduleResponseCheck(Attempt watched) {
+  private void scheduleResponseCheck(Attempt watchedAttempt) {
     if (route.isRepeatable() && executionCount + 1 < route.attempts()) {
-      long wait = Math.max(MIN_RESPONSE_TIMEOUT_MILLIS, route.targetMillis());
-      context.loop().schedule(() -> abandonIfUnresponsive(watched), wait, TimeUnit.MILLISECONDS);
+      long timeoutMillis = Math.max(MIN_RESPONSE_TIMEOUT_MILLIS, route.targetMillis());
+      context
+          .loop()
+          .schedule(
+              () -> abandonIfUnresponsive(watchedAttempt, timeoutMillis),
+              timeoutMillis,
+              TimeUnit.MILLISECONDS);
     } else if (migration.mayHaveBackup(backup)) {
       context
           .loop()
           .schedule(
-              () -> abandonIfStalled(watched), STREAM_STALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+              () -> abandonIfStalled(watchedAttempt),
+              STREAM_STALL_TIMEOUT_MILLIS,
+              TimeUnit.MILLISECONDS);
     }
   }
 
-  private void abandonIfUnresponsive(Attempt watched) {
-    if (!finished && watched == attempt && !watched.hasReceivedResponse()) {
-      watched.abandonUnresponsive();
+  private void abandonIfUnresponsive(Attempt watchedAttempt, long timeoutMillis) {
+    if (!finished && watchedAttempt == attempt && !watchedAttempt.hasReceivedResponse()) {
+      watchedAttempt.abandonUnresponsive(timeoutMillis);
     }
   }
 
-  private void abandonIfStalled(Attempt watched) {
-    if (finished || watched != attempt || migration.isMigrating()) {
+  private void abandonIfStalled(Attempt watchedAttempt) {
+    if (finished || watchedAttempt != attempt || migration.isMigrating()) {
       return;
     }
     long pauseMillis = progress.pauseMillis(context.clock().nowMillis());
     if (streamStarted && caller.isWritable() && pauseMillis >= STREAM_STALL_TIMEOUT_MILLIS) {
-      watched.abandonUnresponsive();
+      watchedAttempt.abandonUnresponsive(pauseMillis);
       return;
     }
-    long next =
+    long nextCheckMillis =
         streamStarted ? STREAM_STALL_TIMEOUT_MILLIS - pauseMillis : STREAM_STALL_TIMEOUT_MILLIS;
     context
         .loop()
         .schedule(
-            () -> abandonIfStalled(watched),
-            Math.max(MIN_CHECK_INTERVAL_MILLIS, next),
+            () -> abandonIfStalled(watchedAttempt),
+            Math.max(MIN_CHECK_INTERVAL_MILLIS, nextCheckMillis),
             TimeUnit.MILLISECONDS);
   }
 
@@ -242,22 +261,31 @@
       return;
     }
     if (lastFailedResponse != null) {
-      // A backend server's own failure says more than the lack of another one.
+      // An earlier failure response of a backend server tells the caller more than the rejection of
+      // the retry.
       deliver(lastFailedResponse);
       return;
     }
     if (executionCount > 0) {
-      fail(ResultCode.BACKEND_FAILED, "it may not be sent again (" + reason + ")", 0);
+      fail(
+          ResultCode.BACKEND_FAILED,
+          "the request failed after it may have run, and its retry was rejected (reason "
+              + reason
+              + ")",
+          0);
       return;
     }
-    fail(ResultCode.SHED, "the call was turned away: " + reason, retryAfterMillis);
+    fail(
+        ResultCode.SHED,
+        "the request was rejected before it ran (reason " + reason + "); retry later",
+        retryAfterMillis);
   }
 
-  // ---- answers ----------------------------------------------------------------------------------
+  // ---- responses --------------------------------------------------------------------------------
 
   @Override
-  public void onEvents(Attempt from, HttpResponse response, List<EventSplitter.Event> newEvents) {
-    if (finished || from != attempt) {
+  public void onEvents(Attempt source, HttpResponse response, List<EventSplitter.Event> newEvents) {
+    if (finished || source != attempt) {
       return;
     }
     progress.recordReply(context.clock().nowMillis());
@@ -275,10 +303,13 @@
     if (first && outputTokens() > 0) {
       context.placer().reportProgress(placementId, outputTokens());
     }
-    from.setReading(caller.isWritable());
+    source.setReading(caller.isWritable());
   }
 
-  /** Called when the caller's connection takes more bytes, or none for the moment. */
+  /**
+   * Pauses or resumes reading from the backend server as the caller's connection becomes unwritable
+   * or writable.
+   */
   void onCallerWritabilityChanged(boolean writable) {
     if (attempt != null) {
       attempt.setReading(writable);
@@ -286,11 +317,11 @@
   }
 
   @Override
-  public void onEnded(Attempt from, AttemptResult result) {
-    if (finished || from != attempt) {
+  public void onEnded(Attempt source, AttemptResult result) {
+    if (finished || source != attempt) {
       return;
     }
-    if (!migration.continuesAfter(from, result, backup)) {
+    if (!migration.continuesAfter(source, result, backup)) {
       handleResult(result);
     }
   }
@@ -299,29 +330,29 @@
     if (result instanceof AttemptResult.Completed || result instanceof AttemptResult.Interrupted) {
       executionCount++;
     }
-    RetryDecision step =
+    RetryDecision decision =
         RetryRules.decide(result, route, executionCount, attemptCount, streamStarted);
-    reportEnd(result, step);
+    reportEnd(result, decision);
     attempt = null;
-    switch (step) {
+    switch (decision) {
       case RetryDecision.Deliver ignored -> {
-        if (result instanceof AttemptResult.Completed answer) {
-          deliver(answer);
+        if (result instanceof AttemptResult.Completed completed) {
+          deliver(completed);
         }
       }
       case RetryDecision.Retry ignored -> {
-        if (result instanceof AttemptResult.Completed answer) {
-          lastFailedResponse = answer;
+        if (result instanceof AttemptResult.Completed completed) {
+          lastFailedResponse = completed;
         }
         excludedBackends.add(backend);
-        // A backend server that was never reached has not been asked.
+        // Not a repeat if all backend servers so far were unreachable: none received the request.
         requestPlacement(!(result instanceof AttemptResult.Unreachable) || executionCount > 0);
       }
       case RetryDecision.Fail failure -> fail(failure.code(), describe(result), RETRY_AFTER_MILLIS);
     }
   }
 
-  private void reportEnd(AttemptResult result, RetryDecision step) {
+  private void reportEnd(AttemptResult result, RetryDecision decision) {
     if (!placed) {
       return;
     }
@@ -334,56 +365,66 @@
                   ? DispatchOutcome.DISPATCH_OUTCOME_UNREACHABLE
                   : DispatchOutcome.DISPATCH_OUTCOME_REJECTED;
           case AttemptResult.Interrupted ignored -> DispatchOutcome.DISPATCH_OUTCOME_FAILED;
-          case AttemptResult.Completed answer ->
-              answer.head().status() >= 500
+          case AttemptResult.Completed completed ->
+              completed.head().status() >= 500
                   ? DispatchOutcome.DISPATCH_OUTCOME_FAILED
                   : DispatchOutcome.DISPATCH_OUTCOME_ANSWERED;
         };
     context.placer().reportEnd(placementId, outcome, outputTokens());
-    if (!(result instanceof AttemptResult.Completed) || step instanceof RetryDecision.Retry) {
+    if (!(result instanceof AttemptResult.Completed) || decision instanceof RetryDecision.Retry) {
       Logger.info(
-          "call {} of {} at {}: {}; next: {}",
+          "request {} on route {}: attempt {} at backend server {} ended: {}; next step: {}",
           request.id(),
           route.name(),
+          attemptCount,
           backend,
           describe(result),
-          step.getClass().getSimpleName());
+          decision.getClass().getSimpleName());
     }
   }
 
   private static String describe(AttemptResult result) {
     return switch (result) {
       case AttemptResult.Unreachable unreachable -> unreachable.reason();
-      case AttemptResult.Interrupted broken -> broken.reason();
+      case AttemptResult.Interrupted interrupted -> interrupted.reason();
       case AttemptResult.NotRun notRun ->
-          "the backend server turned it away with status " + notRun.head().status();
-      case AttemptResult.Completed answer -> "status " + answer.head().status();
+          "the backend server rejected the request before it ran, with status "
+              + notRun.head().status();
+      case AttemptResult.Completed completed ->
+          "the backend server responded with status " + completed.head().status();
     };
   }
 
-  private void deliver(AttemptResult.Completed answer) {
+  private void deliver(AttemptResult.Completed completed) {
     if (!streamStarted) {
       progress.recordReply(context.clock().nowMillis());
       finish();
       context.recordFirstReply(route, progress.firstReplyMillis());
-      caller.respond(answer.response(), answer.body());
+      caller.respond(completed.response(), completed.body());
       return;
     }
-    if (answer.head().isSuccess()) {
+    if (completed.head().isSuccess()) {
       finish();
-      if (answer.body().length > 0) {
-        caller.writeStream(answer.body());
+      if (completed.body().length > 0) {
+        caller.writeStream(completed.body());
       }
       caller.endStream();
     } else {
-      fail(ResultCode.BACKEND_FAILED, "the stream could not go on", 0);
+      fail(ResultCode.BACKEND_FAILED, "the stream ended incomplete: " + describe(completed), 0);
     }
   }
 
   private void fail(ResultCode code, String message, long retryAfterMillis) {
     finish();
     context.recordFailure(route, code);
-    Logger.info("call {} of {} failed with {}: {}", request.id(), route.name(), code, message);
+    Logger.info(
+        "request {} on route {} failed with {} after {} attempts and {} ms: {}",
+        request.id(),
+        route.name(),
+        code,
+        attemptCount,
+        context.clock().nowMillis() - progress.arrivedAtMillis(),
+        message);
     if (streamStarted) {
       caller.abort();
     } else {
@@ -399,11 +440,13 @@
     cancelAttempt();
     fail(
         mayHaveRun ? ResultCode.DEADLINE_PASSED : ResultCode.SHED,
-        "its time was up",
+        mayHaveRun
+            ? "the deadline was exceeded after the request may have started to run"
+            : "the deadline was exceeded before the request ran; retry later",
         mayHaveRun ? 0 : RETRY_AFTER_MILLIS);
   }
 
-  /** Called when the caller has gone. */
+  /** Cancels the request when the caller has disconnected. */
   void onCallerDisconnected() {
     if (!finished) {
       cancelAttempt();
@@ -429,29 +472,32 @@
       context.requestClosed(this);
       if (progress.isLate()) {
         Logger.info(
-            "call {} of {} was late: {}", request.id(), route.name(), progress.timingSummary());
+            "request {} on route {} missed a target: {}",
+            request.id(),
+            route.name(),
+            progress.timingSummary());
       }
     }
   }
 
-  // ---- moving a running request -----------------------------------------------------------------
+  // ---- migration --------------------------------------------------------------------------------
 
   @Override
-  public void onMigrate(String target, String newBackup) {
+  public void onMigrate(String targetId, String newBackup) {
     Attempt running = attempt;
-    BackendRecord record = context.backend(target);
+    BackendRecord target = context.backend(targetId);
     if (finished
         || !placed
         || !streamStarted
         || running == null
-        || record == null
+        || target == null
         || migration.isMigrating()) {
       if (!finished && placed) {
         onMigrationFailed();
       }
       return;
     }
-    migration.migrate(running, record, newBackup, backup);
+    migration.migrate(running, target, newBackup, backup);
   }
 
   @Override
@@ -465,11 +511,11 @@
   }
 
   @Override
-  public void onMigrated(BackendRecord to, String newBackup) {
+  public void onMigrated(BackendRecord target, String newBackup) {
     backup = newBackup;
     progress.recordMigration();
-    if (!to.getId().equals(backend)) {
-      backend = to.getId();
+    if (!target.getId().equals(backend)) {
+      backend = target.getId();
       context
           .placer()
           .reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_MOVED, outputTokens());
@@ -477,8 +523,8 @@
   }
 
   @Override
-  public void resumeAt(BackendRecord to, String copyName) {
-    send(to, copyName);
+  public void resumeAt(BackendRecord target, String stateReference) {
+    send(target, stateReference);
   }
 
   @Override
@@ -486,12 +532,12 @@
     handleResult(new AttemptResult.Interrupted(reason));
   }
 
-  /** Returns whether the call is a stream that has begun. */
+  /** Returns whether the request is a stream whose response has started. */
   boolean isStreaming() {
     return streamStarted && route.kind() == Repeatability.STREAM;
   }
 
-  /** Returns the number by which the scheduler knows the call. */
+  /** Returns the id under which the scheduler knows the request. */
   long placementId() {
     return placementId;
   }
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -36,16 +36,18 @@
 import org.tinylog.Logger;
 
 /**
- * A gateway's side of scheduling: follows the scheduler of the highest term, and decides alone, on
- * the gateway's share of the backend servers, while none is heard. Used on the event loop only.
+ * The gateway's client of the scheduler. Follows the scheduler with the highest term; while no
+ * scheduler responds, places requests locally on the gateway's share of the backend servers.
+ * Confined to the event loop.
  */
 final class SchedulerLink implements RequestPlacer {
-  /** Silence after which a scheduler counts as lost. */
+  /** Time without a message after which the scheduler counts as lost. */
   static final long SCHEDULER_TIMEOUT_MILLIS = 450;
 
   /**
-   * Time for a scheduler to answer a call, if only that it waits: many times what an answer takes,
-   * and below the targets of short calls.
+   * Time within which a scheduler must acknowledge a placement request, if only by reporting it as
+   * queued. Many times longer than a normal reply takes, and shorter than the first-reply targets
+   * of short requests.
    */
   static final long PLACEMENT_REPLY_TIMEOUT_MILLIS = 150;
 
@@ -64,7 +66,7 @@
   private final Set<String> removedBackends = new HashSet<>();
   private final Map<Long, Integer> reportedTokens = new HashMap<>();
 
-  /** Calls of which the scheduler has not said yet what becomes of them. */
+  /** Ids of placement requests that the scheduler has neither decided nor reported as queued. */
   private final Set<Long> unacknowledged = new HashSet<>();
 
   private String scheduler = "";
@@ -78,12 +80,12 @@
   private boolean checkScheduled;
   private long lastProgressMillis;
 
-  /** Is told what a scheduler says. */
+  /** Receives the catalogs and backend servers that a scheduler publishes. */
   interface ViewListener {
-    /** A newer catalog document came. */
+    /** Handles a catalog document received from the scheduler. */
     void catalogReceived(byte[] document);
 
-    /** The backend servers changed. */
+    /** Handles a change of the known backend servers. */
     void backendsChanged(Collection<BackendRecord> backends);
   }
 
@@ -104,22 +106,22 @@
     this.listener = listener;
   }
 
-  /** Returns the backend server of the name, or null. */
+  /** Returns the backend server with the given id, or null if it is unknown or removed. */
   @Nullable BackendRecord backend(String id) {
     return backends.get(id);
   }
 
-  /** Returns the names of the backend servers that are known. */
+  /** Returns the ids of the known backend servers, sorted. */
   List<String> backendNames() {
     return backends.keySet().stream().sorted().toList();
   }
 
-  /** Returns whether a scheduler has told its view at least once. */
+  /** Returns whether a scheduler's view has been received at least once. */
   boolean hasReceivedView() {
     return viewReceived;
   }
 
-  /** Returns the host that schedules, or an empty text while the gateway decides alone. */
+  /** Returns the name of the current scheduler, or an empty string during local fallback. */
   String scheduler() {
     return isConnected() ? scheduler : "";
   }
@@ -129,9 +131,9 @@
         && clock.nowMillis() - lastMessageMillis <= SCHEDULER_TIMEOUT_MILLIS;
   }
 
-  // ---- the scheduler's view ---------------------------------------------------------------------
+  // ---- scheduler views --------------------------------------------------------------------------
 
-  /** Takes in a scheduler's view. */
+  /** Handles a view published by a scheduler; ignores views of earlier terms. */
   void handle(String host, SchedulerView view) {
     if (view.getTerm() < term) {
       return;
@@ -142,22 +144,22 @@
       }
       return;
     }
-    boolean changed = view.getTerm() > term || !host.equals(scheduler);
-    boolean returned = !changed && !isConnected();
+    boolean schedulerChanged = view.getTerm() > term || !host.equals(scheduler);
+    boolean reconnected = !schedulerChanged && !isConnected();
     term = view.getTerm();
     scheduler = host;
     lastMessageMillis = clock.nowMillis();
     gatewayCount = Math.max(1, view.getGateways());
-    if (changed) {
+    if (schedulerChanged) {
       viewVersion = 0;
     }
     if (!view.getCatalog().isEmpty()) {
       listener.catalogReceived(view.getCatalog().toByteArray());
     }
-    boolean news = applyBackendUpdate(view);
-    if (changed || returned) {
+    boolean updated = applyBackendUpdate(view);
+    if (schedulerChanged || reconnected) {
       followScheduler();
-    } else if (news || !view.getCatalog().isEmpty()) {
+    } else if (updated || !view.getCatalog().isEmpty()) {
       sendStatus(false);
     }
   }
@@ -179,7 +181,9 @@
     return true;
   }
 
-  /** A complete list replaces what is held, but never brings back what is gone. */
+  /**
+   * Replaces the known backend servers by a complete list, but never restores one that was removed.
+   */
   private void replaceBackends(List<BackendRecord> records) {
     Set<String> listed = new HashSet<>();
     records.forEach(record -> listed.add(record.getId()));
@@ -200,21 +204,28 @@
     backends.remove(id);
   }
 
-  /** Puts a catalog into force for deciding alone, and tells the scheduler. */
-  void activateCatalog(Catalog newer) {
-    catalog = newer;
+  /**
+   * Activates a catalog for local placement. The scheduler learns its revision with the next status
+   * message.
+   */
+  void activateCatalog(Catalog newCatalog) {
+    catalog = newCatalog;
     if (localDispatch != null) {
-      localDispatch.setCatalog(newer);
+      localDispatch.setCatalog(newCatalog);
     }
   }
 
   private void followScheduler() {
-    Logger.info("{} schedules in term {}", scheduler, term);
+    Logger.info(
+        "following scheduler {} in term {} with {} open requests",
+        scheduler,
+        term,
+        openRequests.size());
     localDispatch = null;
     sendStatus(true);
-    for (PlacementListener call : List.copyOf(openRequests.values())) {
-      if (call.backend().isEmpty()) {
-        send(DispatchRequests.newBuilder().addAsks(call.placementRequest()));
+    for (PlacementListener request : List.copyOf(openRequests.values())) {
+      if (request.backend().isEmpty()) {
+        send(DispatchRequests.newBuilder().addAsks(request.placementRequest()));
       }
     }
   }
@@ -228,13 +239,13 @@
             .setFull(full);
     if (full) {
       status.addAllBackends(backends.values()).addAllGone(removedBackends);
-      for (PlacementListener call : openRequests.values()) {
-        if (!call.backend().isEmpty()) {
+      for (PlacementListener request : openRequests.values()) {
+        if (!request.backend().isEmpty()) {
           status.addOpen(
               OpenDispatch.newBuilder()
-                  .setAsk(call.placementRequest())
-                  .setBackend(call.backend())
-                  .setOutputTokens(call.outputTokens()));
+                  .setAsk(request.placementRequest())
+                  .setBackend(request.backend())
+                  .setOutputTokens(request.outputTokens()));
         }
       }
     }
@@ -245,42 +256,53 @@
     sender.accept(scheduler, Envelope.newBuilder().setDispatchRequests(requests.setTerm(term)));
   }
 
-  // ---- calls ------------------------------------------------------------------------------------
+  // ---- requests ---------------------------------------------------------------------------------
 
   @Override
-  public void requestPlacement(PlacementRequest ask, PlacementListener placed) {
-    openRequests.put(ask.getId(), placed);
+  public void requestPlacement(
+      PlacementRequest placementRequest, PlacementListener placementListener) {
+    openRequests.put(placementRequest.getId(), placementListener);
     if (isConnected()) {
-      sendPlacementRequest(ask);
+      sendPlacementRequest(placementRequest);
       scheduleCheck();
     } else {
-      placeLocally(ask);
+      placeLocally(placementRequest);
     }
   }
 
-  private void sendPlacementRequest(PlacementRequest ask) {
-    send(DispatchRequests.newBuilder().addAsks(ask));
-    // A scheduler that rebuilds its state has told no version yet, and answers only after that.
+  private void sendPlacementRequest(PlacementRequest placementRequest) {
+    send(DispatchRequests.newBuilder().addAsks(placementRequest));
+    // A scheduler that is rebuilding its state has sent no view version yet and replies only
+    // afterwards.
     if (viewVersion > 0) {
-      unacknowledged.add(ask.getId());
-      long askedAtMillis = clock.nowMillis();
-      long askedTerm = term;
+      unacknowledged.add(placementRequest.getId());
+      long sentAtMillis = clock.nowMillis();
+      long sentTerm = term;
       loop.schedule(
-          () -> checkAcknowledged(ask, askedTerm, askedAtMillis),
+          () -> checkAcknowledged(placementRequest, sentTerm, sentAtMillis),
           PLACEMENT_REPLY_TIMEOUT_MILLIS,
           TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Decides alone if the scheduler is silent; asks again if only the question was lost. */
-  private void checkAcknowledged(PlacementRequest ask, long askedTerm, long askedAtMillis) {
-    if (!unacknowledged.contains(ask.getId()) || term != askedTerm || !isConnected()) {
+  /**
+   * Starts local fallback if the scheduler has sent nothing since the placement request; sends the
+   * request again if only that message was lost.
+   */
+  private void checkAcknowledged(
+      PlacementRequest placementRequest, long sentTerm, long sentAtMillis) {
+    if (!unacknowledged.contains(placementRequest.getId()) || term != sentTerm || !isConnected()) {
       return;
     }
-    if (lastMessageMillis <= askedAtMillis) {
-      loseScheduler("it does not answer");
+    if (lastMessageMillis <= sentAtMillis) {
+      loseScheduler(
+          "no reply to placement request "
+              + placementRequest.getId()
+              + " within "
+              + PLACEMENT_REPLY_TIMEOUT_MILLIS
+              + " ms");
     } else {
-      sendPlacementRequest(ask);
+      sendPlacementRequest(placementRequest);
     }
   }
 
@@ -301,10 +323,10 @@
 
   @Override
   public void reportEnd(long id, DispatchOutcome outcome, int outputTokens) {
-    boolean over =
+    boolean finished =
         outcome != DispatchOutcome.DISPATCH_OUTCOME_MOVED
             && outcome != DispatchOutcome.DISPATCH_OUTCOME_MOVE_FAILED;
-    if (over) {
+    if (finished) {
       openRequests.remove(id);
       reportedTokens.remove(id);
       unacknowledged.remove(id);
@@ -323,7 +345,7 @@
     }
   }
 
-  /** Takes in what the scheduler decided. */
+  /** Handles the scheduler's decisions; ignores those of another term or host. */
   void handle(String host, DispatchOrders orders) {
     if (orders.getTerm() != term || !host.equals(scheduler)) {
       return;
@@ -332,27 +354,27 @@
     orders.getWaitingList().forEach(unacknowledged::remove);
     for (Placement placement : orders.getPlacementsList()) {
       unacknowledged.remove(placement.getId());
-      PlacementListener call = openRequests.get(placement.getId());
-      if (call != null && call.backend().isEmpty()) {
-        call.onPlaced(placement.getBackend(), placement.getUrgency(), placement.getBackup());
+      PlacementListener request = openRequests.get(placement.getId());
+      if (request != null && request.backend().isEmpty()) {
+        request.onPlaced(placement.getBackend(), placement.getUrgency(), placement.getBackup());
       }
     }
-    for (Refusal refusal : orders.getRefusalsList()) {
-      unacknowledged.remove(refusal.getId());
-      PlacementListener call = openRequests.remove(refusal.getId());
-      if (call != null) {
-        call.onRejected(refusal.getRetryAfterMillis(), refusal.getReason());
+    for (Refusal rejection : orders.getRefusalsList()) {
+      unacknowledged.remove(rejection.getId());
+      PlacementListener request = openRequests.remove(rejection.getId());
+      if (request != null) {
+        request.onRejected(rejection.getRetryAfterMillis(), rejection.getReason());
       }
     }
-    for (Move move : orders.getMovesList()) {
-      PlacementListener call = openRequests.get(move.getId());
-      if (call != null) {
-        call.onMigrate(move.getTarget(), move.getBackup());
+    for (Move migration : orders.getMovesList()) {
+      PlacementListener request = openRequests.get(migration.getId());
+      if (request != null) {
+        request.onMigrate(migration.getTarget(), migration.getBackup());
       }
     }
   }
 
-  // ---- deciding alone ---------------------------------------------------------------------------
+  // ---- local fallback ---------------------------------------------------------------------------
 
   private void scheduleCheck() {
     if (!checkScheduled) {
@@ -364,7 +386,7 @@
   private void check() {
     checkScheduled = false;
     if (!scheduler.isEmpty() && !isConnected()) {
-      loseScheduler("it is silent");
+      loseScheduler("no message within " + SCHEDULER_TIMEOUT_MILLIS + " ms");
     }
     if (localDispatch != null) {
       localDispatch.tick(clock.nowMillis());
@@ -384,8 +406,8 @@
     lastProgressMillis = nowMillis;
     DispatchRequests.Builder requests = DispatchRequests.newBuilder();
     openRequests.forEach(
-        (id, call) -> {
-          int tokens = call.outputTokens();
+        (id, request) -> {
+          int tokens = request.outputTokens();
           if (tokens > reportedTokens.getOrDefault(id, 0)) {
             reportedTokens.put(id, tokens);
             requests.addProgress(progress(id, tokens));
@@ -397,16 +419,23 @@
   }
 
   private void loseScheduler(String reason) {
-    Logger.info("scheduler {} is lost: {}; deciding alone", scheduler, reason);
+    Logger.info(
+        "scheduler {} of term {} lost: {} (last message {} ms ago);"
+            + " placing {} open requests locally",
+        scheduler,
+        term,
+        reason,
+        clock.nowMillis() - lastMessageMillis,
+        openRequests.size());
     scheduler = "";
     unacknowledged.clear();
     startLocalFallback();
   }
 
-  /** Called when the connection to a host is gone. */
+  /** Handles the loss of the connection to a host. */
   void disconnected(String host) {
     if (host.equals(scheduler)) {
-      loseScheduler("its connection is gone");
+      loseScheduler("connection lost");
     }
   }
 
@@ -416,34 +445,36 @@
     localDispatch = core;
     core.setCatalog(catalog);
     backends.values().forEach(record -> core.updateBackend(record, nowMillis));
-    List<PlacementRequest> waiting = new ArrayList<>();
+    List<PlacementRequest> queued = new ArrayList<>();
     openRequests.forEach(
-        (id, call) -> {
-          if (call.backend().isEmpty()) {
-            waiting.add(call.placementRequest());
+        (id, request) -> {
+          if (request.backend().isEmpty()) {
+            queued.add(request.placementRequest());
           } else {
             core.restoreRunning(
                 requestId(id),
-                call.placementRequest(),
-                call.backend(),
-                call.outputTokens(),
+                request.placementRequest(),
+                request.backend(),
+                request.outputTokens(),
                 nowMillis);
           }
         });
-    waiting.forEach(ask -> core.submit(requestId(ask.getId()), ask, nowMillis));
+    queued.forEach(
+        placementRequest ->
+            core.submit(requestId(placementRequest.getId()), placementRequest, nowMillis));
     loop.execute(this::applyLocalDecisions);
     scheduleCheck();
     return core;
   }
 
-  private void placeLocally(PlacementRequest ask) {
+  private void placeLocally(PlacementRequest placementRequest) {
     DispatchCore core = localDispatch;
     if (core == null) {
-      // The new call is among those that wait.
+      // startLocalFallback submits the new request with the other open requests.
       startLocalFallback();
       return;
     }
-    core.submit(requestId(ask.getId()), ask, clock.nowMillis());
+    core.submit(requestId(placementRequest.getId()), placementRequest, clock.nowMillis());
     loop.execute(this::applyLocalDecisions);
     scheduleCheck();
   }
@@ -458,18 +489,19 @@
       return;
     }
     for (DispatchDecision decision : core.drainDecisions()) {
-      PlacementListener call = openRequests.get(decision.key().id());
-      if (call == null) {
+      PlacementListener request = openRequests.get(decision.key().id());
+      if (request == null) {
         continue;
       }
       switch (decision) {
-        case DispatchDecision.Place place ->
-            call.onPlaced(place.backend(), place.urgency(), place.backup());
-        case DispatchDecision.Reject refuse -> {
-          openRequests.remove(refuse.key().id());
-          call.onRejected(refuse.retryAfterMillis(), refuse.reason().name());
+        case DispatchDecision.Place placement ->
+            request.onPlaced(placement.backend(), placement.urgency(), placement.backup());
+        case DispatchDecision.Reject reject -> {
+          openRequests.remove(reject.key().id());
+          request.onRejected(reject.retryAfterMillis(), reject.reason().name());
         }
-        case DispatchDecision.Migrate move -> call.onMigrate(move.target(), move.backup());
+        case DispatchDecision.Migrate migration ->
+            request.onMigrate(migration.target(), migration.backup());
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
+++ b/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
@@ -9,20 +9,23 @@
 import org.tinylog.Logger;
 
 /**
- * Moves the state of a running request to another engine: copies while the run goes on, then stops
- * it and copies what is new. Used on the event loop only.
+ * Transfers the state of a running request to another engine: copies it while the request runs,
+ * then stops the request and copies what has been added. Confined to the event loop.
  */
 final class StateTransfer {
   private static final int OK = 200;
   private static final long MAX_CONNECTION_IDLE_MILLIS = 250;
 
-  /** Longest time for one copy; after it the move is given up. */
+  /** Timeout of one copy, after which the transfer fails. */
   private static final long COPY_TIMEOUT_MILLIS = 4_000;
 
-  /** Longest time for an engine that broke off to answer whether the run still goes on. */
+  /**
+   * Timeout of the stop request to an engine whose connection was lost while the request may still
+   * run there.
+   */
   private static final long STOP_TIMEOUT_MILLIS = 600;
 
-  /** Time after the last copy for which the rest of the source's stream is awaited. */
+  /** Time after the final copy during which the rest of the source's stream is awaited. */
   private static final long SOURCE_END_TIMEOUT_MILLIS = 400;
 
   private final RelayContext context;
@@ -39,26 +42,32 @@
   private String stateReference = "";
   private BackendRecord destination;
 
-  /** Is told how the handover ended. */
+  /** Receives the outcome of a state transfer. */
   interface Listener {
-    /** The run stays where it is, or is over if {@code sourceEnded}. */
+    /**
+     * Handles a failed transfer. The request continues at the source, or has ended there if {@code
+     * sourceEnded}.
+     */
     void onTransferFailed(boolean sourceEnded);
 
-    /** The run goes on from the named copy at another engine, or at the source itself. */
-    void onTransferred(BackendRecord to, String copyName);
+    /**
+     * Handles a successful transfer: the request can resume from the referenced state at the given
+     * engine, which may be the source itself.
+     */
+    void onTransferred(BackendRecord target, String stateReference);
   }
 
   StateTransfer(
       RelayContext context,
-      InboundRequest call,
+      InboundRequest request,
       BackendRecord source,
       BackendRecord target,
-      Listener owner) {
+      Listener listener) {
     this.context = context;
-    this.request = call;
+    this.request = request;
     this.source = source;
     this.target = target;
-    this.listener = owner;
+    this.listener = listener;
     this.destination = target;
   }
 
@@ -67,7 +76,10 @@
     requestCopy(false, this::onFirstCopy);
   }
 
-  /** Starts with a run whose stream has ended already: it is stopped for certain first. */
+  /**
+   * Starts a transfer whose source stream has ended already; makes sure first that the request has
+   * stopped.
+   */
   void startWithEndedSource() {
     copyTimeoutMillis = STOP_TIMEOUT_MILLIS;
     startedAtMillis = context.clock().nowMillis();
@@ -77,22 +89,22 @@
     requestCopy(true, this::onFinalCopy);
   }
 
-  /** Called when the source's stream has ended without its end. */
-  void sourceEnded() {
+  /** Handles the interruption of the source's stream before its final event. */
+  void onSourceEnded() {
     sourceEnded = true;
     if (!stateReference.isEmpty()) {
-      finishMoved();
+      finishTransferred();
     } else if (!stopping) {
-      finishNotMoved();
+      finishFailed();
     }
   }
 
-  private void onFirstCopy(TransferResponse answer) {
+  private void onFirstCopy(TransferResponse response) {
     if (finished) {
       return;
     }
-    if (answer.status() != OK) {
-      finishNotMoved();
+    if (response.status() != OK) {
+      finishFailed();
       return;
     }
     stopping = true;
@@ -100,44 +112,50 @@
     requestCopy(true, this::onFinalCopy);
   }
 
-  private void onFinalCopy(TransferResponse answer) {
+  private void onFinalCopy(TransferResponse response) {
     if (finished) {
       return;
     }
-    if (answer.handle().isEmpty()) {
-      finishNotMoved();
+    if (response.handle().isEmpty()) {
+      finishFailed();
       return;
     }
-    stateReference = context.protocol().stateReference(source, answer.handle());
-    destination = answer.status() == OK ? target : source;
+    stateReference = context.protocol().stateReference(source, response.handle());
+    destination = response.status() == OK ? target : source;
     if (sourceEnded) {
-      finishMoved();
+      finishTransferred();
     } else {
-      context.loop().schedule(this::finishMoved, SOURCE_END_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+      context
+          .loop()
+          .schedule(this::finishTransferred, SOURCE_END_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void finishMoved() {
+  private void finishTransferred() {
     if (!finished) {
       finished = true;
       Logger.info(
-          "call {}: copied in {} ms, stopped and copied in {} ms",
+          "request {}: state transferred from backend server {} to {}, first copy {} ms,"
+              + " stop and final copy {} ms",
           request.id(),
+          source.getId(),
+          destination.getId(),
           stopRequestedAtMillis - startedAtMillis,
           context.clock().nowMillis() - stopRequestedAtMillis);
       listener.onTransferred(destination, stateReference);
     }
   }
 
-  private void finishNotMoved() {
+  private void finishFailed() {
     if (!finished) {
       finished = true;
       listener.onTransferFailed(sourceEnded);
     }
   }
 
-  private void requestCopy(boolean last, Consumer<TransferResponse> consumer) {
-    FullHttpRequest copyRequest = context.protocol().transferRequest(request, source, target, last);
+  private void requestCopy(boolean finalCopy, Consumer<TransferResponse> consumer) {
+    FullHttpRequest copyRequest =
+        context.protocol().transferRequest(request, source, target, finalCopy);
     context
         .pool()
         .acquire(
@@ -149,16 +167,20 @@
                 consumer.accept(new TransferResponse(0, ""));
                 return;
               }
-              CopyResponseListener answer = new CopyResponseListener(consumer);
-              connection.send(copyRequest, request.id(), answer);
+              CopyResponseListener responseListener = new CopyResponseListener(consumer);
+              connection.send(copyRequest, request.id(), responseListener);
               context
                   .loop()
                   .schedule(
-                      () -> answer.onTimeout(connection), copyTimeoutMillis, TimeUnit.MILLISECONDS);
+                      () -> responseListener.onTimeout(connection),
+                      copyTimeoutMillis,
+                      TimeUnit.MILLISECONDS);
             });
   }
 
-  /** Collects the answer to one order. */
+  /**
+   * Collects the response to one copy request; reports status 0 after a connection loss or timeout.
+   */
   private final class CopyResponseListener implements BackendConnection.ResponseListener {
     private final Consumer<TransferResponse> consumer;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/src/main/java/org/curranthaven/internal/relay/TransferResponse.java
+++ b/src/main/java/org/curranthaven/internal/relay/TransferResponse.java
@@ -1,9 +1,9 @@
 package org.curranthaven.internal.relay;
 
 /**
- * An engine's answer to an order to copy a running request elsewhere.
+ * An engine's response to a request to copy a running request's state to another engine.
  *
- * @param status HTTP status
- * @param handle name under which the copy can be used; empty when there is none
+ * @param status HTTP status; 0 if no response was received
+ * @param handle handle under which the copied state can be used; empty if there is none
  */
 public record TransferResponse(int status, String handle) {}
--- a/src/main/java/org/curranthaven/internal/relay/WireProtocol.java
+++ b/src/main/java/org/curranthaven/internal/relay/WireProtocol.java
@@ -7,35 +7,39 @@
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
 /**
- * Translates between the words of one platform and this system's types; decides nothing. An
- * implementation is found by its name as a service of {@link java.util.ServiceLoader}.
+ * Translates between the HTTP messages of one platform and the types of this system; makes no
+ * decisions. Implementations are loaded by {@link java.util.ServiceLoader} and selected by name.
  */
 public interface WireProtocol {
-  /** Returns the name under which settings choose the protocol. */
+  /** Returns the name by which the settings select the protocol. */
   String name();
 
-  /** Returns the reader of catalog documents. */
+  /** Returns the codec for catalog documents. */
   CatalogCodec catalogs();
 
-  /** Reads a caller's request; fails if it cannot be understood. */
+  /** Decodes a caller's request; fails if it is invalid. */
   Outcome<InboundRequest> readRequest(FullHttpRequest request);
 
-  /** Writes a call to a backend server. */
-  FullHttpRequest backendRequest(BackendRequest call);
+  /** Encodes a request to a backend server. */
+  FullHttpRequest backendRequest(BackendRequest request);
 
-  /** Reads the status and headers of a backend server's answer. */
+  /** Decodes the status and headers of a backend server's response. */
   ResponseHead readResponseHead(HttpResponse response);
 
-  /** Writes an order to copy a running request to another backend server. */
+  /**
+   * Encodes a request to the source to copy the state of a running request to the target.
+   *
+   * @param finalCopy whether the source stops the request before it copies the rest of its state
+   */
   FullHttpRequest transferRequest(
-      InboundRequest call, BackendRecord source, BackendRecord target, boolean last);
+      InboundRequest request, BackendRecord source, BackendRecord target, boolean finalCopy);
 
-  /** Reads the answer to such an order. */
+  /** Decodes the response to a state transfer request. */
   TransferResponse readTransferResponse(int status, byte[] body);
 
-  /** Returns how a copy is named in {@link BackendRequest#stateReference}. */
+  /** Returns the reference to transferred state for {@link BackendRequest#stateReference}. */
   String stateReference(BackendRecord source, String handle);
 
-  /** Reads a call of a backend server or an operator to the control interface. */
+  /** Decodes a request of a backend server or an operator to the control interface. */
   ControlRequest readControlRequest(FullHttpRequest request);
 }
--- a/src/test/java/org/curranthaven/internal/relay/CallerConnectionTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/CallerConnectionTest.java
@@ -16,18 +16,21 @@
 import org.curranthaven.internal.catalog.Catalog;
 import org.junit.jupiter.api.Test;
 
-/** A gateway that has just started, on given time: what becomes of calls before it knows enough. */
+/**
+ * Tests how a gateway that has just started handles requests that arrive before the catalog, on
+ * manual time.
+ */
 class CallerConnectionTest {
   private static final long LONG_DEADLINE_MILLIS = 39_000;
   private static final long SHORT_DEADLINE_MILLIS = 600;
 
   private final ManualTime time = new ManualTime();
-  private final DeferredActions awaiting = new DeferredActions(time.loop());
-  private boolean informed;
+  private final DeferredActions deferredActions = new DeferredActions(time.loop());
+  private boolean initialized;
   private long deadlineMillis = LONG_DEADLINE_MILLIS;
   private final EmbeddedChannel caller = new EmbeddedChannel(new CallerConnection(context()));
 
-  /** A context that has an empty catalog: every call that is routed gets status 404. */
+  /** Returns a context with an empty catalog, with which every routed request gets status 404. */
   private RelayContext context() {
     return (RelayContext)
         Proxy.newProxyInstance(
@@ -39,10 +42,10 @@
                   case "clock" -> time;
                   case "catalog" -> Catalog.empty();
                   case "protocol" -> protocol();
-                  case "isInitialized" -> informed;
+                  case "isInitialized" -> initialized;
                   case "isDraining" -> false;
                   case "whenInitialized" -> {
-                    awaiting.defer((Runnable) arguments[0], (long) arguments[1]);
+                    deferredActions.defer((Runnable) arguments[0], (long) arguments[1]);
                     yield null;
                   }
                   default -> throw new UnsupportedOperationException(method.getName());
@@ -56,13 +59,13 @@
             new Class<?>[] {WireProtocol.class},
             (proxy, method, arguments) -> {
               if (method.getName().equals("readRequest")) {
-                return Outcome.success(call((FullHttpRequest) arguments[0]));
+                return Outcome.success(inboundRequest((FullHttpRequest) arguments[0]));
               }
               throw new UnsupportedOperationException(method.getName());
             });
   }
 
-  private InboundRequest call(FullHttpRequest request) {
+  private InboundRequest inboundRequest(FullHttpRequest request) {
     return new InboundRequest(
         "id",
         "here",
@@ -91,19 +94,19 @@
     return response == null ? 0 : response.status().code();
   }
 
-  private void becomeInformed() {
-    informed = true;
-    awaiting.runPending();
+  private void initialize() {
+    initialized = true;
+    deferredActions.runPending();
     time.advance(10);
   }
 
   @Test
-  void a_call_that_comes_before_the_catalog_is_served_once_the_catalog_is_there() {
+  void a_request_that_arrives_before_the_catalog_is_served_once_the_catalog_is_received() {
     send();
     time.advance(500);
     assertThat(status()).isZero();
 
-    becomeInformed();
+    initialize();
 
     assertThat(status()).isEqualTo(404);
     time.advance(2_000);
@@ -111,20 +114,20 @@
   }
 
   @Test
-  void a_call_is_turned_away_when_no_catalog_comes() {
+  void a_request_is_rejected_when_no_catalog_is_received_in_time() {
     send();
     time.advance(2_000);
 
     FullHttpResponse response = caller.readOutbound();
     assertThat(response.status().code()).isEqualTo(503);
     assertThat(response.headers().contains(HttpHeaderNames.RETRY_AFTER)).isTrue();
-    assertThat(awaiting.size()).isZero();
-    becomeInformed();
+    assertThat(deferredActions.size()).isZero();
+    initialize();
     assertThat(status()).isZero();
   }
 
   @Test
-  void a_call_with_little_time_is_turned_away_at_once() {
+  void a_request_with_a_short_deadline_is_rejected_at_once() {
     deadlineMillis = SHORT_DEADLINE_MILLIS;
 
     send();
@@ -133,11 +136,11 @@
   }
 
   @Test
-  void a_caller_that_left_meanwhile_gets_nothing() {
+  void a_caller_that_has_disconnected_gets_no_response() {
     send();
     caller.close();
 
-    becomeInformed();
+    initialize();
 
     assertThat(status()).isZero();
   }
--- a/src/test/java/org/curranthaven/internal/relay/EventSplitterTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/EventSplitterTest.java
@@ -15,28 +15,30 @@
   }
 
   @Test
-  void events_are_whole_however_the_bytes_are_cut() {
+  void events_are_complete_however_the_bytes_are_split() {
     byte[] stream =
         bytes("id: 1\ndata: a\n\nweight: 2\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\n");
-    for (int piece = 1; piece <= stream.length; piece++) {
-      EventSplitter cut = new EventSplitter();
+    for (int pieceLength = 1; pieceLength <= stream.length; pieceLength++) {
+      EventSplitter pieceSplitter = new EventSplitter();
       List<String> ids = new ArrayList<>();
       StringBuilder text = new StringBuilder();
-      for (int at = 0; at < stream.length; at += piece) {
-        byte[] part = java.util.Arrays.copyOfRange(stream, at, Math.min(stream.length, at + piece));
-        for (EventSplitter.Event event : cut.add(part)) {
+      for (int offset = 0; offset < stream.length; offset += pieceLength) {
+        byte[] piece =
+            java.util.Arrays.copyOfRange(
+                stream, offset, Math.min(stream.length, offset + pieceLength));
+        for (EventSplitter.Event event : pieceSplitter.add(piece)) {
           ids.add(event.id());
           text.append(new String(event.bytes(), StandardCharsets.UTF_8));
         }
       }
-      assertThat(ids).as("pieces of %d bytes", piece).containsExactly("1", "2", "3");
+      assertThat(ids).as("pieces of %d bytes", pieceLength).containsExactly("1", "2", "3");
       assertThat(text.toString()).isEqualTo(new String(stream, StandardCharsets.UTF_8));
-      assertThat(cut.remainder()).isEmpty();
+      assertThat(pieceSplitter.remainder()).isEmpty();
     }
   }
 
   @Test
-  void an_event_that_is_cut_short_is_kept_back() {
+  void an_incomplete_event_is_buffered() {
     List<EventSplitter.Event> events = splitter.add(bytes("id: 1\ndata: a\n\nid: 2\ndat"));
 
     assertThat(events).extracting(EventSplitter.Event::id).containsExactly("1");
--- a/src/test/java/org/curranthaven/internal/relay/ManualTime.java
+++ b/src/test/java/org/curranthaven/internal/relay/ManualTime.java
@@ -12,19 +12,19 @@
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowMillis = 1_000;
 
-  /** Creates the loop with its time standing still. */
+  /** Creates the event loop and freezes its time. */
   public ManualTime() {
     channel.freezeTime();
   }
 
-  /** Returns the loop. */
+  /** Returns the event loop. */
   public EventLoop loop() {
     return channel.eventLoop();
   }
 
-  /** Lets time pass, and runs what becomes due. */
+  /** Advances the time in small steps, and runs the tasks that become due. */
   public void advance(long millis) {
-    for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
+    for (long advancedMillis = 0; advancedMillis < millis; advancedMillis += STEP_MILLIS) {
       nowMillis += STEP_MILLIS;
       channel.advanceTimeBy(STEP_MILLIS, TimeUnit.MILLISECONDS);
       channel.runScheduledPendingTasks();
--- a/src/test/java/org/curranthaven/internal/relay/RequestProgressTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/RequestProgressTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void a_call_whose_first_reply_and_pauses_keep_the_targets_is_not_late() {
+  void a_request_whose_first_reply_and_pauses_meet_the_targets_is_not_late() {
     progress.recordSent(1_100);
     progress.recordReply(2_500);
     progress.recordReply(2_680);
@@ -41,17 +41,17 @@
   }
 
   @Test
-  void a_first_reply_after_the_target_is_late_whatever_part_of_it_was_waiting() {
+  void a_first_reply_after_the_target_is_late_even_if_most_of_the_time_was_spent_queued() {
     progress.recordSent(2_400);
     progress.recordReply(2_501);
 
     assertThat(progress.isLate()).isTrue();
     assertThat(progress.timingSummary())
-        .contains("first reply after 1501 ms", "1400 of them waiting");
+        .contains("first reply after 1501 ms", "1400 ms of them queued");
   }
 
   @Test
-  void a_pause_above_the_target_is_late() {
+  void a_pause_longer_than_the_target_is_late() {
     progress.recordSent(1_000);
     progress.recordReply(1_200);
     progress.recordReply(1_381);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void an_event_that_the_caller_has_is_not_new_and_not_counted() {
+  void an_event_that_the_caller_already_has_is_neither_new_nor_counted() {
     assertThat(progress.recordIfNew(event("9"))).isTrue();
     assertThat(progress.recordIfNew(event("10"))).isTrue();
     assertThat(progress.recordIfNew(event("9"))).isFalse();
--- a/src/test/java/org/curranthaven/internal/relay/RetryRulesTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/RetryRulesTest.java
@@ -29,7 +29,7 @@
         List.of(new ServiceWeight("s", 1)));
   }
 
-  private static AttemptResult answered(int status) {
+  private static AttemptResult completed(int status) {
     return new AttemptResult.Completed(
         head(status, false),
         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status)),
@@ -40,22 +40,22 @@
     return new ResponseHead(status, "id", true, notRun, false, false, 0, false);
   }
 
-  private static final AttemptResult BROKEN = new AttemptResult.Interrupted("reset");
+  private static final AttemptResult INTERRUPTED = new AttemptResult.Interrupted("reset");
   private static final AttemptResult NOT_RUN = new AttemptResult.NotRun(head(503, true));
   private static final AttemptResult UNREACHABLE = new AttemptResult.Unreachable("refused");
 
   @Test
-  void what_may_not_repeat_is_never_sent_again_once_it_may_have_run() {
+  void an_unrepeatable_request_is_never_retried_once_it_may_have_run() {
     Route route = route(Repeatability.NON_IDEMPOTENT, 3, false);
 
-    assertThat(RetryRules.decide(BROKEN, route, 1, 1, false))
+    assertThat(RetryRules.decide(INTERRUPTED, route, 1, 1, false))
         .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
-    assertThat(RetryRules.decide(answered(500), route, 1, 1, false))
+    assertThat(RetryRules.decide(completed(500), route, 1, 1, false))
         .isEqualTo(new RetryDecision.Deliver());
   }
 
   @Test
-  void what_provably_did_not_run_is_offered_elsewhere() {
+  void a_request_that_provably_did_not_run_is_retried_on_another_backend_server() {
     Route route = route(Repeatability.NON_IDEMPOTENT, 1, false);
 
     assertThat(RetryRules.decide(NOT_RUN, route, 0, 1, false)).isEqualTo(new RetryDecision.Retry());
@@ -64,40 +64,40 @@
   }
 
   @Test
-  void an_idempotent_call_runs_at_most_as_often_as_its_route_allows() {
+  void an_idempotent_request_runs_at_most_as_often_as_its_route_allows() {
     Route route = route(Repeatability.IDEMPOTENT, 2, false);
 
-    assertThat(RetryRules.decide(answered(500), route, 1, 1, false))
+    assertThat(RetryRules.decide(completed(500), route, 1, 1, false))
         .isEqualTo(new RetryDecision.Retry());
-    assertThat(RetryRules.decide(answered(500), route, 2, 2, false))
+    assertThat(RetryRules.decide(completed(500), route, 2, 2, false))
         .isEqualTo(new RetryDecision.Deliver());
-    assertThat(RetryRules.decide(BROKEN, route, 2, 2, false))
+    assertThat(RetryRules.decide(INTERRUPTED, route, 2, 2, false))
         .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
   }
 
   @Test
-  void a_stream_is_run_again_only_where_it_may_resume() {
-    assertThat(RetryRules.decide(BROKEN, route(Repeatability.STREAM, 2, true), 1, 1, true))
+  void a_stream_is_retried_only_if_it_is_resumable() {
+    assertThat(RetryRules.decide(INTERRUPTED, route(Repeatability.STREAM, 2, true), 1, 1, true))
         .isEqualTo(new RetryDecision.Retry());
-    assertThat(RetryRules.decide(BROKEN, route(Repeatability.STREAM, 2, false), 1, 1, true))
+    assertThat(RetryRules.decide(INTERRUPTED, route(Repeatability.STREAM, 2, false), 1, 1, true))
         .isEqualTo(new RetryDecision.Fail(ResultCode.BACKEND_FAILED));
   }
 
   @Test
-  void a_call_that_no_backend_server_took_is_said_not_to_have_run() {
+  void a_request_that_no_backend_server_accepted_is_reported_as_not_run() {
     Route route = route(Repeatability.NON_IDEMPOTENT, 1, false);
 
-    RetryDecision.Fail refused =
+    RetryDecision.Fail failure =
         (RetryDecision.Fail) RetryRules.decide(NOT_RUN, route, 0, RetryRules.MAX_ATTEMPTS, false);
 
-    assertThat(refused.code().ran()).isEqualTo(org.curranthaven.api.Ran.NO);
+    assertThat(failure.code().ran()).isEqualTo(org.curranthaven.api.Ran.NO);
   }
 
   @Test
-  void a_backend_servers_own_time_limit_is_passed_on() {
+  void a_gateway_timeout_of_a_backend_server_is_delivered_without_a_retry() {
     assertThat(
             RetryRules.decide(
-                answered(504), route(Repeatability.IDEMPOTENT, 2, false), 1, 1, false))
+                completed(504), route(Repeatability.IDEMPOTENT, 2, false), 1, 1, false))
         .isEqualTo(new RetryDecision.Deliver());
   }
 }
--- a/src/test/java/org/curranthaven/internal/relay/SchedulerLinkTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/SchedulerLinkTest.java
@@ -35,13 +35,13 @@
             public void backendsChanged(Collection<BackendRecord> backends) {}
           });
 
-  /** A call that notes where it was placed. */
+  /** A request that records where it was placed. */
   private static final class RecordingListener implements RequestPlacer.PlacementListener {
-    private final PlacementRequest ask;
+    private final PlacementRequest placementRequest;
     private String backend = "";
 
     RecordingListener(long id) {
-      this.ask =
+      this.placementRequest =
           PlacementRequest.newBuilder()
               .setId(id)
               .setService("plain")
@@ -57,7 +57,7 @@
 
     @Override
     public void onRejected(long retryAfterMillis, String reason) {
-      throw new AssertionError("turned away: " + reason);
+      throw new AssertionError("rejected: " + reason);
     }
 
     @Override
@@ -65,7 +65,7 @@
 
     @Override
     public PlacementRequest placementRequest() {
-      return ask;
+      return placementRequest;
     }
 
     @Override
@@ -83,7 +83,7 @@
     return BackendRecord.newBuilder().setId(id).setService("plain").setSlots(4).build();
   }
 
-  private void view(String host, long term, long version, String... backends) {
+  private void publishView(String host, long term, long version, String... backends) {
     SchedulerView.Builder view =
         SchedulerView.newBuilder().setTerm(term).setVersion(version).setGateways(1);
     for (String id : backends) {
@@ -92,8 +92,8 @@
     link.handle(host, view.build());
   }
 
-  private void requestPlacement(RecordingListener call) {
-    link.requestPlacement(call.placementRequest(), call);
+  private void requestPlacement(RecordingListener request) {
+    link.requestPlacement(request.placementRequest(), request);
     time.advance(10);
   }
 
@@ -106,10 +106,10 @@
   }
 
   @Test
-  void a_call_goes_to_the_scheduler_and_runs_where_it_says() {
-    view("control-1", 3, 1, "i-1");
-    RecordingListener call = new RecordingListener(7);
-    requestPlacement(call);
+  void a_request_is_sent_to_the_scheduler_and_runs_where_it_is_placed() {
+    publishView("control-1", 3, 1, "i-1");
+    RecordingListener request = new RecordingListener(7);
+    requestPlacement(request);
 
     link.handle(
         "control-1",
@@ -118,53 +118,53 @@
             .addPlacements(Placement.newBuilder().setId(7).setBackend("i-1"))
             .build());
 
-    assertThat(call.backend()).isEqualTo("i-1");
+    assertThat(request.backend()).isEqualTo("i-1");
   }
 
   @Test
-  void calls_go_on_being_placed_while_no_scheduler_is_heard() {
-    view("control-1", 3, 1, "i-1");
-    RecordingListener waiting = new RecordingListener(1);
-    requestPlacement(waiting);
-    assertThat(waiting.backend()).isEmpty();
+  void requests_are_placed_locally_while_no_scheduler_responds() {
+    publishView("control-1", 3, 1, "i-1");
+    RecordingListener queued = new RecordingListener(1);
+    requestPlacement(queued);
+    assertThat(queued.backend()).isEmpty();
 
     time.advance(SchedulerLink.SCHEDULER_TIMEOUT_MILLIS + 200);
     RecordingListener later = new RecordingListener(2);
     requestPlacement(later);
 
-    assertThat(waiting.backend()).isEqualTo("i-1");
+    assertThat(queued.backend()).isEqualTo("i-1");
     assertThat(later.backend()).isEqualTo("i-1");
   }
 
   @Test
-  void a_call_is_placed_without_a_scheduler_that_does_not_answer_it() {
-    view("control-1", 3, 1, "i-1");
-    RecordingListener call = new RecordingListener(1);
+  void a_request_is_placed_locally_if_the_scheduler_does_not_acknowledge_it() {
+    publishView("control-1", 3, 1, "i-1");
+    RecordingListener request = new RecordingListener(1);
 
-    requestPlacement(call);
+    requestPlacement(request);
     time.advance(SchedulerLink.PLACEMENT_REPLY_TIMEOUT_MILLIS + 20);
 
-    assertThat(call.backend()).isEqualTo("i-1");
+    assertThat(request.backend()).isEqualTo("i-1");
   }
 
   @Test
-  void a_call_that_the_scheduler_keeps_waiting_is_not_placed_without_it() {
-    view("control-1", 3, 1, "i-1");
-    RecordingListener call = new RecordingListener(1);
-    requestPlacement(call);
+  void a_request_that_the_scheduler_has_queued_is_not_placed_locally() {
+    publishView("control-1", 3, 1, "i-1");
+    RecordingListener request = new RecordingListener(1);
+    requestPlacement(request);
     link.handle("control-1", DispatchOrders.newBuilder().setTerm(3).addWaiting(1).build());
 
     time.advance(SchedulerLink.PLACEMENT_REPLY_TIMEOUT_MILLIS + 20);
 
-    assertThat(call.backend()).isEmpty();
+    assertThat(request.backend()).isEmpty();
     assertThat(link.scheduler()).isEqualTo("control-1");
   }
 
   @Test
-  void a_call_whose_question_was_lost_is_asked_again() {
-    view("control-1", 3, 1, "i-1");
+  void a_lost_placement_request_is_sent_again() {
+    publishView("control-1", 3, 1, "i-1");
     requestPlacement(new RecordingListener(1));
-    view("control-1", 3, 1, "i-1");
+    publishView("control-1", 3, 1, "i-1");
 
     time.advance(SchedulerLink.PLACEMENT_REPLY_TIMEOUT_MILLIS);
 
@@ -173,11 +173,11 @@
   }
 
   @Test
-  void orders_of_an_earlier_term_are_not_obeyed() {
-    view("control-1", 3, 1, "i-1");
-    view("control-2", 4, 1, "i-1");
-    RecordingListener call = new RecordingListener(7);
-    requestPlacement(call);
+  void decisions_of_an_earlier_term_are_ignored() {
+    publishView("control-1", 3, 1, "i-1");
+    publishView("control-2", 4, 1, "i-1");
+    RecordingListener request = new RecordingListener(7);
+    requestPlacement(request);
 
     link.handle(
         "control-1",
@@ -185,15 +185,15 @@
             .setTerm(3)
             .addPlacements(Placement.newBuilder().setId(7).setBackend("i-1"))
             .build());
-    view("control-1", 3, 9, "i-9");
+    publishView("control-1", 3, 9, "i-9");
 
-    assertThat(call.backend()).isEmpty();
+    assertThat(request.backend()).isEmpty();
     assertThat(link.backend("i-9")).isNull();
   }
 
   @Test
-  void a_backend_server_that_is_gone_is_not_brought_back_by_an_older_list() {
-    view("control-1", 3, 1, "i-1", "i-2");
+  void a_removed_backend_server_is_not_restored_by_an_older_list() {
+    publishView("control-1", 3, 1, "i-1", "i-2");
     link.handle(
         "control-1",
         SchedulerView.newBuilder()
@@ -203,17 +203,17 @@
             .addGone("i-1")
             .build());
 
-    view("control-2", 4, 1, "i-1", "i-2");
+    publishView("control-2", 4, 1, "i-1", "i-2");
 
     assertThat(link.backend("i-1")).isNull();
     assertThat(link.backend("i-2")).isNotNull();
   }
 
   @Test
-  void a_new_scheduler_is_told_all_that_runs_and_all_that_waits() {
-    view("control-1", 3, 1, "i-1");
+  void a_new_scheduler_receives_all_running_and_all_queued_requests() {
+    publishView("control-1", 3, 1, "i-1");
     RecordingListener running = new RecordingListener(1);
-    RecordingListener waiting = new RecordingListener(2);
+    RecordingListener queued = new RecordingListener(2);
     requestPlacement(running);
     link.handle(
         "control-1",
@@ -221,13 +221,15 @@
             .setTerm(3)
             .addPlacements(Placement.newBuilder().setId(1).setBackend("i-1"))
             .build());
-    requestPlacement(waiting);
+    requestPlacement(queued);
     sent.clear();
 
     link.handle("control-2", SchedulerView.newBuilder().setTerm(4).build());
 
     assertThat(lastStatus().getFull()).isTrue();
-    assertThat(lastStatus().getOpenList()).extracting(open -> open.getAsk().getId()).contains(1L);
+    assertThat(lastStatus().getOpenList())
+        .extracting(dispatch -> dispatch.getAsk().getId())
+        .contains(1L);
     assertThat(lastStatus().getBackendsList()).hasSize(1);
     assertThat(sent.stream().filter(Envelope::hasDispatchRequests))
         .anyMatch(message -> message.getDispatchRequests().getAsks(0).getId() == 2);
