--- a/src/main/java/org/curranthaven/internal/relay/BackendConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendConnection.java
@@ -11,39 +11,39 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to a backend server. It carries one call at a time and goes back to its pool only
- * after a clean and whole answer. An answer that belongs to another request is skipped. Used on the
- * event loop only.
+ * One connection to a backend server. Carries one request at a time and returns to its pool only
+ * after a complete response without errors. Skips a response that belongs to another request.
+ * Confined to the event loop.
  */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> {
   private static final int FIRST_FINAL_STATUS = 200;
 
   private final BackendPool pool;
   private final String address;
-  private @Nullable ChannelHandlerContext context;
-  private @Nullable AnswerListener listener;
-  private String expectedId = "";
+  private @Nullable ChannelHandlerContext channelContext;
+  private @Nullable ResponseListener listener;
+  private String expectedRequestId = "";
   private @Nullable ResponseHead head;
-  private boolean skipping;
-  private boolean unsound;
-  private boolean broken;
-  private boolean released;
+  private boolean skippingResponse;
+  private boolean unusable;
+  private boolean readFailed;
+  private boolean releasePending;
   private long idleSinceMillis;
   private long idleUntilMillis;
 
-  /** Is told the answer to a call. */
-  interface AnswerListener {
-    /** Status and headers arrived. */
-    void head(ResponseHead head, HttpResponse response);
+  /** Receives the response to a request. */
+  interface ResponseListener {
+    /** Handles the status and headers. */
+    void onHead(ResponseHead head, HttpResponse response);
 
-    /** A part of the body arrived. */
-    void content(byte[] bytes);
+    /** Handles a part of the body. */
+    void onContent(byte[] bytes);
 
-    /** The answer is whole. */
-    void whole();
+    /** Handles the end of a complete response. */
+    void onComplete();
 
-    /** No whole answer will come. */
-    void broken(String reason);
+    /** Handles a failure after which no complete response can be received. */
+    void onInterrupted(String reason);
   }
 
   BackendConnection(BackendPool pool, String address) {
@@ -57,149 +57,152 @@
   }
 
   boolean isUsable(long nowMillis, long maxIdleMillis) {
-    boolean fresh = nowMillis < idleUntilMillis && nowMillis - idleSinceMillis <= maxIdleMillis;
-    return isOpen() && !unsound && listener == null && fresh;
+    boolean withinIdleLimit =
+        nowMillis < idleUntilMillis && nowMillis - idleSinceMillis <= maxIdleMillis;
+    return isOpen() && !unusable && listener == null && withinIdleLimit;
   }
 
   boolean isOpen() {
-    return context != null && context.channel().isActive();
+    return channelContext != null && channelContext.channel().isActive();
   }
 
-  /** Sends a call. The listener is called until the answer is whole or broken. */
-  void send(FullHttpRequest request, String requestId, AnswerListener answerListener) {
-    ChannelHandlerContext open = context;
-    if (open == null || !open.channel().isActive()) {
-      answerListener.broken("the connection was closed");
+  /** Sends a request. The listener is called until the response is complete or interrupted. */
+  void send(FullHttpRequest request, String requestId, ResponseListener responseListener) {
+    ChannelHandlerContext openContext = channelContext;
+    if (openContext == null || !openContext.channel().isActive()) {
+      responseListener.onInterrupted(
+          "the connection to " + address + " was closed before the request was sent");
       return;
     }
-    listener = answerListener;
-    expectedId = requestId;
+    listener = responseListener;
+    expectedRequestId = requestId;
     head = null;
-    released = false;
-    open.writeAndFlush(request);
+    releasePending = false;
+    openContext.writeAndFlush(request);
   }
 
-  /** Stops listening and closes the connection, which tells the backend server to stop working. */
+  /** Removes the listener and closes the connection, which signals the backend server to stop. */
   void cancel() {
     listener = null;
     close();
   }
 
   void close() {
-    unsound = true;
-    if (context != null) {
-      context.close();
+    unusable = true;
+    if (channelContext != null) {
+      channelContext.close();
     }
   }
 
-  /** Reads on, or not, so that a slow caller bounds what is kept for it. */
+  /** Resumes or pauses reading, which bounds the memory buffered for a slow caller. */
   void setReading(boolean reading) {
-    if (context != null) {
-      context.channel().config().setAutoRead(reading);
+    if (channelContext != null) {
+      channelContext.channel().config().setAutoRead(reading);
     }
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext added) {
-    context = added;
+  public void handlerAdded(ChannelHandlerContext newContext) {
+    channelContext = newContext;
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext active, HttpObject message) {
+  protected void channelRead0(ChannelHandlerContext handlerContext, HttpObject message) {
     if (message.decoderResult().isFailure()) {
-      fail("the backend server sent bytes that are no answer");
+      fail("the backend server at " + address + " sent a malformed HTTP response");
       return;
     }
     if (message instanceof HttpResponse response) {
-      startAnswer(response);
+      startResponse(response);
     }
     if (message instanceof HttpContent content) {
-      takeContent(content);
+      handleContent(content);
     }
   }
 
-  private void startAnswer(HttpResponse response) {
+  private void startResponse(HttpResponse response) {
     if (listener == null) {
-      // Bytes after a whole answer belong to no request.
+      // Bytes after a complete response belong to no request.
       close();
       return;
     }
     if (response.status().code() < FIRST_FINAL_STATUS) {
-      skipping = true;
+      skippingResponse = true;
       return;
     }
-    ResponseHead decoded = pool.protocol().readAnswer(response);
-    if (!decoded.requestId().isEmpty() && !decoded.requestId().equals(expectedId)) {
-      skipping = true;
-      unsound = true;
+    ResponseHead responseHead = pool.protocol().readResponseHead(response);
+    if (!responseHead.requestId().isEmpty()
+        && !responseHead.requestId().equals(expectedRequestId)) {
+      skippingResponse = true;
+      unusable = true;
       return;
     }
-    head = decoded;
-    listener.head(decoded, response);
+    head = responseHead;
+    listener.onHead(responseHead, response);
   }
 
-  private void takeContent(HttpContent content) {
-    AnswerListener current = listener;
-    if (skipping) {
-      skipping = !(content instanceof LastHttpContent);
+  private void handleContent(HttpContent content) {
+    ResponseListener currentListener = listener;
+    if (skippingResponse) {
+      skippingResponse = !(content instanceof LastHttpContent);
       return;
     }
-    if (current == null || head == null) {
+    if (currentListener == null || head == null) {
       return;
     }
     if (content.content().isReadable()) {
-      current.content(ByteBufUtil.getBytes(content.content()));
+      currentListener.onContent(ByteBufUtil.getBytes(content.content()));
     }
-    if (content instanceof LastHttpContent && listener == current) {
-      finish(current);
+    if (content instanceof LastHttpContent && listener == currentListener) {
+      finish(currentListener);
     }
   }
 
-  private void finish(AnswerListener current) {
-    if (unsound && broken) {
-      fail("the connection was reset");
+  private void finish(ResponseListener currentListener) {
+    if (unusable && readFailed) {
+      fail("the connection to " + address + " was reset");
       return;
     }
     listener = null;
-    ResponseHead answer = head;
-    if (answer == null || answer.closes() || unsound || !isOpen()) {
+    ResponseHead responseHead = head;
+    if (responseHead == null || responseHead.closesConnection() || unusable || !isOpen()) {
       close();
     } else {
       idleSinceMillis = pool.nowMillis();
-      idleUntilMillis = pool.idleUntilMillis(answer);
-      released = true;
+      idleUntilMillis = pool.idleUntilMillis(responseHead);
+      releasePending = true;
     }
-    current.whole();
+    currentListener.onComplete();
   }
 
   private void fail(String reason) {
-    AnswerListener current = listener;
+    ResponseListener currentListener = listener;
     listener = null;
     close();
-    if (current != null) {
-      current.broken(reason);
+    if (currentListener != null) {
+      currentListener.onInterrupted(reason);
     }
   }
 
   @Override
-  public void channelReadComplete(ChannelHandlerContext active) {
-    if (released) {
-      released = false;
+  public void channelReadComplete(ChannelHandlerContext handlerContext) {
+    if (releasePending) {
+      releasePending = false;
       pool.release(this);
     }
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext active, Throwable cause) {
-    broken = true;
-    unsound = true;
-    active.close();
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+    readFailed = true;
+    unusable = true;
+    handlerContext.close();
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext active) {
-    unsound = true;
-    pool.closed(this);
-    fail("the connection was closed before the whole answer");
+  public void channelInactive(ChannelHandlerContext handlerContext) {
+    unusable = true;
+    pool.onClosed(this);
+    fail("the connection to " + address + " was closed before the response was complete");
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
@@ -42,34 +42,40 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection of a caller: reads whole requests, one after the other, starts an {@link
- * RoutedRequest} for each, and writes its answer. Used on the event loop only.
+ * One connection of a caller. Reads requests one after the other, starts a {@link RoutedRequest}
+ * for each, and writes its response. Confined to the event loop.
  */
 final class CallerConnection extends SimpleChannelInboundHandler<HttpObject> {
-  private static final int MAX_WAITING_REQUESTS = 32;
+  private static final int MAX_QUEUED_REQUESTS = 32;
   private static final long MILLIS_PER_SECOND = 1_000;
   private static final long DRAINING_RETRY_MILLIS = 50;
-  private static final long NOT_INFORMED_RETRY_MILLIS = 1_000;
+  private static final long NOT_INITIALIZED_RETRY_MILLIS = 1_000;
 
-  /** Longest time for which a call waits for a catalog: a host that has started gets it soon. */
-  private static final long NOT_INFORMED_WAIT_MILLIS = 900;
+  /**
+   * Longest time for which a request waits for the catalog, which a host receives soon after its
+   * start.
+   */
+  private static final long INITIALIZATION_WAIT_MILLIS = 900;
 
-  /** Calls with less time than this are turned away at once instead: waiting takes most of it. */
-  private static final long MIN_TIME_TO_WAIT_MILLIS = 5 * NOT_INFORMED_WAIT_MILLIS;
+  /**
+   * Shortest deadline with which a request waits for the catalog. A request with less time is
+   * rejected at once, because the wait could use up most of it.
+   */
+  private static final long MIN_DEADLINE_TO_WAIT_MILLIS = 5 * INITIALIZATION_WAIT_MILLIS;
 
   private final RelayContext context;
-  private final ArrayDeque<FullHttpRequest> waiting = new ArrayDeque<>();
-  private @Nullable ChannelHandlerContext channel;
-  private @Nullable HttpRequest collecting;
+  private final ArrayDeque<FullHttpRequest> queuedRequests = new ArrayDeque<>();
+  private @Nullable ChannelHandlerContext channelContext;
+  private @Nullable HttpRequest incompleteRequest;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private @Nullable RoutedRequest exchange;
+  private @Nullable RoutedRequest currentRequest;
   private boolean keepAlive;
   private boolean headRequest;
-  private boolean answering;
+  private boolean responding;
   private boolean closing;
-  private boolean gone;
-  private long lastUseMillis;
-  private long partialSinceMillis = -1;
+  private boolean disconnected;
+  private long lastActivityMillis;
+  private long partialRequestSinceMillis = -1;
 
   CallerConnection(RelayContext context) {
     super(HttpObject.class);
@@ -77,81 +83,88 @@
   }
 
   boolean isWritable() {
-    return channel != null && channel.channel().isWritable();
+    return channelContext != null && channelContext.channel().isWritable();
   }
 
   // ---- reading ----------------------------------------------------------------------------------
 
   @Override
-  public void channelActive(ChannelHandlerContext active) {
-    channel = active;
-    lastUseMillis = context.clock().nowMillis();
-    checkLater(context.catalog().limits().headerTimeoutMillis());
+  public void channelActive(ChannelHandlerContext handlerContext) {
+    channelContext = handlerContext;
+    lastActivityMillis = context.clock().nowMillis();
+    scheduleIdleCheck(context.catalog().limits().headerTimeoutMillis());
   }
 
-  private void checkLater(long delayMillis) {
+  private void scheduleIdleCheck(long delayMillis) {
     context.loop().schedule(this::checkIdle, Math.max(50, delayMillis), TimeUnit.MILLISECONDS);
   }
 
-  /** Closes a connection whose caller sends nothing, or only parts of a request, for too long. */
+  /**
+   * Closes a connection on which the caller sends nothing, or only part of a request, for too long.
+   */
   private void checkIdle() {
-    if (gone || closing) {
+    if (disconnected || closing) {
       return;
     }
     long nowMillis = context.clock().nowMillis();
     long headerMillis = context.catalog().limits().headerTimeoutMillis();
     long idleMillis = context.catalog().limits().idleTimeoutMillis();
-    if (answering) {
-      checkLater(idleMillis);
-    } else if (partialSinceMillis >= 0) {
-      long left = partialSinceMillis + headerMillis + idleMillisForBody() - nowMillis;
-      if (left <= 0) {
-        fail(Failure.of(ResultCode.BODY_TOO_SLOW, "the request did not arrive whole in time"));
+    if (responding) {
+      scheduleIdleCheck(idleMillis);
+    } else if (partialRequestSinceMillis >= 0) {
+      long leftMillis = partialRequestSinceMillis + headerMillis + bodyTimeoutMillis() - nowMillis;
+      if (leftMillis <= 0) {
+        fail(
+            Failure.of(
+                ResultCode.BODY_TOO_SLOW,
+                "the request was not complete "
+                    + (nowMillis - partialRequestSinceMillis)
+                    + " ms after its first byte; send it again on a new connection"));
       } else {
-        checkLater(left);
+        scheduleIdleCheck(leftMillis);
       }
-    } else if (nowMillis - lastUseMillis >= idleMillis) {
+    } else if (nowMillis - lastActivityMillis >= idleMillis) {
       close();
     } else {
-      checkLater(Math.min(headerMillis, lastUseMillis + idleMillis - nowMillis));
+      scheduleIdleCheck(Math.min(headerMillis, lastActivityMillis + idleMillis - nowMillis));
     }
   }
 
-  private long idleMillisForBody() {
-    return collecting == null ? 0 : context.catalog().limits().idleTimeoutMillis();
+  private long bodyTimeoutMillis() {
+    return incompleteRequest == null ? 0 : context.catalog().limits().idleTimeoutMillis();
   }
 
-  /** Notes that bytes arrived which may be a part of a request. */
-  void bytesArrived() {
-    if (partialSinceMillis < 0) {
-      partialSinceMillis = context.clock().nowMillis();
+  /** Records that bytes were received which may be part of a request. */
+  void onBytesReceived() {
+    if (partialRequestSinceMillis < 0) {
+      partialRequestSinceMillis = context.clock().nowMillis();
     }
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext active, HttpObject message) {
+  protected void channelRead0(ChannelHandlerContext handlerContext, HttpObject message) {
     if (closing) {
       return;
     }
     if (message.decoderResult().isFailure()) {
-      malformed(message.decoderResult().cause());
+      rejectMalformed(message.decoderResult().cause());
       return;
     }
     if (message instanceof HttpRequest request) {
-      collecting = request;
+      incompleteRequest = request;
       body = new ByteArrayOutputStream();
-      if (HttpUtil.is100ContinueExpected(request) && !answering) {
-        active.writeAndFlush(
+      if (HttpUtil.is100ContinueExpected(request) && !responding) {
+        handlerContext.writeAndFlush(
             new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
       }
     }
     if (message instanceof HttpContent content) {
-      takeBody(content);
+      handleBody(content);
     }
   }
 
-  private void malformed(Throwable cause) {
-    if (answering) {
+  private void rejectMalformed(Throwable cause) {
+    if (responding) {
       closing = true;
       return;
     }
@@ -160,155 +173,180 @@
         tooLong
             ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             : HttpResponseStatus.BAD_REQUEST,
-        Failure.of(ResultCode.MALFORMED_BODY, "the request is not HTTP as it should be"),
+        Failure.of(
+            ResultCode.MALFORMED_BODY,
+            tooLong
+                ? "the request line or the headers are longer than allowed"
+                : "the request is not valid HTTP/1.1"),
         false);
   }
 
-  private void takeBody(HttpContent content) {
-    HttpRequest head = collecting;
-    if (head == null) {
+  private void handleBody(HttpContent content) {
+    HttpRequest requestHead = incompleteRequest;
+    if (requestHead == null) {
       return;
     }
     int size = content.content().readableBytes();
     if (body.size() + size > context.catalog().limits().maxBodyBytes()) {
-      collecting = null;
-      fail(Failure.of(ResultCode.BODY_TOO_LARGE, "the body is larger than allowed"));
+      incompleteRequest = null;
+      fail(
+          Failure.of(
+              ResultCode.BODY_TOO_LARGE,
+              "the request body exceeds the limit of "
+                  + context.catalog().limits().maxBodyBytes()
+                  + " bytes"));
       return;
     }
     body.writeBytes(ByteBufUtil.getBytes(content.content()));
     if (content instanceof LastHttpContent) {
-      collecting = null;
-      partialSinceMillis = -1;
-      FullHttpRequest whole =
+      incompleteRequest = null;
+      partialRequestSinceMillis = -1;
+      FullHttpRequest completeRequest =
           new DefaultFullHttpRequest(
-              head.protocolVersion(),
-              head.method(),
-              head.uri(),
+              requestHead.protocolVersion(),
+              requestHead.method(),
+              requestHead.uri(),
               Unpooled.wrappedBuffer(body.toByteArray()),
-              head.headers(),
+              requestHead.headers(),
               EmptyHttpHeaders.INSTANCE);
-      accept(whole);
+      processOrQueue(completeRequest);
     }
   }
 
-  private void accept(FullHttpRequest request) {
-    if (!answering) {
-      begin(request);
-    } else if (waiting.size() < MAX_WAITING_REQUESTS) {
-      waiting.add(request);
+  private void processOrQueue(FullHttpRequest request) {
+    if (!responding) {
+      process(request);
+    } else if (queuedRequests.size() < MAX_QUEUED_REQUESTS) {
+      queuedRequests.add(request);
     } else {
       closing = true;
     }
   }
 
-  private void begin(FullHttpRequest request) {
-    answering = true;
+  private void process(FullHttpRequest request) {
+    responding = true;
     keepAlive = HttpUtil.isKeepAlive(request);
     headRequest = request.method().equals(HttpMethod.HEAD);
-    switch (context.protocol().readCall(request)) {
+    switch (context.protocol().readRequest(request)) {
       case Outcome.Failed<InboundRequest> failed -> fail(failed.failure());
-      case Outcome.Success<InboundRequest> success -> routeWhenInformed(success.value());
+      case Outcome.Success<InboundRequest> success -> routeWhenInitialized(success.value());
     }
   }
 
-  /** Routes a call; one that comes before the catalog waits for it if it has the time. */
-  private void routeWhenInformed(InboundRequest call) {
+  /** Routes a request; one that arrives before the catalog waits for it if its deadline allows. */
+  private void routeWhenInitialized(InboundRequest request) {
     long nowMillis = context.clock().nowMillis();
     boolean mayWait =
-        call.deadlineMillis() <= 0 || call.deadlineMillis() >= MIN_TIME_TO_WAIT_MILLIS;
-    if (context.isInformed()) {
-      route(call, nowMillis);
+        request.deadlineMillis() <= 0 || request.deadlineMillis() >= MIN_DEADLINE_TO_WAIT_MILLIS;
+    if (context.isInitialized()) {
+      route(request, nowMillis);
     } else if (mayWait) {
-      context.whenInformed(() -> routeHeld(call, nowMillis), NOT_INFORMED_WAIT_MILLIS);
+      context.whenInitialized(() -> routeDeferred(request, nowMillis), INITIALIZATION_WAIT_MILLIS);
     } else {
-      failUninformed();
+      failNotInitialized();
     }
   }
 
-  private void routeHeld(InboundRequest call, long arrivedAtMillis) {
-    if (gone) {
+  private void routeDeferred(InboundRequest request, long arrivedAtMillis) {
+    if (disconnected) {
       return;
     }
-    if (context.isInformed()) {
-      route(call, arrivedAtMillis);
+    if (context.isInitialized()) {
+      route(request, arrivedAtMillis);
     } else {
-      failUninformed();
+      failNotInitialized();
     }
   }
 
-  private void failUninformed() {
+  private void failNotInitialized() {
     fail(
         Failure.retryLater(
             ResultCode.HOST_NOT_FRESH,
-            "this host does not know the catalog yet",
-            NOT_INFORMED_RETRY_MILLIS));
+            "this host has not received the catalog yet; retry later or at another host",
+            NOT_INITIALIZED_RETRY_MILLIS));
   }
 
-  private void route(InboundRequest call, long arrivedAtMillis) {
+  private void route(InboundRequest request, long arrivedAtMillis) {
     Catalog catalog = context.catalog();
-    Optional<Route> found = catalog.routeFor(call.host(), call.path());
-    if (found.isEmpty()) {
-      fail(Failure.of(ResultCode.UNKNOWN_PATH, "no route leads to " + call.path()));
+    Optional<Route> matchingRoute = catalog.routeFor(request.host(), request.path());
+    if (matchingRoute.isEmpty()) {
+      fail(
+          Failure.of(
+              ResultCode.UNKNOWN_PATH,
+              "no route matches host " + request.host() + " and path " + request.path()));
       return;
     }
-    Route route = found.get();
-    CatalogWorkspace workspace = catalog.workspaceOf(call.key());
+    Route route = matchingRoute.get();
+    CatalogWorkspace workspace = catalog.workspaceOf(request.key());
     if (catalog.needsKey(route) && workspace == null) {
-      fail(Failure.of(ResultCode.BAD_KEY, "the key is not known"));
+      fail(
+          Failure.of(
+              ResultCode.BAD_KEY,
+              "the route requires the key of a workspace; the request has none or an unknown one"));
       return;
     }
-    long allowedMillis =
-        call.deadlineMillis() > 0
-            ? Math.min(call.deadlineMillis(), route.timeoutMillis())
+    long timeoutMillis =
+        request.deadlineMillis() > 0
+            ? Math.min(request.deadlineMillis(), route.timeoutMillis())
             : route.timeoutMillis();
-    if (!context.mayTake(allowedMillis)) {
+    if (!context.mayAccept(timeoutMillis)) {
       fail(
           Failure.retryLater(
-              ResultCode.HOST_DRAINING, "this host is being stopped", DRAINING_RETRY_MILLIS));
+              ResultCode.HOST_DRAINING,
+              "this host is shutting down; retry on a new connection",
+              DRAINING_RETRY_MILLIS));
       return;
     }
-    ServiceSpec service = catalog.service(route.serviceFor(context.draw()));
+    ServiceSpec service = catalog.service(route.serviceFor(context.nextRandom()));
     if (service == null) {
-      fail(Failure.of(ResultCode.INTERNAL, "the route's service is missing"));
+      fail(
+          Failure.of(
+              ResultCode.INTERNAL,
+              "route "
+                  + route.name()
+                  + " names a service that is not in the catalog; correct the catalog"));
       return;
     }
-    boolean ranked = workspace != null && workspace.priority() >= 0 && catalog.needsKey(route);
-    RoutedRequest next =
+    boolean hasWorkspacePriority =
+        workspace != null && workspace.priority() >= 0 && catalog.needsKey(route);
+    RoutedRequest routedRequest =
         new RoutedRequest(
             context,
             this,
-            call,
+            request,
             route,
             service,
             workspace == null || !catalog.needsKey(route) ? "" : workspace.name(),
             arrivedAtMillis,
-            allowedMillis,
-            ranked && workspace != null ? workspace.priority() : route.priority());
-    exchange = next;
-    context.opened(next);
-    next.start();
+            timeoutMillis,
+            hasWorkspacePriority && workspace != null ? workspace.priority() : route.priority());
+    currentRequest = routedRequest;
+    context.requestOpened(routedRequest);
+    routedRequest.start();
   }
 
-  // ---- answering --------------------------------------------------------------------------------
+  // ---- responses --------------------------------------------------------------------------------
 
-  /** Passes a whole answer of a backend server on, unchanged but for what concerns connections. */
-  void respond(HttpResponse answer, byte[] content) {
+  /** Forwards a complete response of a backend server, unchanged except for hop-by-hop headers. */
+  void respond(HttpResponse backendResponse, byte[] content) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, answer.status(), Unpooled.wrappedBuffer(content));
+            HttpVersion.HTTP_1_1, backendResponse.status(), Unpooled.wrappedBuffer(content));
     HopByHopHeaders.copy(
-        answer.headers(), response.headers(), HopByHopHeaders.of(answer.headers()));
+        backendResponse.headers(),
+        response.headers(),
+        HopByHopHeaders.of(backendResponse.headers()));
     write(response);
   }
 
-  /** Answers with a failure of the system's own. */
+  /** Responds with a failure reported by this system. */
   void fail(Failure failure) {
-    boolean stays =
+    boolean keepOpen =
         failure.code() != ResultCode.BODY_TOO_LARGE && failure.code() != ResultCode.BODY_TOO_SLOW;
-    respond(HttpResponseStatus.valueOf(failure.code().httpStatus()), failure, stays);
+    respond(HttpResponseStatus.valueOf(failure.code().httpStatus()), failure, keepOpen);
   }
 
-  private void respond(HttpResponseStatus status, Failure failure, boolean stays) {
+  private void respond(HttpResponseStatus status, Failure failure, boolean keepOpen) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -316,12 +354,12 @@
             Unpooled.wrappedBuffer(Json.write(ErrorBodies.json(failure)).toByteArray()));
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
     if (failure.retryAfterMillis() > 0) {
-      double seconds = (double) failure.retryAfterMillis() / MILLIS_PER_SECOND;
+      double retryAfterSeconds = (double) failure.retryAfterMillis() / MILLIS_PER_SECOND;
       response
           .headers()
-          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", seconds));
+          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterSeconds));
     }
-    keepAlive = keepAlive && stays;
+    keepAlive = keepAlive && keepOpen;
     write(response);
   }
 
@@ -330,104 +368,109 @@
       response.content().clear();
     }
     HttpUtil.setContentLength(response, response.content().readableBytes());
-    boolean stays = staysOpen();
-    if (!stays) {
+    boolean keepOpen = mayKeepOpen();
+    if (!keepOpen) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    answered(writeAndFlush(response), stays);
+    finishResponse(writeAndFlush(response), keepOpen);
   }
 
-  private boolean staysOpen() {
+  private boolean mayKeepOpen() {
     return keepAlive && !closing && !context.isDraining();
   }
 
-  /** Starts to pass a stream on. */
-  void startStream(HttpResponse answer) {
-    HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status());
+  /** Starts to forward a stream. */
+  void startStream(HttpResponse backendResponse) {
+    HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, backendResponse.status());
     HopByHopHeaders.copy(
-        answer.headers(), response.headers(), HopByHopHeaders.of(answer.headers()));
+        backendResponse.headers(),
+        response.headers(),
+        HopByHopHeaders.of(backendResponse.headers()));
     response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    if (!staysOpen()) {
+    if (!mayKeepOpen()) {
       keepAlive = false;
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    if (channel != null) {
-      channel.write(response);
+    if (channelContext != null) {
+      channelContext.write(response);
     }
   }
 
-  /** Passes a part of a stream on. */
+  /** Forwards part of a stream. */
   void writeStream(byte[] bytes) {
     writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
   }
 
-  /** Ends a stream as complete. */
+  /** Ends a complete stream. */
   void endStream() {
-    answered(writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), staysOpen());
+    finishResponse(writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), mayKeepOpen());
   }
 
-  /** Ends a stream so that the caller sees that it is not complete. */
+  /**
+   * Closes the connection before the end of a stream, so that the caller can detect that the stream
+   * is incomplete.
+   */
   void abort() {
     close();
   }
 
   private @Nullable ChannelFuture writeAndFlush(HttpObject message) {
-    return channel == null ? null : channel.writeAndFlush(message);
+    return channelContext == null ? null : channelContext.writeAndFlush(message);
   }
 
-  private void answered(@Nullable ChannelFuture written, boolean stays) {
-    answering = false;
-    exchange = null;
-    lastUseMillis = context.clock().nowMillis();
-    if (!stays) {
+  private void finishResponse(@Nullable ChannelFuture written, boolean keepOpen) {
+    responding = false;
+    currentRequest = null;
+    lastActivityMillis = context.clock().nowMillis();
+    if (!keepOpen) {
       closing = true;
       if (written != null) {
         written.addListener(ChannelFutureListener.CLOSE);
       }
       return;
     }
-    FullHttpRequest next = waiting.poll();
+    FullHttpRequest next = queuedRequests.poll();
     if (next != null) {
-      begin(next);
+      process(next);
     }
   }
 
   // ---- closing ----------------------------------------------------------------------------------
 
-  /** Closes the connection if no request is being answered or read. */
+  /** Closes the connection if no request is being processed or received. */
   void closeIfIdle() {
-    if (!answering && collecting == null && partialSinceMillis < 0) {
+    if (!responding && incompleteRequest == null && partialRequestSinceMillis < 0) {
       close();
     }
   }
 
   private void close() {
     closing = true;
-    if (channel != null) {
-      channel.close();
+    if (channelContext != null) {
+      channelContext.close();
     }
   }
 
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext active) {
-    if (exchange != null) {
-      exchange.callerWritable(active.channel().isWritable());
+  public void channelWritabilityChanged(ChannelHandlerContext handlerContext) {
+    if (currentRequest != null) {
+      currentRequest.onCallerWritabilityChanged(handlerContext.channel().isWritable());
     }
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext inactive) {
-    gone = true;
+  public void channelInactive(ChannelHandlerContext handlerContext) {
+    disconnected = true;
     closing = true;
-    RoutedRequest open = exchange;
-    exchange = null;
-    if (open != null) {
-      open.callerGone();
+    RoutedRequest openRequest = currentRequest;
+    currentRequest = null;
+    if (openRequest != null) {
+      openRequest.onCallerDisconnected();
     }
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext active, Throwable cause) {
-    active.close();
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+    handlerContext.close();
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/DeferredActions.java
+++ b/src/main/java/org/curranthaven/internal/relay/DeferredActions.java
@@ -7,36 +7,36 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Actions that wait until they are released or their time is up, whichever comes first; each runs
- * once and is forgotten then. Used on the event loop only.
+ * Actions deferred until they are released or their delay has expired, whichever comes first. Each
+ * runs once and is then discarded. Confined to the event loop.
  */
 final class DeferredActions {
   private final EventLoop loop;
-  private final Set<Runnable> held = new LinkedHashSet<>();
+  private final Set<Runnable> pending = new LinkedHashSet<>();
 
   DeferredActions(EventLoop loop) {
     this.loop = loop;
   }
 
-  void hold(Runnable action, long mostMillis) {
-    held.add(action);
-    loop.schedule(() -> runIfHeld(action), mostMillis, TimeUnit.MILLISECONDS);
+  void defer(Runnable action, long maxDelayMillis) {
+    pending.add(action);
+    loop.schedule(() -> runIfPending(action), maxDelayMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void runIfHeld(Runnable action) {
-    if (held.remove(action)) {
+  private void runIfPending(Runnable action) {
+    if (pending.remove(action)) {
       action.run();
     }
   }
 
-  /** Runs all that wait, in order. */
-  void release() {
-    List<Runnable> ready = List.copyOf(held);
-    held.clear();
-    ready.forEach(loop::execute);
+  /** Runs all pending actions on the event loop, in the order in which they were deferred. */
+  void runPending() {
+    List<Runnable> released = List.copyOf(pending);
+    pending.clear();
+    released.forEach(loop::execute);
   }
 
   int size() {
-    return held.size();
+    return pending.size();
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/EventSplitter.java
+++ b/src/main/java/org/curranthaven/internal/relay/EventSplitter.java
@@ -6,27 +6,27 @@
 import java.util.List;
 
 /**
- * Cuts a stream into whole events, each ended by an empty line. Bytes of an event that is not whole
- * yet are kept. Not thread-safe.
+ * Splits a server-sent event stream into events, each ended by an empty line. Buffers the bytes of
+ * an incomplete event. Not thread-safe.
  */
 final class EventSplitter {
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
-  private static final int FIRST_BUFFER_BYTES = 1_024;
+  private static final int INITIAL_BUFFER_BYTES = 1_024;
 
-  private byte[] buffer = new byte[FIRST_BUFFER_BYTES];
+  private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
   private int length;
   private int scanned;
 
   /**
-   * One event.
+   * A complete event.
    *
-   * @param id its id; empty when it has none
-   * @param bytes the event with the empty line that ends it
+   * @param id value of the id field; empty if there is none
+   * @param bytes the event, including the empty line that ends it
    */
   @SuppressWarnings("ArrayRecordComponent")
   record Event(String id, byte[] bytes) {}
 
-  /** Adds bytes and returns the events that became whole. */
+  /** Adds bytes and returns the events that they complete. */
   List<Event> add(byte[] bytes) {
     if (length + bytes.length > buffer.length) {
       buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + bytes.length));
@@ -36,7 +36,7 @@
     List<Event> events = new ArrayList<>();
     int start = 0;
     for (int i = Math.max(scanned, 1); i < length; i++) {
-      if (i > start && buffer[i] == '\n' && endsLineBefore(i, start)) {
+      if (i > start && buffer[i] == '\n' && isEmptyLine(i, start)) {
         byte[] event = Arrays.copyOfRange(buffer, start, i + 1);
         events.add(new Event(idOf(event), event));
         start = i + 1;
@@ -48,12 +48,12 @@
     return events;
   }
 
-  /** Returns the bytes of the event that is not whole. */
-  byte[] rest() {
+  /** Returns the bytes of the incomplete event. */
+  byte[] remainder() {
     return Arrays.copyOf(buffer, length);
   }
 
-  private boolean endsLineBefore(int newline, int start) {
+  private boolean isEmptyLine(int newline, int start) {
     int previous = buffer[newline - 1] == '\r' ? newline - 2 : newline - 1;
     return previous >= start && buffer[previous] == '\n';
   }
--- a/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
@@ -7,200 +7,236 @@
 import org.tinylog.Logger;
 
 /**
- * Moves one call's run to another engine, and goes on from a copy where the run broke off. Used on
- * the event loop only.
+ * Migrates one running request to another engine, and resumes it from its backup copy after an
+ * interruption. Confined to the event loop.
  */
 final class MigrationCoordinator {
   private final RelayContext context;
-  private final InboundRequest call;
+  private final InboundRequest request;
   private final Route route;
   private final @Nullable EngineCapabilities engine;
   private final Owner owner;
-  private @Nullable StateTransfer handover;
-  private boolean takingOver;
-  private String copyName = "";
+  private @Nullable StateTransfer transfer;
+  private boolean resuming;
+  private String stateReference = "";
 
-  /** Engine that keeps the stopped run if the other one does not take it over. */
-  private String otherwise = "";
+  /**
+   * Engine that still holds the stopped request if the target does not resume it; empty for none.
+   */
+  private String fallbackBackend = "";
 
-  /** Is told where the run goes on. */
+  /** The migrated request: receives the outcome and sends the request on. */
   interface Owner {
-    /** Returns whether the call is over, so that nothing goes on. */
-    boolean isOver();
+    /** Returns whether the request has finished, so that it must not be resumed. */
+    boolean isFinished();
 
-    /** The run goes on where it is. */
-    void stays();
+    /** Handles a failed migration: the request continues on its present engine. */
+    void onMigrationFailed();
 
     /**
-     * The run goes on at another engine.
+     * Handles a migration: the request continues on the given engine.
      *
-     * @param newBackup backend server that keeps a copy of it from then on; empty for none
+     * @param newBackup backend server that keeps its backup copy from now on; empty for none
      */
-    void goesOnAt(BackendRecord to, String newBackup);
+    void onMigrated(BackendRecord target, String newBackup);
 
-    /** The call is to be sent to an engine that takes the named copy over. */
-    void sendTo(BackendRecord to, String copyName);
+    /** Sends the request to an engine that resumes it from the referenced state. */
+    void resumeAt(BackendRecord target, String stateReference);
 
-    /** The run is over, and nothing is left to go on from. */
-    void lost(String reason);
+    /** Handles the loss of the request's state: nothing is left to resume from. */
+    void onStateLost(String reason);
   }
 
   MigrationCoordinator(
       RelayContext context,
-      InboundRequest call,
+      InboundRequest request,
       Route route,
       @Nullable EngineCapabilities engine,
       Owner owner) {
     this.context = context;
-    this.call = call;
+    this.request = request;
     this.route = route;
     this.engine = engine;
     this.owner = owner;
   }
 
-  boolean isMoving() {
-    return handover != null;
+  boolean isMigrating() {
+    return transfer != null;
   }
 
-  /** Begins to move the run to another engine. */
-  void move(Attempt running, BackendRecord target, String newBackup, String backup) {
-    handover =
+  /** Starts the migration of a running request to another engine. */
+  void migrate(Attempt running, BackendRecord target, String newBackup, String backup) {
+    transfer =
         new StateTransfer(
             context,
-            call,
+            request,
             running.backend(),
             target,
-            new MoveEnd(running, newBackup, mayRescue(backup) ? backup : ""));
-    handover.start();
+            new MigrationTransferListener(running, newBackup, mayHaveBackup(backup) ? backup : ""));
+    transfer.start();
   }
 
-  /** Returns whether a run that breaks off may have left a copy to go on from. */
-  boolean mayRescue(String backup) {
+  /** Returns whether a backup copy may exist from which an interrupted request can resume. */
+  boolean mayHaveBackup(String backup) {
     return engine != null && engine.moves() && !route.isRepeatable() && !backup.isEmpty();
   }
 
   /**
-   * Takes in the end of an attempt; returns whether the run goes on for all that.
+   * Handles the end of an attempt; returns whether the request continues nevertheless.
    *
-   * @param backup backend server that keeps a copy of the run; empty for none
+   * @param backup backend server that keeps the backup copy; empty for none
    */
-  boolean goesOnAfter(Attempt ended, AttemptResult result, String backup) {
-    if (handover != null && result instanceof AttemptResult.Broken) {
-      handover.sourceEnded();
+  boolean continuesAfter(Attempt ended, AttemptResult result, String backup) {
+    if (transfer != null && result instanceof AttemptResult.Interrupted) {
+      transfer.onSourceEnded();
       return true;
     }
-    boolean taking = takingOver;
-    takingOver = false;
-    boolean refusedThere =
+    boolean wasResuming = resuming;
+    resuming = false;
+    boolean targetRejected =
         result instanceof AttemptResult.NotRun || result instanceof AttemptResult.Unreachable;
-    if (taking && refusedThere) {
-      goOnOtherwise();
+    if (wasResuming && targetRejected) {
+      resumeAtFallback();
       return true;
     }
-    if (result instanceof AttemptResult.Broken && !taking && mayRescue(backup)) {
-      rescue(ended, backup);
+    if (result instanceof AttemptResult.Interrupted && !wasResuming && mayHaveBackup(backup)) {
+      resumeFromBackup(ended, backup);
       return true;
     }
     return false;
   }
 
-  private void goOnOtherwise() {
-    BackendRecord stopped = context.backend(otherwise);
-    otherwise = "";
-    if (stopped == null) {
-      owner.lost("the moved run could not go on");
+  private void resumeAtFallback() {
+    BackendRecord fallback = context.backend(fallbackBackend);
+    fallbackBackend = "";
+    if (fallback == null) {
+      owner.onStateLost(
+          "neither the target of the migration nor its source could resume the request");
       return;
     }
-    takingOver = true;
-    owner.sendTo(stopped, copyName);
+    resuming = true;
+    owner.resumeAt(fallback, stateReference);
   }
 
-  /** Has a run whose connection broke stopped for certain, and goes on from what is left of it. */
-  private void rescue(Attempt broken, String backup) {
-    BackendRecord keeper = context.backend(backup);
-    if (keeper == null) {
-      owner.lost("the run broke off and so did its copy");
+  /**
+   * Makes sure that a request whose connection was lost has stopped, and resumes it from the state
+   * that is left.
+   */
+  private void resumeFromBackup(Attempt interruptedAttempt, String backup) {
+    BackendRecord backupBackend = context.backend(backup);
+    if (backupBackend == null) {
+      owner.onStateLost(
+          "the request was interrupted at backend server "
+              + interruptedAttempt.backend().getId()
+              + ", and backend server "
+              + backup
+              + " with the backup copy is unavailable");
       return;
     }
-    Logger.info("call {} of {} broke off at {}", call.id(), route.name(), broken.backend().getId());
-    handover =
-        new StateTransfer(context, call, broken.backend(), keeper, new RescueEnd(broken, keeper));
-    handover.startStopped();
+    Logger.info(
+        "request {} on route {}: interrupted at backend server {};"
+            + " resuming with the backup copy at {}",
+        request.id(),
+        route.name(),
+        interruptedAttempt.backend().getId(),
+        backup);
+    transfer =
+        new StateTransfer(
+            context,
+            request,
+            interruptedAttempt.backend(),
+            backupBackend,
+            new RecoveryTransferListener(interruptedAttempt, backupBackend));
+    transfer.startWithEndedSource();
   }
 
-  /** Goes on where a handover led to. */
-  private final class MoveEnd implements StateTransfer.Owner {
+  /** Handles the outcome of the state transfer of a migration. */
+  private final class MigrationTransferListener implements StateTransfer.Listener {
     private final Attempt source;
     private final String newBackup;
     private final String backup;
 
-    MoveEnd(Attempt source, String newBackup, String backup) {
+    MigrationTransferListener(Attempt source, String newBackup, String backup) {
       this.source = source;
       this.newBackup = newBackup;
       this.backup = backup;
     }
 
     @Override
-    public void notMoved(boolean sourceEnded) {
-      handover = null;
-      if (owner.isOver()) {
+    public void onTransferFailed(boolean sourceEnded) {
+      transfer = null;
+      if (owner.isFinished()) {
         return;
       }
-      Logger.info("call {} of {} stays at {}", call.id(), route.name(), source.backend().getId());
+      Logger.info(
+          "request {} on route {}: migration from backend server {} failed; {}",
+          request.id(),
+          route.name(),
+          source.backend().getId(),
+          sourceEnded ? "the request has stopped there" : "the request continues there");
       if (sourceEnded && !backup.isEmpty()) {
-        rescue(source, backup);
+        resumeFromBackup(source, backup);
       } else if (sourceEnded) {
-        owner.lost("the run stopped and could not be moved");
+        owner.onStateLost(
+            "the request stopped at backend server "
+                + source.backend().getId()
+                + " and its state could not be transferred");
       } else {
-        owner.stays();
+        owner.onMigrationFailed();
       }
     }
 
     @Override
-    public void moved(BackendRecord to, String copy) {
-      goOn(source, to, copy, source.backend().getId(), newBackup);
+    public void onTransferred(BackendRecord target, String newStateReference) {
+      resumeAtTarget(source, target, newStateReference, source.backend().getId(), newBackup);
     }
   }
 
-  /** Goes on from the copy where the run itself could not be had any more. */
-  private final class RescueEnd implements StateTransfer.Owner {
-    private final Attempt broken;
-    private final BackendRecord keeper;
+  /**
+   * Resumes from the backup copy if the state of the interrupted request can no longer be fetched.
+   */
+  private final class RecoveryTransferListener implements StateTransfer.Listener {
+    private final Attempt interruptedAttempt;
+    private final BackendRecord backupBackend;
 
-    RescueEnd(Attempt broken, BackendRecord keeper) {
-      this.broken = broken;
-      this.keeper = keeper;
+    RecoveryTransferListener(Attempt interruptedAttempt, BackendRecord backupBackend) {
+      this.interruptedAttempt = interruptedAttempt;
+      this.backupBackend = backupBackend;
     }
 
     @Override
-    public void notMoved(boolean sourceEnded) {
-      moved(keeper, context.protocol().copyName(keeper, call.id()));
+    public void onTransferFailed(boolean sourceEnded) {
+      onTransferred(backupBackend, context.protocol().stateReference(backupBackend, request.id()));
     }
 
     @Override
-    public void moved(BackendRecord to, String copy) {
-      goOn(broken, to, copy, "", "");
+    public void onTransferred(BackendRecord target, String newStateReference) {
+      resumeAtTarget(interruptedAttempt, target, newStateReference, "", "");
     }
   }
 
-  /** Sends the call to an engine that takes the running request over. */
-  private void goOn(
-      Attempt source, BackendRecord to, String copy, String elsewhere, String newBackup) {
-    handover = null;
-    if (owner.isOver()) {
+  /** Resumes the request at the target of a state transfer. */
+  private void resumeAtTarget(
+      Attempt source,
+      BackendRecord target,
+      String newStateReference,
+      String newFallbackBackend,
+      String newBackup) {
+    transfer = null;
+    if (owner.isFinished()) {
       return;
     }
     source.cancel();
-    takingOver = true;
-    otherwise = elsewhere;
-    copyName = copy;
+    resuming = true;
+    fallbackBackend = newFallbackBackend;
+    stateReference = newStateReference;
     Logger.info(
-        "call {} of {} moves from {} to {}",
-        call.id(),
+        "request {} on route {}: migrates from backend server {} to {}",
+        request.id(),
         route.name(),
         source.backend().getId(),
-        to.getId());
-    owner.goesOnAt(to, newBackup);
-    owner.sendTo(to, copy);
+        target.getId());
+    owner.onMigrated(target, newBackup);
+    owner.resumeAt(target, newStateReference);
   }
 }
--- a/src/main/java/org/curranthaven/internal/relay/RelayServer.java
+++ b/src/main/java/org/curranthaven/internal/relay/RelayServer.java
@@ -24,9 +24,12 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** Listens for callers and for the balancer's readiness checks. */
+/**
+ * Listens for callers and for the readiness checks of load balancers. Connections are handled on
+ * the event loop.
+ */
 final class RelayServer {
-  private static final int MAX_LINE_BYTES = 16_384;
+  private static final int MAX_REQUEST_LINE_BYTES = 16_384;
   private static final int MAX_HEADER_BYTES = 65_536;
   private static final int BACKLOG = 1_024;
   private static final int OK = 200;
@@ -58,7 +61,7 @@
     channel.closeFuture().addListener(closed -> connections.remove(connection));
     channel
         .pipeline()
-        .addLast(new ByteWatch(connection))
+        .addLast(new ByteArrivalHandler(connection))
         .addLast(new StrictRequestDecoder(), new HttpResponseEncoder(), connection);
   }
 
@@ -72,7 +75,9 @@
             channel
                 .pipeline()
                 .addLast(
-                    new StrictRequestDecoder(), new HttpResponseEncoder(), new ReadyAnswer(ready));
+                    new StrictRequestDecoder(),
+                    new HttpResponseEncoder(),
+                    new ReadinessHandler(ready));
           }
         });
   }
@@ -90,47 +95,51 @@
         .sync();
   }
 
-  /** Closes the connections on which no request is being answered. */
+  /** Closes the connections on which no request is being processed or received. */
   void closeIdleConnections() {
     List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
   }
 
-  /** Refuses requests whose framing two readers could understand in two ways. */
+  /**
+   * Rejects requests whose framing is ambiguous, which could otherwise be used for request
+   * smuggling.
+   */
   private static final class StrictRequestDecoder extends HttpRequestDecoder {
     StrictRequestDecoder() {
       super(
           new HttpDecoderConfig()
-              .setMaxInitialLineLength(MAX_LINE_BYTES)
+              .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
               .setMaxHeaderSize(MAX_HEADER_BYTES)
               .setStrictLineParsing(true));
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-      throw new IllegalArgumentException("both a length and chunks are declared");
+      throw new IllegalArgumentException(
+          "the request declares both Content-Length and chunked transfer encoding; send only one");
     }
   }
 
-  /** Tells a connection that bytes arrived, before it is known what they are. */
-  private static final class ByteWatch extends ChannelInboundHandlerAdapter {
+  /** Notifies a caller connection of received bytes before they are decoded. */
+  private static final class ByteArrivalHandler extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
-    ByteWatch(CallerConnection connection) {
+    ByteArrivalHandler(CallerConnection connection) {
       this.connection = connection;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-      connection.bytesArrived();
+      connection.onBytesReceived();
       context.fireChannelRead(message);
     }
   }
 
-  /** Answers readiness checks. */
-  private final class ReadyAnswer extends ChannelInboundHandlerAdapter {
+  /** Responds to readiness checks. */
+  private final class ReadinessHandler extends ChannelInboundHandlerAdapter {
     private final BooleanSupplier ready;
 
-    ReadyAnswer(BooleanSupplier ready) {
+    ReadinessHandler(BooleanSupplier ready) {
       this.ready = ready;
     }
 
--- a/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
@@ -19,86 +19,94 @@
 import org.tinylog.Logger;
 
 /**
- * One call from its arrival to its final answer: has it placed, sends it, repeats it where its
- * route allows that, and relays the answer. Used on the event loop only.
+ * One request from its arrival to its final response: requests its placement, sends it to a backend
+ * server, retries it where its route allows that, and relays the response. Confined to the event
+ * loop.
  */
 final class RoutedRequest
-    implements RequestPlacer.PlacementListener, Attempt.Owner, MigrationCoordinator.Owner {
-  /** Time left below which a call is not sent any more. */
-  private static final long MIN_SEND_MILLIS = 5;
+    implements RequestPlacer.PlacementListener, Attempt.Listener, MigrationCoordinator.Owner {
+  /** Time to the deadline below which no further attempt is made. */
+  private static final long MIN_ATTEMPT_MILLIS = 5;
 
-  private static final long RETRY_SOON_MILLIS = 500;
+  private static final long RETRY_AFTER_MILLIS = 500;
 
-  /** Idle time of a connection above which it is not used for a call that may not run twice. */
-  private static final long UNREPEATABLE_IDLE_MILLIS = 250;
+  /**
+   * Longest idle time of a connection that is reused for a request that must not run twice. A
+   * longer idle connection may be closed already, and the request would then fail without a retry.
+   */
+  private static final long UNREPEATABLE_MAX_IDLE_MILLIS = 250;
 
-  /** Shortest silence after which a call is given up at a backend server. */
-  private static final long MIN_SILENCE_MILLIS = 600;
+  /** Shortest time without a response after which an attempt is abandoned. */
+  private static final long MIN_RESPONSE_TIMEOUT_MILLIS = 600;
 
-  /** Pause of a stream after which its engine is taken for lost: many times an ordinary one. */
-  private static final long STREAM_SILENCE_MILLIS = 1_500;
+  /**
+   * Pause of a stream after which its engine counts as lost; many times longer than a normal pause.
+   */
+  private static final long STREAM_STALL_TIMEOUT_MILLIS = 1_500;
 
-  private static final long MIN_CHECK_MILLIS = 100;
+  private static final long MIN_CHECK_INTERVAL_MILLIS = 100;
   private static final int DEFAULT_TOKENS_PER_EVENT = 1;
 
   private final RelayContext context;
   private final CallerConnection caller;
-  private final InboundRequest call;
+  private final InboundRequest request;
   private final Route route;
   private final ServiceSpec service;
   private final String workspace;
   private final int priority;
-  private final long endsAtMillis;
-  private final ScheduledFuture<?> timeout;
+  private final long deadlineAtMillis;
+  private final ScheduledFuture<?> deadlineTimer;
   private final RequestProgress progress;
-  private final MigrationCoordinator moves;
-  private final Set<String> excluded = new LinkedHashSet<>();
+  private final MigrationCoordinator migration;
+  private final Set<String> excludedBackends = new LinkedHashSet<>();
   private long placementId;
-  private @Nullable PlacementRequest ask;
+  private @Nullable PlacementRequest pendingPlacement;
   private @Nullable Attempt attempt;
-  private AttemptResult.@Nullable Answered lastAnswer;
+  private AttemptResult.@Nullable Completed lastFailedResponse;
   private String backend = "";
   private String backup = "";
   private int urgency;
-  private int runs;
-  private int sends;
-  private boolean started;
+  private int executionCount;
+  private int attemptCount;
+  private boolean streamStarted;
   private boolean placed;
-  private boolean done;
+  private boolean finished;
 
   RoutedRequest(
       RelayContext context,
       CallerConnection caller,
-      InboundRequest call,
+      InboundRequest request,
       Route route,
       ServiceSpec service,
       String workspace,
       long arrivedAtMillis,
-      long allowedMillis,
+      long timeoutMillis,
       int priority) {
     this.context = context;
     this.caller = caller;
-    this.call = call;
+    this.request = request;
     this.route = route;
     this.service = service;
     this.workspace = workspace;
     this.priority = priority;
     EngineCapabilities engine = service.engine();
     int tokensPerEvent = engine == null ? DEFAULT_TOKENS_PER_EVENT : engine.tokensPerEvent();
-    this.moves = new MigrationCoordinator(context, call, route, engine, this);
-    this.progress = new RequestProgress(route, tokensPerEvent, call.lastEventId(), arrivedAtMillis);
-    this.endsAtMillis = arrivedAtMillis + allowedMillis;
-    long left = Math.max(0, endsAtMillis - context.clock().nowMillis());
-    this.timeout = context.loop().schedule(this::timeUp, left, TimeUnit.MILLISECONDS);
+    this.migration = new MigrationCoordinator(context, request, route, engine, this);
+    this.progress =
+        new RequestProgress(route, tokensPerEvent, request.lastEventId(), arrivedAtMillis);
+    this.deadlineAtMillis = arrivedAtMillis + timeoutMillis;
+    long leftMillis = Math.max(0, deadlineAtMillis - context.clock().nowMillis());
+    this.deadlineTimer =
+        context.loop().schedule(this::onDeadline, leftMillis, TimeUnit.MILLISECONDS);
   }
 
   void start() {
-    askForPlace(false);
+    requestPlacement(false);
   }
 
-  // ---- placing ----------------------------------------------------------------------------------
+  // ---- placement --------------------------------------------------------------------------------
 
-  private void askForPlace(boolean repeat) {
+  private void requestPlacement(boolean repeat) {
     long nowMillis = context.clock().nowMillis();
     EngineCapabilities engine = service.engine();
     placementId = context.nextPlacementId();
@@ -109,29 +117,29 @@
             .setRoute(route.name())
             .setWorkspace(workspace)
             .setPriority(priority)
-            .setPromptTokens(call.promptTokens() + outputTokens())
-            .setMaxOutputTokens(Math.max(0, call.maxOutputTokens() - outputTokens()))
-            .setHintedOutputTokens(Math.max(0, call.hintedOutputTokens() - outputTokens()))
+            .setPromptTokens(request.promptTokens() + outputTokens())
+            .setMaxOutputTokens(Math.max(0, request.maxOutputTokens() - outputTokens()))
+            .setHintedOutputTokens(Math.max(0, request.hintedOutputTokens() - outputTokens()))
             .setTargetLeftMillis(progress.arrivedAtMillis() + route.targetMillis() - nowMillis)
-            .setDeadlineLeftMillis(endsAtMillis - nowMillis)
-            .addAllExcluded(excluded)
+            .setDeadlineLeftMillis(deadlineAtMillis - nowMillis)
+            .addAllExcluded(excludedBackends)
             .setRepeat(repeat)
             .setDataCentre(context.dataCentre())
             .setEngine(engine != null)
             .setIrreplaceable(engine != null && !route.isRepeatable());
     if (engine != null) {
-      builder.addAllParts(call.parts());
+      builder.addAllParts(request.parts());
     }
-    PlacementRequest built = builder.build();
-    ask = built;
+    PlacementRequest newPlacement = builder.build();
+    pendingPlacement = newPlacement;
     placed = false;
     backend = "";
-    context.placer().requestPlacement(built, this);
+    context.placer().requestPlacement(newPlacement, this);
   }
 
   @Override
   public PlacementRequest placementRequest() {
-    return ask == null ? PlacementRequest.getDefaultInstance() : ask;
+    return pendingPlacement == null ? PlacementRequest.getDefaultInstance() : pendingPlacement;
   }
 
   @Override
@@ -146,9 +154,9 @@
 
   @Override
   public void onPlaced(String backendId, int newUrgency, String backupId) {
-    BackendRecord record = context.backend(backendId);
-    long left = endsAtMillis - context.clock().nowMillis();
-    if (done || left < MIN_SEND_MILLIS) {
+    BackendRecord target = context.backend(backendId);
+    long leftMillis = deadlineAtMillis - context.clock().nowMillis();
+    if (finished || leftMillis < MIN_ATTEMPT_MILLIS) {
       context.placer().reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0);
       return;
     }
@@ -156,167 +164,195 @@
     backend = backendId;
     urgency = newUrgency;
     backup = backupId;
-    if (record == null) {
-      sends++;
-      afterAttempt(new AttemptResult.Unreachable("the backend server is gone"));
+    if (target == null) {
+      attemptCount++;
+      handleResult(
+          new AttemptResult.Unreachable("backend server " + backendId + " is no longer known"));
       return;
     }
     Logger.info(
-        "call {} of {} goes to {}, try {}, copy at {}",
-        call.id(),
+        "request {} on route {}: attempt {} at backend server {} (backup copy at {}),"
+            + " {} ms to deadline",
+        request.id(),
         route.name(),
+        attemptCount + 1,
         backendId,
-        sends + 1,
-        backupId.isEmpty() ? "none" : backupId);
-    send(record, "");
+        backupId.isEmpty() ? "none" : backupId,
+        leftMillis);
+    send(target, "");
   }
 
-  private void send(BackendRecord record, String takeOverFrom) {
-    sends++;
-    BackendRecord keeper = context.backend(backup);
-    Attempt next = new Attempt(record, this);
-    attempt = next;
-    BackendRequest backendCall =
+  private void send(BackendRecord target, String stateReference) {
+    attemptCount++;
+    BackendRecord backupRecord = context.backend(backup);
+    Attempt newAttempt = new Attempt(target, this);
+    attempt = newAttempt;
+    BackendRequest backendRequest =
         new BackendRequest(
-            call,
-            record,
+            request,
+            target,
             workspace,
-            Math.max(1, endsAtMillis - context.clock().nowMillis()),
+            Math.max(1, deadlineAtMillis - context.clock().nowMillis()),
             service.engine() == null ? -1 : urgency,
             progress.lastEventId(),
-            takeOverFrom,
-            keeper != null ? keeper.getAddress() : "");
-    next.start(
+            stateReference,
+            backupRecord != null ? backupRecord.getAddress() : "");
+    newAttempt.start(
         context.pool(),
-        context.protocol().backendRequest(backendCall),
-        call.id(),
-        route.isRepeatable() ? Long.MAX_VALUE : UNREPEATABLE_IDLE_MILLIS);
-    progress.sent(context.clock().nowMillis());
-    watchForSilence(next);
+        context.protocol().backendRequest(backendRequest),
+        request.id(),
+        route.isRepeatable() ? Long.MAX_VALUE : UNREPEATABLE_MAX_IDLE_MILLIS);
+    progress.recordSent(context.clock().nowMillis());
+    scheduleResponseCheck(newAttempt);
   }
 
   /**
-   * Watches a backend server that may be gone without a sign: a call that may run again is given up
-   * there once its target is missed; a stream of which a copy is kept, after a long pause.
+   * Schedules the detection of a backend server that fails without closing its connection. An
+   * attempt of a repeatable request is abandoned once the first-reply target is missed; an attempt
+   * of a stream with a backup copy, after a long pause.
    */
-  private void watchForSilence(Attempt watched) {
-    if (route.isRepeatable() && runs + 1 < route.attempts()) {
-      long wait = Math.max(MIN_SILENCE_MILLIS, route.targetMillis());
-      context.loop().schedule(() -> giveUpIfUnheard(watched), wait, TimeUnit.MILLISECONDS);
-    } else if (moves.mayRescue(backup)) {
+  private void scheduleResponseCheck(Attempt watchedAttempt) {
+    if (route.isRepeatable() && executionCount + 1 < route.attempts()) {
+      long timeoutMillis = Math.max(MIN_RESPONSE_TIMEOUT_MILLIS, route.targetMillis());
+      context
+          .loop()
+          .schedule(
+              () -> abandonIfUnresponsive(watchedAttempt, timeoutMillis),
+              timeoutMillis,
+              TimeUnit.MILLISECONDS);
+    } else if (migration.mayHaveBackup(backup)) {
       context
           .loop()
-          .schedule(() -> giveUpIfPaused(watched), STREAM_SILENCE_MILLIS, TimeUnit.MILLISECONDS);
+          .schedule(
+              () -> abandonIfStalled(watchedAttempt),
+              STREAM_STALL_TIMEOUT_MILLIS,
+              TimeUnit.MILLISECONDS);
     }
   }
 
-  private void giveUpIfUnheard(Attempt watched) {
-    if (!done && watched == attempt && !watched.isHeard()) {
-      watched.giveUpSilent();
+  private void abandonIfUnresponsive(Attempt watchedAttempt, long timeoutMillis) {
+    if (!finished && watchedAttempt == attempt && !watchedAttempt.hasReceivedResponse()) {
+      watchedAttempt.abandonUnresponsive(timeoutMillis);
     }
   }
 
-  private void giveUpIfPaused(Attempt watched) {
-    if (done || watched != attempt || moves.isMoving()) {
+  private void abandonIfStalled(Attempt watchedAttempt) {
+    if (finished || watchedAttempt != attempt || migration.isMigrating()) {
       return;
     }
     long pauseMillis = progress.pauseMillis(context.clock().nowMillis());
-    if (started && caller.isWritable() && pauseMillis >= STREAM_SILENCE_MILLIS) {
-      watched.giveUpSilent();
+    if (streamStarted && caller.isWritable() && pauseMillis >= STREAM_STALL_TIMEOUT_MILLIS) {
+      watchedAttempt.abandonUnresponsive(pauseMillis);
       return;
     }
-    long next = started ? STREAM_SILENCE_MILLIS - pauseMillis : STREAM_SILENCE_MILLIS;
+    long nextCheckMillis =
+        streamStarted ? STREAM_STALL_TIMEOUT_MILLIS - pauseMillis : STREAM_STALL_TIMEOUT_MILLIS;
     context
         .loop()
         .schedule(
-            () -> giveUpIfPaused(watched), Math.max(MIN_CHECK_MILLIS, next), TimeUnit.MILLISECONDS);
+            () -> abandonIfStalled(watchedAttempt),
+            Math.max(MIN_CHECK_INTERVAL_MILLIS, nextCheckMillis),
+            TimeUnit.MILLISECONDS);
   }
 
   @Override
   public void onRejected(long retryAfterMillis, String reason) {
-    if (done) {
+    if (finished) {
       return;
     }
-    if (lastAnswer != null) {
-      // A backend server's own failure says more than the lack of another one.
-      deliver(lastAnswer);
+    if (lastFailedResponse != null) {
+      // An earlier failure response of a backend server tells the caller more than the rejection of
+      // the retry.
+      deliver(lastFailedResponse);
       return;
     }
-    if (runs > 0) {
-      fail(ResultCode.BACKEND_FAILED, "it may not be sent again (" + reason + ")", 0);
+    if (executionCount > 0) {
+      fail(
+          ResultCode.BACKEND_FAILED,
+          "the request failed after it may have run, and its retry was rejected (reason "
+              + reason
+              + ")",
+          0);
       return;
     }
-    fail(ResultCode.SHED, "the call was turned away: " + reason, retryAfterMillis);
+    fail(
+        ResultCode.SHED,
+        "the request was rejected before it ran (reason " + reason + "); retry later",
+        retryAfterMillis);
   }
 
-  // ---- answers ----------------------------------------------------------------------------------
+  // ---- responses --------------------------------------------------------------------------------
 
   @Override
-  public void events(Attempt from, HttpResponse response, List<EventSplitter.Event> newEvents) {
-    if (done || from != attempt) {
+  public void onEvents(Attempt source, HttpResponse response, List<EventSplitter.Event> newEvents) {
+    if (finished || source != attempt) {
       return;
     }
-    progress.replied(context.clock().nowMillis());
-    if (!started) {
-      started = true;
+    progress.recordReply(context.clock().nowMillis());
+    if (!streamStarted) {
+      streamStarted = true;
       caller.startStream(response);
-      context.measured(route, progress.firstReplyMillis());
+      context.recordFirstReply(route, progress.firstReplyMillis());
     }
     boolean first = outputTokens() == 0;
     for (EventSplitter.Event event : newEvents) {
-      if (progress.isNew(event)) {
+      if (progress.recordIfNew(event)) {
         caller.writeStream(event.bytes());
       }
     }
     if (first && outputTokens() > 0) {
       context.placer().reportProgress(placementId, outputTokens());
     }
-    from.setReading(caller.isWritable());
+    source.setReading(caller.isWritable());
   }
 
-  /** Called when the caller's connection takes more bytes, or none for the moment. */
-  void callerWritable(boolean writable) {
+  /**
+   * Pauses or resumes reading from the backend server as the caller's connection becomes unwritable
+   * or writable.
+   */
+  void onCallerWritabilityChanged(boolean writable) {
     if (attempt != null) {
       attempt.setReading(writable);
     }
   }
 
   @Override
-  public void ended(Attempt from, AttemptResult result) {
-    if (done || from != attempt) {
+  public void onEnded(Attempt source, AttemptResult result) {
+    if (finished || source != attempt) {
       return;
     }
-    if (!moves.goesOnAfter(from, result, backup)) {
-      afterAttempt(result);
+    if (!migration.continuesAfter(source, result, backup)) {
+      handleResult(result);
     }
   }
 
-  private void afterAttempt(AttemptResult result) {
-    if (result instanceof AttemptResult.Answered || result instanceof AttemptResult.Broken) {
-      runs++;
+  private void handleResult(AttemptResult result) {
+    if (result instanceof AttemptResult.Completed || result instanceof AttemptResult.Interrupted) {
+      executionCount++;
     }
-    RetryDecision step = RetryRules.after(result, route, runs, sends, started);
-    reportEnd(result, step);
+    RetryDecision decision =
+        RetryRules.decide(result, route, executionCount, attemptCount, streamStarted);
+    reportEnd(result, decision);
     attempt = null;
-    switch (step) {
+    switch (decision) {
       case RetryDecision.Deliver ignored -> {
-        if (result instanceof AttemptResult.Answered answer) {
-          deliver(answer);
+        if (result instanceof AttemptResult.Completed completed) {
+          deliver(completed);
         }
       }
-      case RetryDecision.SendAgain ignored -> {
-        if (result instanceof AttemptResult.Answered answer) {
-          lastAnswer = answer;
+      case RetryDecision.Retry ignored -> {
+        if (result instanceof AttemptResult.Completed completed) {
+          lastFailedResponse = completed;
         }
-        excluded.add(backend);
-        // A backend server that was never reached has not been asked.
-        askForPlace(!(result instanceof AttemptResult.Unreachable) || runs > 0);
+        excludedBackends.add(backend);
+        // Not a repeat if all backend servers so far were unreachable: none received the request.
+        requestPlacement(!(result instanceof AttemptResult.Unreachable) || executionCount > 0);
       }
-      case RetryDecision.Fail failure -> fail(failure.code(), describe(result), RETRY_SOON_MILLIS);
+      case RetryDecision.Fail failure -> fail(failure.code(), describe(result), RETRY_AFTER_MILLIS);
     }
   }
 
-  private void reportEnd(AttemptResult result, RetryDecision step) {
+  private void reportEnd(AttemptResult result, RetryDecision decision) {
     if (!placed) {
       return;
     }
@@ -328,85 +364,97 @@
               notRun.head().misdirected()
                   ? DispatchOutcome.DISPATCH_OUTCOME_UNREACHABLE
                   : DispatchOutcome.DISPATCH_OUTCOME_REJECTED;
-          case AttemptResult.Broken ignored -> DispatchOutcome.DISPATCH_OUTCOME_FAILED;
-          case AttemptResult.Answered answer ->
-              answer.head().status() >= 500
+          case AttemptResult.Interrupted ignored -> DispatchOutcome.DISPATCH_OUTCOME_FAILED;
+          case AttemptResult.Completed completed ->
+              completed.head().status() >= 500
                   ? DispatchOutcome.DISPATCH_OUTCOME_FAILED
                   : DispatchOutcome.DISPATCH_OUTCOME_ANSWERED;
         };
     context.placer().reportEnd(placementId, outcome, outputTokens());
-    if (!(result instanceof AttemptResult.Answered) || step instanceof RetryDecision.SendAgain) {
+    if (!(result instanceof AttemptResult.Completed) || decision instanceof RetryDecision.Retry) {
       Logger.info(
-          "call {} of {} at {}: {}; next: {}",
-          call.id(),
+          "request {} on route {}: attempt {} at backend server {} ended: {}; next step: {}",
+          request.id(),
           route.name(),
+          attemptCount,
           backend,
           describe(result),
-          step.getClass().getSimpleName());
+          decision.getClass().getSimpleName());
     }
   }
 
   private static String describe(AttemptResult result) {
     return switch (result) {
       case AttemptResult.Unreachable unreachable -> unreachable.reason();
-      case AttemptResult.Broken broken -> broken.reason();
+      case AttemptResult.Interrupted interrupted -> interrupted.reason();
       case AttemptResult.NotRun notRun ->
-          "the backend server turned it away with status " + notRun.head().status();
-      case AttemptResult.Answered answer -> "status " + answer.head().status();
+          "the backend server rejected the request before it ran, with status "
+              + notRun.head().status();
+      case AttemptResult.Completed completed ->
+          "the backend server responded with status " + completed.head().status();
     };
   }
 
-  private void deliver(AttemptResult.Answered answer) {
-    if (!started) {
-      progress.replied(context.clock().nowMillis());
+  private void deliver(AttemptResult.Completed completed) {
+    if (!streamStarted) {
+      progress.recordReply(context.clock().nowMillis());
       finish();
-      context.measured(route, progress.firstReplyMillis());
-      caller.respond(answer.response(), answer.body());
+      context.recordFirstReply(route, progress.firstReplyMillis());
+      caller.respond(completed.response(), completed.body());
       return;
     }
-    if (answer.head().isSuccess()) {
+    if (completed.head().isSuccess()) {
       finish();
-      if (answer.body().length > 0) {
-        caller.writeStream(answer.body());
+      if (completed.body().length > 0) {
+        caller.writeStream(completed.body());
       }
       caller.endStream();
     } else {
-      fail(ResultCode.BACKEND_FAILED, "the stream could not go on", 0);
+      fail(ResultCode.BACKEND_FAILED, "the stream ended incomplete: " + describe(completed), 0);
     }
   }
 
   private void fail(ResultCode code, String message, long retryAfterMillis) {
     finish();
-    context.failed(route, code);
-    Logger.info("call {} of {} failed with {}: {}", call.id(), route.name(), code, message);
-    if (started) {
+    context.recordFailure(route, code);
+    Logger.info(
+        "request {} on route {} failed with {} after {} attempts and {} ms: {}",
+        request.id(),
+        route.name(),
+        code,
+        attemptCount,
+        context.clock().nowMillis() - progress.arrivedAtMillis(),
+        message);
+    if (streamStarted) {
       caller.abort();
     } else {
       caller.fail(Failure.retryLater(code, message, retryAfterMillis));
     }
   }
 
-  private void timeUp() {
-    if (done) {
+  private void onDeadline() {
+    if (finished) {
       return;
     }
-    boolean mayHaveRun = runs > 0 || (attempt != null && attempt.wasSent());
-    stop();
+    boolean mayHaveRun = executionCount > 0 || (attempt != null && attempt.wasSent());
+    cancelAttempt();
     fail(
         mayHaveRun ? ResultCode.DEADLINE_PASSED : ResultCode.SHED,
-        "its time was up",
-        mayHaveRun ? 0 : RETRY_SOON_MILLIS);
+        mayHaveRun
+            ? "the deadline was exceeded after the request may have started to run"
+            : "the deadline was exceeded before the request ran; retry later",
+        mayHaveRun ? 0 : RETRY_AFTER_MILLIS);
   }
 
-  /** Called when the caller has gone. */
-  void callerGone() {
-    if (!done) {
-      stop();
+  /** Cancels the request when the caller has disconnected. */
+  void onCallerDisconnected() {
+    if (!finished) {
+      cancelAttempt();
       finish();
     }
   }
 
-  private void stop() {
+  private void cancelAttempt() {
     if (attempt != null) {
       attempt.cancel();
       attempt = null;
@@ -418,47 +466,56 @@
   }
 
   private void finish() {
-    if (!done) {
-      done = true;
-      timeout.cancel(false);
-      context.closed(this);
+    if (!finished) {
+      finished = true;
+      deadlineTimer.cancel(false);
+      context.requestClosed(this);
       if (progress.isLate()) {
-        Logger.info("call {} of {} was late: {}", call.id(), route.name(), progress.times());
+        Logger.info(
+            "request {} on route {} missed a target: {}",
+            request.id(),
+            route.name(),
+            progress.timingSummary());
       }
     }
   }
 
-  // ---- moving a running request -----------------------------------------------------------------
+  // ---- migration --------------------------------------------------------------------------------
 
   @Override
-  public void onMigrate(String target, String newBackup) {
+  public void onMigrate(String targetId, String newBackup) {
     Attempt running = attempt;
-    BackendRecord record = context.backend(target);
-    if (done || !placed || !started || running == null || record == null || moves.isMoving()) {
-      if (!done && placed) {
-        stays();
+    BackendRecord target = context.backend(targetId);
+    if (finished
+        || !placed
+        || !streamStarted
+        || running == null
+        || target == null
+        || migration.isMigrating()) {
+      if (!finished && placed) {
+        onMigrationFailed();
       }
       return;
     }
-    moves.move(running, record, newBackup, backup);
+    migration.migrate(running, target, newBackup, backup);
   }
 
   @Override
-  public boolean isOver() {
-    return done;
+  public boolean isFinished() {
+    return finished;
   }
 
   @Override
-  public void stays() {
+  public void onMigrationFailed() {
     context.placer().reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_MOVE_FAILED, 0);
   }
 
   @Override
-  public void goesOnAt(BackendRecord to, String newBackup) {
+  public void onMigrated(BackendRecord target, String newBackup) {
     backup = newBackup;
-    progress.moved();
-    if (!to.getId().equals(backend)) {
-      backend = to.getId();
+    progress.recordMigration();
+    if (!target.getId().equals(backend)) {
+      backend = target.getId();
       context
           .placer()
           .reportEnd(placementId, DispatchOutcome.DISPATCH_OUTCOME_MOVED, outputTokens());
@@ -466,21 +523,21 @@
   }
 
   @Override
-  public void sendTo(BackendRecord to, String copyName) {
-    send(to, copyName);
+  public void resumeAt(BackendRecord target, String stateReference) {
+    send(target, stateReference);
   }
 
   @Override
-  public void lost(String reason) {
-    afterAttempt(new AttemptResult.Broken(reason));
+  public void onStateLost(String reason) {
+    handleResult(new AttemptResult.Interrupted(reason));
   }
 
-  /** Returns whether the call is a stream that has begun. */
+  /** Returns whether the request is a stream whose response has started. */
   boolean isStreaming() {
-    return started && route.kind() == Repeatability.STREAM;
+    return streamStarted && route.kind() == Repeatability.STREAM;
   }
 
-  /** Returns the number by which the scheduler knows the call. */
+  /** Returns the id under which the scheduler knows the request. */
   long placementId() {
     return placementId;
   }
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -36,21 +36,23 @@
 import org.tinylog.Logger;
 
 /**
- * A gateway's side of scheduling: follows the scheduler of the highest term, and decides alone, on
- * the gateway's share of the backend servers, while none is heard. Used on the event loop only.
+ * The gateway's client of the scheduler. Follows the scheduler with the highest term; while no
+ * scheduler responds, places requests locally on the gateway's share of the backend servers.
+ * Confined to the event loop.
  */
 final class SchedulerLink implements RequestPlacer {
-  /** Silence after which a scheduler counts as lost. */
-  static final long LOST_AFTER_MILLIS = 450;
+  /** Time without a message after which the scheduler counts as lost. */
+  static final long SCHEDULER_TIMEOUT_MILLIS = 450;
 
   /**
-   * Time for a scheduler to answer a call, if only that it waits: many times what an answer takes,
-   * and below the targets of short calls.
+   * Time within which a scheduler must acknowledge a placement request, if only by reporting it as
+   * queued. Many times longer than a normal reply takes, and shorter than the first-reply targets
+   * of short requests.
    */
-  static final long ANSWER_MILLIS = 150;
+  static final long PLACEMENT_REPLY_TIMEOUT_MILLIS = 150;
 
-  private static final long CHECK_MILLIS = 100;
-  private static final long PROGRESS_MILLIS = 500;
+  private static final long CHECK_INTERVAL_MILLIS = 100;
+  private static final long PROGRESS_INTERVAL_MILLIS = 500;
 
   private final String self;
   private final EventLoop loop;
@@ -59,31 +61,31 @@
   private final RetryLimits retryLimits;
   private final BiConsumer<String, Envelope.Builder> sender;
   private final ViewListener listener;
-  private final Map<Long, PlacementListener> calls = new LinkedHashMap<>();
+  private final Map<Long, PlacementListener> openRequests = new LinkedHashMap<>();
   private final Map<String, BackendRecord> backends = new HashMap<>();
-  private final Set<String> gone = new HashSet<>();
-  private final Map<Long, Integer> reported = new HashMap<>();
+  private final Set<String> removedBackends = new HashSet<>();
+  private final Map<Long, Integer> reportedTokens = new HashMap<>();
 
-  /** Calls of which the scheduler has not said yet what becomes of them. */
-  private final Set<Long> unanswered = new HashSet<>();
+  /** Ids of placement requests that the scheduler has neither decided nor reported as queued. */
+  private final Set<Long> unacknowledged = new HashSet<>();
 
   private String scheduler = "";
   private long term;
-  private long version;
-  private long lastHeardMillis = Long.MIN_VALUE / 2;
-  private int gateways = 1;
+  private long viewVersion;
+  private long lastMessageMillis = Long.MIN_VALUE / 2;
+  private int gatewayCount = 1;
   private Catalog catalog = Catalog.empty();
-  private boolean viewed;
-  private @Nullable DispatchCore alone;
-  private boolean checking;
+  private boolean viewReceived;
+  private @Nullable DispatchCore localDispatch;
+  private boolean checkScheduled;
   private long lastProgressMillis;
 
-  /** Is told what a scheduler says. */
+  /** Receives the catalogs and backend servers that a scheduler publishes. */
   interface ViewListener {
-    /** A newer catalog document came. */
+    /** Handles a catalog document received from the scheduler. */
     void catalogReceived(byte[] document);
 
-    /** The backend servers changed. */
+    /** Handles a change of the known backend servers. */
     void backendsChanged(Collection<BackendRecord> backends);
   }
 
@@ -104,116 +106,126 @@
     this.listener = listener;
   }
 
-  /** Returns the backend server of the name, or null. */
+  /** Returns the backend server with the given id, or null if it is unknown or removed. */
   @Nullable BackendRecord backend(String id) {
     return backends.get(id);
   }
 
-  /** Returns the names of the backend servers that are known. */
+  /** Returns the ids of the known backend servers, sorted. */
   List<String> backendNames() {
     return backends.keySet().stream().sorted().toList();
   }
 
-  /** Returns whether a scheduler has told its view at least once. */
-  boolean isViewed() {
-    return viewed;
+  /** Returns whether a scheduler's view has been received at least once. */
+  boolean hasReceivedView() {
+    return viewReceived;
   }
 
-  /** Returns the host that schedules, or an empty text while the gateway decides alone. */
+  /** Returns the name of the current scheduler, or an empty string during local fallback. */
   String scheduler() {
     return isConnected() ? scheduler : "";
   }
 
   private boolean isConnected() {
-    return !scheduler.isEmpty() && clock.nowMillis() - lastHeardMillis <= LOST_AFTER_MILLIS;
+    return !scheduler.isEmpty()
+        && clock.nowMillis() - lastMessageMillis <= SCHEDULER_TIMEOUT_MILLIS;
   }
 
-  // ---- the scheduler's view ---------------------------------------------------------------------
+  // ---- scheduler views --------------------------------------------------------------------------
 
-  /** Takes in a scheduler's view. */
-  void received(String host, SchedulerView view) {
+  /** Handles a view published by a scheduler; ignores views of earlier terms. */
+  void handle(String host, SchedulerView view) {
     if (view.getTerm() < term) {
       return;
     }
     if (view.getResigned()) {
       if (host.equals(scheduler)) {
-        lose("it resigned");
+        loseScheduler("it resigned");
       }
       return;
     }
-    boolean changed = view.getTerm() > term || !host.equals(scheduler);
-    boolean returned = !changed && !isConnected();
+    boolean schedulerChanged = view.getTerm() > term || !host.equals(scheduler);
+    boolean reconnected = !schedulerChanged && !isConnected();
     term = view.getTerm();
     scheduler = host;
-    lastHeardMillis = clock.nowMillis();
-    gateways = Math.max(1, view.getGateways());
-    if (changed) {
-      version = 0;
+    lastMessageMillis = clock.nowMillis();
+    gatewayCount = Math.max(1, view.getGateways());
+    if (schedulerChanged) {
+      viewVersion = 0;
     }
     if (!view.getCatalog().isEmpty()) {
       listener.catalogReceived(view.getCatalog().toByteArray());
     }
-    boolean news = applyBackends(view);
-    if (changed || returned) {
-      follow();
-    } else if (news || !view.getCatalog().isEmpty()) {
+    boolean updated = applyBackendUpdate(view);
+    if (schedulerChanged || reconnected) {
+      followScheduler();
+    } else if (updated || !view.getCatalog().isEmpty()) {
       sendStatus(false);
     }
   }
 
-  private boolean applyBackends(SchedulerView view) {
-    if (view.getBaseVersion() == 0 && view.getVersion() > 0 && view.getVersion() > version) {
-      mergeAll(view.getBackendsList());
-    } else if (view.getBaseVersion() > 0 && view.getBaseVersion() == version) {
-      view.getBackendsList().forEach(record -> put(record));
+  private boolean applyBackendUpdate(SchedulerView view) {
+    if (view.getBaseVersion() == 0 && view.getVersion() > 0 && view.getVersion() > viewVersion) {
+      replaceBackends(view.getBackendsList());
+    } else if (view.getBaseVersion() > 0 && view.getBaseVersion() == viewVersion) {
+      view.getBackendsList().forEach(record -> putBackend(record));
     } else {
       return false;
     }
     for (String id : view.getGoneList()) {
-      remove(id);
+      removeBackend(id);
     }
-    version = view.getVersion();
-    viewed = true;
+    viewVersion = view.getVersion();
+    viewReceived = true;
     listener.backendsChanged(backends.values());
     return true;
   }
 
-  /** A complete list replaces what is held, but never brings back what is gone. */
-  private void mergeAll(List<BackendRecord> records) {
+  /**
+   * Replaces the known backend servers by a complete list, but never restores one that was removed.
+   */
+  private void replaceBackends(List<BackendRecord> records) {
     Set<String> listed = new HashSet<>();
     records.forEach(record -> listed.add(record.getId()));
     List.copyOf(backends.keySet()).stream()
         .filter(id -> !listed.contains(id))
         .forEach(backends::remove);
-    records.forEach(this::put);
+    records.forEach(this::putBackend);
   }
 
-  private void put(BackendRecord record) {
-    if (!gone.contains(record.getId())) {
+  private void putBackend(BackendRecord record) {
+    if (!removedBackends.contains(record.getId())) {
       backends.put(record.getId(), record);
     }
   }
 
-  private void remove(String id) {
-    gone.add(id);
+  private void removeBackend(String id) {
+    removedBackends.add(id);
     backends.remove(id);
   }
 
-  /** Puts a catalog into force for deciding alone, and tells the scheduler. */
-  void catalogInForce(Catalog newer) {
-    catalog = newer;
-    if (alone != null) {
-      alone.setCatalog(newer);
+  /**
+   * Activates a catalog for local placement. The scheduler learns its revision with the next status
+   * message.
+   */
+  void activateCatalog(Catalog newCatalog) {
+    catalog = newCatalog;
+    if (localDispatch != null) {
+      localDispatch.setCatalog(newCatalog);
     }
   }
 
-  private void follow() {
-    Logger.info("{} schedules in term {}", scheduler, term);
-    alone = null;
+  private void followScheduler() {
+    Logger.info(
+        "following scheduler {} in term {} with {} open requests",
+        scheduler,
+        term,
+        openRequests.size());
+    localDispatch = null;
     sendStatus(true);
-    for (PlacementListener call : List.copyOf(calls.values())) {
-      if (call.backend().isEmpty()) {
-        send(DispatchRequests.newBuilder().addAsks(call.placementRequest()));
+    for (PlacementListener request : List.copyOf(openRequests.values())) {
+      if (request.backend().isEmpty()) {
+        send(DispatchRequests.newBuilder().addAsks(request.placementRequest()));
       }
     }
   }
@@ -222,18 +234,18 @@
     GatewayStatus.Builder status =
         GatewayStatus.newBuilder()
             .setTerm(term)
-            .setVersion(version)
+            .setVersion(viewVersion)
             .setCatalogRevision(catalog.revision())
             .setFull(full);
     if (full) {
-      status.addAllBackends(backends.values()).addAllGone(gone);
-      for (PlacementListener call : calls.values()) {
-        if (!call.backend().isEmpty()) {
+      status.addAllBackends(backends.values()).addAllGone(removedBackends);
+      for (PlacementListener request : openRequests.values()) {
+        if (!request.backend().isEmpty()) {
           status.addOpen(
               OpenDispatch.newBuilder()
-                  .setAsk(call.placementRequest())
-                  .setBackend(call.backend())
-                  .setOutputTokens(call.outputTokens()));
+                  .setAsk(request.placementRequest())
+                  .setBackend(request.backend())
+                  .setOutputTokens(request.outputTokens()));
         }
       }
     }
@@ -244,51 +256,64 @@
     sender.accept(scheduler, Envelope.newBuilder().setDispatchRequests(requests.setTerm(term)));
   }
 
-  // ---- calls ------------------------------------------------------------------------------------
+  // ---- requests ---------------------------------------------------------------------------------
 
   @Override
-  public void requestPlacement(PlacementRequest ask, PlacementListener placed) {
-    calls.put(ask.getId(), placed);
+  public void requestPlacement(
+      PlacementRequest placementRequest, PlacementListener placementListener) {
+    openRequests.put(placementRequest.getId(), placementListener);
     if (isConnected()) {
-      askScheduler(ask);
-      checkLater();
+      sendPlacementRequest(placementRequest);
+      scheduleCheck();
     } else {
-      askAlone(ask);
+      placeLocally(placementRequest);
     }
   }
 
-  private void askScheduler(PlacementRequest ask) {
-    send(DispatchRequests.newBuilder().addAsks(ask));
-    // A scheduler that rebuilds its state has told no version yet, and answers only after that.
-    if (version > 0) {
-      unanswered.add(ask.getId());
-      long askedAtMillis = clock.nowMillis();
-      long askedTerm = term;
+  private void sendPlacementRequest(PlacementRequest placementRequest) {
+    send(DispatchRequests.newBuilder().addAsks(placementRequest));
+    // A scheduler that is rebuilding its state has sent no view version yet and replies only
+    // afterwards.
+    if (viewVersion > 0) {
+      unacknowledged.add(placementRequest.getId());
+      long sentAtMillis = clock.nowMillis();
+      long sentTerm = term;
       loop.schedule(
-          () -> checkAnswered(ask, askedTerm, askedAtMillis), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+          () -> checkAcknowledged(placementRequest, sentTerm, sentAtMillis),
+          PLACEMENT_REPLY_TIMEOUT_MILLIS,
+          TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Decides alone if the scheduler is silent; asks again if only the question was lost. */
-  private void checkAnswered(PlacementRequest ask, long askedTerm, long askedAtMillis) {
-    if (!unanswered.contains(ask.getId()) || term != askedTerm || !isConnected()) {
+  /**
+   * Starts local fallback if the scheduler has sent nothing since the placement request; sends the
+   * request again if only that message was lost.
+   */
+  private void checkAcknowledged(
+      PlacementRequest placementRequest, long sentTerm, long sentAtMillis) {
+    if (!unacknowledged.contains(placementRequest.getId()) || term != sentTerm || !isConnected()) {
       return;
     }
-    if (lastHeardMillis <= askedAtMillis) {
-      lose("it does not answer");
+    if (lastMessageMillis <= sentAtMillis) {
+      loseScheduler(
+          "no reply to placement request "
+              + placementRequest.getId()
+              + " within "
+              + PLACEMENT_REPLY_TIMEOUT_MILLIS
+              + " ms");
     } else {
-      askScheduler(ask);
+      sendPlacementRequest(placementRequest);
     }
   }
 
   @Override
   public void reportProgress(long id, int outputTokens) {
-    reported.put(id, outputTokens);
+    reportedTokens.put(id, outputTokens);
     if (isConnected()) {
       send(DispatchRequests.newBuilder().addProgress(progress(id, outputTokens)));
-    } else if (alone != null) {
-      alone.outputProgressed(key(id), outputTokens, clock.nowMillis());
-      carryOutAlone();
+    } else if (localDispatch != null) {
+      localDispatch.outputProgressed(requestId(id), outputTokens, clock.nowMillis());
+      applyLocalDecisions();
     }
   }
 
@@ -298,13 +323,13 @@
 
   @Override
   public void reportEnd(long id, DispatchOutcome outcome, int outputTokens) {
-    boolean over =
+    boolean finished =
         outcome != DispatchOutcome.DISPATCH_OUTCOME_MOVED
             && outcome != DispatchOutcome.DISPATCH_OUTCOME_MOVE_FAILED;
-    if (over) {
-      calls.remove(id);
-      reported.remove(id);
-      unanswered.remove(id);
+    if (finished) {
+      openRequests.remove(id);
+      reportedTokens.remove(id);
+      unacknowledged.remove(id);
     }
     if (isConnected()) {
       send(
@@ -314,77 +339,77 @@
                       .setId(id)
                       .setOutcome(outcome)
                       .setOutputTokens(outputTokens)));
-    } else if (alone != null) {
-      alone.requestEnded(key(id), outcome, outputTokens, clock.nowMillis());
-      carryOutAlone();
+    } else if (localDispatch != null) {
+      localDispatch.requestEnded(requestId(id), outcome, outputTokens, clock.nowMillis());
+      applyLocalDecisions();
     }
   }
 
-  /** Takes in what the scheduler decided. */
-  void received(String host, DispatchOrders orders) {
+  /** Handles the scheduler's decisions; ignores those of another term or host. */
+  void handle(String host, DispatchOrders orders) {
     if (orders.getTerm() != term || !host.equals(scheduler)) {
       return;
     }
-    lastHeardMillis = clock.nowMillis();
-    orders.getWaitingList().forEach(unanswered::remove);
+    lastMessageMillis = clock.nowMillis();
+    orders.getWaitingList().forEach(unacknowledged::remove);
     for (Placement placement : orders.getPlacementsList()) {
-      unanswered.remove(placement.getId());
-      PlacementListener call = calls.get(placement.getId());
-      if (call != null && call.backend().isEmpty()) {
-        call.onPlaced(placement.getBackend(), placement.getUrgency(), placement.getBackup());
+      unacknowledged.remove(placement.getId());
+      PlacementListener request = openRequests.get(placement.getId());
+      if (request != null && request.backend().isEmpty()) {
+        request.onPlaced(placement.getBackend(), placement.getUrgency(), placement.getBackup());
       }
     }
-    for (Refusal refusal : orders.getRefusalsList()) {
-      unanswered.remove(refusal.getId());
-      PlacementListener call = calls.remove(refusal.getId());
-      if (call != null) {
-        call.onRejected(refusal.getRetryAfterMillis(), refusal.getReason());
+    for (Refusal rejection : orders.getRefusalsList()) {
+      unacknowledged.remove(rejection.getId());
+      PlacementListener request = openRequests.remove(rejection.getId());
+      if (request != null) {
+        request.onRejected(rejection.getRetryAfterMillis(), rejection.getReason());
       }
     }
-    for (Move move : orders.getMovesList()) {
-      PlacementListener call = calls.get(move.getId());
-      if (call != null) {
-        call.onMigrate(move.getTarget(), move.getBackup());
+    for (Move migration : orders.getMovesList()) {
+      PlacementListener request = openRequests.get(migration.getId());
+      if (request != null) {
+        request.onMigrate(migration.getTarget(), migration.getBackup());
       }
     }
   }
 
-  // ---- deciding alone ---------------------------------------------------------------------------
+  // ---- local fallback ---------------------------------------------------------------------------
 
-  private void checkLater() {
-    if (!checking) {
-      checking = true;
-      loop.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleCheck() {
+    if (!checkScheduled) {
+      checkScheduled = true;
+      loop.schedule(this::check, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void check() {
-    checking = false;
+    checkScheduled = false;
     if (!scheduler.isEmpty() && !isConnected()) {
-      lose("it is silent");
+      loseScheduler("no message within " + SCHEDULER_TIMEOUT_MILLIS + " ms");
     }
-    if (alone != null) {
-      alone.tick(clock.nowMillis());
-      carryOutAlone();
+    if (localDispatch != null) {
+      localDispatch.tick(clock.nowMillis());
+      applyLocalDecisions();
     }
     reportProgress();
-    if (!calls.isEmpty()) {
-      checkLater();
+    if (!openRequests.isEmpty()) {
+      scheduleCheck();
     }
   }
 
   private void reportProgress() {
     long nowMillis = clock.nowMillis();
-    if (nowMillis - lastProgressMillis < PROGRESS_MILLIS || !isConnected()) {
+    if (nowMillis - lastProgressMillis < PROGRESS_INTERVAL_MILLIS || !isConnected()) {
       return;
     }
     lastProgressMillis = nowMillis;
     DispatchRequests.Builder requests = DispatchRequests.newBuilder();
-    calls.forEach(
-        (id, call) -> {
-          int tokens = call.outputTokens();
-          if (tokens > reported.getOrDefault(id, 0)) {
-            reported.put(id, tokens);
+    openRequests.forEach(
+        (id, request) -> {
+          int tokens = request.outputTokens();
+          if (tokens > reportedTokens.getOrDefault(id, 0)) {
+            reportedTokens.put(id, tokens);
             requests.addProgress(progress(id, tokens));
           }
         });
@@ -393,76 +418,90 @@
     }
   }
 
-  private void lose(String reason) {
-    Logger.info("scheduler {} is lost: {}; deciding alone", scheduler, reason);
+  private void loseScheduler(String reason) {
+    Logger.info(
+        "scheduler {} of term {} lost: {} (last message {} ms ago);"
+            + " placing {} open requests locally",
+        scheduler,
+        term,
+        reason,
+        clock.nowMillis() - lastMessageMillis,
+        openRequests.size());
     scheduler = "";
-    unanswered.clear();
-    startAlone();
+    unacknowledged.clear();
+    startLocalFallback();
   }
 
-  /** Called when the connection to a host is gone. */
+  /** Handles the loss of the connection to a host. */
   void disconnected(String host) {
     if (host.equals(scheduler)) {
-      lose("its connection is gone");
+      loseScheduler("connection lost");
     }
   }
 
-  private DispatchCore startAlone() {
+  private DispatchCore startLocalFallback() {
     long nowMillis = clock.nowMillis();
-    DispatchCore core = new DispatchCore(retryLimits, gateways, random);
-    alone = core;
+    DispatchCore core = new DispatchCore(retryLimits, gatewayCount, random);
+    localDispatch = core;
     core.setCatalog(catalog);
     backends.values().forEach(record -> core.updateBackend(record, nowMillis));
-    List<PlacementRequest> waiting = new ArrayList<>();
-    calls.forEach(
-        (id, call) -> {
-          if (call.backend().isEmpty()) {
-            waiting.add(call.placementRequest());
+    List<PlacementRequest> queued = new ArrayList<>();
+    openRequests.forEach(
+        (id, request) -> {
+          if (request.backend().isEmpty()) {
+            queued.add(request.placementRequest());
           } else {
             core.restoreRunning(
-                key(id), call.placementRequest(), call.backend(), call.outputTokens(), nowMillis);
+                requestId(id),
+                request.placementRequest(),
+                request.backend(),
+                request.outputTokens(),
+                nowMillis);
           }
         });
-    waiting.forEach(ask -> core.submit(key(ask.getId()), ask, nowMillis));
-    loop.execute(this::carryOutAlone);
-    checkLater();
+    queued.forEach(
+        placementRequest ->
+            core.submit(requestId(placementRequest.getId()), placementRequest, nowMillis));
+    loop.execute(this::applyLocalDecisions);
+    scheduleCheck();
     return core;
   }
 
-  private void askAlone(PlacementRequest ask) {
-    DispatchCore core = alone;
+  private void placeLocally(PlacementRequest placementRequest) {
+    DispatchCore core = localDispatch;
     if (core == null) {
-      // The new call is among those that wait.
-      startAlone();
+      // startLocalFallback submits the new request with the other open requests.
+      startLocalFallback();
       return;
     }
-    core.submit(key(ask.getId()), ask, clock.nowMillis());
-    loop.execute(this::carryOutAlone);
-    checkLater();
+    core.submit(requestId(placementRequest.getId()), placementRequest, clock.nowMillis());
+    loop.execute(this::applyLocalDecisions);
+    scheduleCheck();
   }
 
-  private RequestId key(long id) {
+  private RequestId requestId(long id) {
     return new RequestId(self, id);
   }
 
-  private void carryOutAlone() {
-    DispatchCore core = alone;
+  private void applyLocalDecisions() {
+    DispatchCore core = localDispatch;
     if (core == null) {
       return;
     }
     for (DispatchDecision decision : core.drainDecisions()) {
-      PlacementListener call = calls.get(decision.key().id());
-      if (call == null) {
+      PlacementListener request = openRequests.get(decision.key().id());
+      if (request == null) {
         continue;
       }
       switch (decision) {
-        case DispatchDecision.Place place ->
-            call.onPlaced(place.backend(), place.urgency(), place.backup());
-        case DispatchDecision.Reject refuse -> {
-          calls.remove(refuse.key().id());
-          call.onRejected(refuse.retryAfterMillis(), refuse.reason().name());
+        case DispatchDecision.Place placement ->
+            request.onPlaced(placement.backend(), placement.urgency(), placement.backup());
+        case DispatchDecision.Reject reject -> {
+          openRequests.remove(reject.key().id());
+          request.onRejected(reject.retryAfterMillis(), reject.reason().name());
         }
-        case DispatchDecision.Migrate move -> call.onMigrate(move.target(), move.backup());
+        case DispatchDecision.Migrate migration ->
+            request.onMigrate(migration.target(), migration.backup());
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
+++ b/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
@@ -9,196 +9,218 @@
 import org.tinylog.Logger;
 
 /**
- * Moves the state of a running request to another engine: copies while the run goes on, then stops
- * it and copies what is new. Used on the event loop only.
+ * Transfers the state of a running request to another engine: copies it while the request runs,
+ * then stops the request and copies what has been added. Confined to the event loop.
  */
 final class StateTransfer {
   private static final int OK = 200;
-  private static final long MAX_IDLE_MILLIS = 250;
+  private static final long MAX_CONNECTION_IDLE_MILLIS = 250;
 
-  /** Longest time for one copy; after it the move is given up. */
+  /** Timeout of one copy, after which the transfer fails. */
   private static final long COPY_TIMEOUT_MILLIS = 4_000;
 
-  /** Longest time for an engine that broke off to answer whether the run still goes on. */
+  /**
+   * Timeout of the stop request to an engine whose connection was lost while the request may still
+   * run there.
+   */
   private static final long STOP_TIMEOUT_MILLIS = 600;
 
-  /** Time after the last copy for which the rest of the source's stream is awaited. */
-  private static final long SOURCE_END_MILLIS = 400;
+  /** Time after the final copy during which the rest of the source's stream is awaited. */
+  private static final long SOURCE_END_TIMEOUT_MILLIS = 400;
 
   private final RelayContext context;
-  private final InboundRequest call;
+  private final InboundRequest request;
   private final BackendRecord source;
   private final BackendRecord target;
-  private final Owner owner;
+  private final Listener listener;
   private long copyTimeoutMillis = COPY_TIMEOUT_MILLIS;
-  private long startAtMillis;
-  private long stopAtMillis;
+  private long startedAtMillis;
+  private long stopRequestedAtMillis;
   private boolean sourceEnded;
-  private boolean over;
+  private boolean finished;
   private boolean stopping;
-  private String copyName = "";
+  private String stateReference = "";
   private BackendRecord destination;
 
-  /** Is told how the handover ended. */
-  interface Owner {
-    /** The run stays where it is, or is over if {@code sourceEnded}. */
-    void notMoved(boolean sourceEnded);
-
-    /** The run goes on from the named copy at another engine, or at the source itself. */
-    void moved(BackendRecord to, String copyName);
+  /** Receives the outcome of a state transfer. */
+  interface Listener {
+    /**
+     * Handles a failed transfer. The request continues at the source, or has ended there if {@code
+     * sourceEnded}.
+     */
+    void onTransferFailed(boolean sourceEnded);
+
+    /**
+     * Handles a successful transfer: the request can resume from the referenced state at the given
+     * engine, which may be the source itself.
+     */
+    void onTransferred(BackendRecord target, String stateReference);
   }
 
   StateTransfer(
       RelayContext context,
-      InboundRequest call,
+      InboundRequest request,
       BackendRecord source,
       BackendRecord target,
-      Owner owner) {
+      Listener listener) {
     this.context = context;
-    this.call = call;
+    this.request = request;
     this.source = source;
     this.target = target;
-    this.owner = owner;
+    this.listener = listener;
     this.destination = target;
   }
 
   void start() {
-    startAtMillis = context.clock().nowMillis();
-    order(false, this::copiedWhileRunning);
+    startedAtMillis = context.clock().nowMillis();
+    requestCopy(false, this::onFirstCopy);
   }
 
-  /** Starts with a run whose stream has ended already: it is stopped for certain first. */
-  void startStopped() {
+  /**
+   * Starts a transfer whose source stream has ended already; makes sure first that the request has
+   * stopped.
+   */
+  void startWithEndedSource() {
     copyTimeoutMillis = STOP_TIMEOUT_MILLIS;
-    startAtMillis = context.clock().nowMillis();
+    startedAtMillis = context.clock().nowMillis();
     sourceEnded = true;
     stopping = true;
-    stopAtMillis = context.clock().nowMillis();
-    order(true, this::copiedAndStopped);
+    stopRequestedAtMillis = context.clock().nowMillis();
+    requestCopy(true, this::onFinalCopy);
   }
 
-  /** Called when the source's stream has ended without its end. */
-  void sourceEnded() {
+  /** Handles the interruption of the source's stream before its final event. */
+  void onSourceEnded() {
     sourceEnded = true;
-    if (!copyName.isEmpty()) {
-      finishMoved();
+    if (!stateReference.isEmpty()) {
+      finishTransferred();
     } else if (!stopping) {
-      finishNotMoved();
+      finishFailed();
     }
   }
 
-  private void copiedWhileRunning(TransferResponse answer) {
-    if (over) {
+  private void onFirstCopy(TransferResponse response) {
+    if (finished) {
       return;
     }
-    if (answer.status() != OK) {
-      finishNotMoved();
+    if (response.status() != OK) {
+      finishFailed();
       return;
     }
     stopping = true;
-    stopAtMillis = context.clock().nowMillis();
-    order(true, this::copiedAndStopped);
+    stopRequestedAtMillis = context.clock().nowMillis();
+    requestCopy(true, this::onFinalCopy);
   }
 
-  private void copiedAndStopped(TransferResponse answer) {
-    if (over) {
+  private void onFinalCopy(TransferResponse response) {
+    if (finished) {
       return;
     }
-    if (answer.handle().isEmpty()) {
-      finishNotMoved();
+    if (response.handle().isEmpty()) {
+      finishFailed();
       return;
     }
-    copyName = context.protocol().copyName(source, answer.handle());
-    destination = answer.status() == OK ? target : source;
+    stateReference = context.protocol().stateReference(source, response.handle());
+    destination = response.status() == OK ? target : source;
     if (sourceEnded) {
-      finishMoved();
+      finishTransferred();
     } else {
-      context.loop().schedule(this::finishMoved, SOURCE_END_MILLIS, TimeUnit.MILLISECONDS);
+      context
+          .loop()
+          .schedule(this::finishTransferred, SOURCE_END_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void finishMoved() {
-    if (!over) {
-      over = true;
+  private void finishTransferred() {
+    if (!finished) {
+      finished = true;
       Logger.info(
-          "call {}: copied in {} ms, stopped and copied in {} ms",
-          call.id(),
-          stopAtMillis - startAtMillis,
-          context.clock().nowMillis() - stopAtMillis);
-      owner.moved(destination, copyName);
+          "request {}: state transferred from backend server {} to {}, first copy {} ms,"
+              + " stop and final copy {} ms",
+          request.id(),
+          source.getId(),
+          destination.getId(),
+          stopRequestedAtMillis - startedAtMillis,
+          context.clock().nowMillis() - stopRequestedAtMillis);
+      listener.onTransferred(destination, stateReference);
     }
   }
 
-  private void finishNotMoved() {
-    if (!over) {
-      over = true;
-      owner.notMoved(sourceEnded);
+  private void finishFailed() {
+    if (!finished) {
+      finished = true;
+      listener.onTransferFailed(sourceEnded);
     }
   }
 
-  private void order(boolean last, Consumer<TransferResponse> consumer) {
-    FullHttpRequest request = context.protocol().moveRequest(call, source, target, last);
+  private void requestCopy(boolean finalCopy, Consumer<TransferResponse> consumer) {
+    FullHttpRequest copyRequest =
+        context.protocol().transferRequest(request, source, target, finalCopy);
     context
         .pool()
         .acquire(
             source.getAddress(),
-            MAX_IDLE_MILLIS,
+            MAX_CONNECTION_IDLE_MILLIS,
             connection -> {
               if (connection == null || !connection.isOpen()) {
-                request.release();
+                copyRequest.release();
                 consumer.accept(new TransferResponse(0, ""));
                 return;
               }
-              OrderAnswer answer = new OrderAnswer(consumer);
-              connection.send(request, call.id(), answer);
+              CopyResponseListener responseListener = new CopyResponseListener(consumer);
+              connection.send(copyRequest, request.id(), responseListener);
               context
                   .loop()
                   .schedule(
-                      () -> answer.tooLate(connection), copyTimeoutMillis, TimeUnit.MILLISECONDS);
+                      () -> responseListener.onTimeout(connection),
+                      copyTimeoutMillis,
+                      TimeUnit.MILLISECONDS);
             });
   }
 
-  /** Collects the answer to one order. */
-  private final class OrderAnswer implements BackendConnection.AnswerListener {
+  /**
+   * Collects the response to one copy request; reports status 0 after a connection loss or timeout.
+   */
+  private final class CopyResponseListener implements BackendConnection.ResponseListener {
     private final Consumer<TransferResponse> consumer;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
-    private boolean answered;
+    private boolean completed;
 
-    OrderAnswer(Consumer<TransferResponse> consumer) {
+    CopyResponseListener(Consumer<TransferResponse> consumer) {
       this.consumer = consumer;
     }
 
     @Override
-    public void head(ResponseHead head, HttpResponse response) {
+    public void onHead(ResponseHead head, HttpResponse response) {
       status = head.status();
     }
 
     @Override
-    public void content(byte[] bytes) {
+    public void onContent(byte[] bytes) {
       body.writeBytes(bytes);
     }
 
     @Override
-    public void whole() {
-      answer(context.protocol().readMoveAnswer(status, body.toByteArray()));
+    public void onComplete() {
+      complete(context.protocol().readTransferResponse(status, body.toByteArray()));
     }
 
     @Override
-    public void broken(String reason) {
-      answer(new TransferResponse(0, ""));
+    public void onInterrupted(String reason) {
+      complete(new TransferResponse(0, ""));
     }
 
-    void tooLate(BackendConnection connection) {
-      if (!answered) {
+    void onTimeout(BackendConnection connection) {
+      if (!completed) {
         connection.cancel();
-        answer(new TransferResponse(0, ""));
+        complete(new TransferResponse(0, ""));
       }
     }
 
-    private void answer(TransferResponse result) {
-      if (!answered) {
-        answered = true;
+    private void complete(TransferResponse result) {
+      if (!completed) {
+        completed = true;
         consumer.accept(result);
       }
     }
--- a/src/test/java/org/curranthaven/internal/relay/GivenTime.java
+++ b/src/test/java/org/curranthaven/internal/relay/ManualTime.java
@@ -6,25 +6,25 @@
 import org.curranthaven.internal.supervision.Clock;
 
 /** An event loop and a clock that advance only when a test says so. */
-public final class GivenTime implements Clock {
+public final class ManualTime implements Clock {
   private static final long STEP_MILLIS = 10;
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowMillis = 1_000;
 
-  /** Creates the loop with its time standing still. */
-  public GivenTime() {
+  /** Creates the event loop and freezes its time. */
+  public ManualTime() {
     channel.freezeTime();
   }
 
-  /** Returns the loop. */
+  /** Returns the event loop. */
   public EventLoop loop() {
     return channel.eventLoop();
   }
 
-  /** Lets time pass, and runs what becomes due. */
-  public void pass(long millis) {
-    for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
+  /** Advances the time in small steps, and runs the tasks that become due. */
+  public void advance(long millis) {
+    for (long advancedMillis = 0; advancedMillis < millis; advancedMillis += STEP_MILLIS) {
       nowMillis += STEP_MILLIS;
       channel.advanceTimeBy(STEP_MILLIS, TimeUnit.MILLISECONDS);
       channel.runScheduledPendingTasks();
