--- a/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
@@ -9,19 +9,19 @@
   private BackendRecord registration;
   private long warmAtMillis;
   private long fullUntilMillis;
-  final Map<RequestId, RunningRequest> calls = new LinkedHashMap<>();
+  final Map<RequestId, RunningRequest> requests = new LinkedHashMap<>();
 
   /** Calls that run elsewhere and of which a copy is kept here. */
-  final Map<RequestId, RunningRequest> copies = new LinkedHashMap<>();
+  final Map<RequestId, RunningRequest> backupCopies = new LinkedHashMap<>();
 
-  final PromptPartCache parts = new PromptPartCache();
+  final PromptPartCache promptPartCache = new PromptPartCache();
 
   BackendState(BackendRecord registration, long nowMillis) {
     this.registration = registration;
-    registered(registration, nowMillis);
+    updateRegistration(registration, nowMillis);
   }
 
-  final void registered(BackendRecord newer, long nowMillis) {
+  final void updateRegistration(BackendRecord newer, long nowMillis) {
     registration = newer;
     warmAtMillis = nowMillis + newer.getColdLeftMillis();
   }
@@ -50,39 +50,39 @@
     return Math.max(1, registration.getSlots());
   }
 
-  boolean isCold(long nowMillis) {
+  boolean isWarmingUp(long nowMillis) {
     return nowMillis < warmAtMillis;
   }
 
   /** Notes that the backend server turned a call away although room was expected. */
-  void rejected(long untilMillis) {
+  void markFull(long untilMillis) {
     fullUntilMillis = untilMillis;
   }
 
-  boolean saysFull(long nowMillis) {
+  boolean isFull(long nowMillis) {
     return nowMillis < fullUntilMillis;
   }
 
   /** Returns whether nothing runs here and no copy is kept here. */
   boolean isIdle() {
-    return calls.isEmpty() && copies.isEmpty();
+    return requests.isEmpty() && backupCopies.isEmpty();
   }
 
   double memoryTokens() {
     double sum = 0;
-    for (RunningRequest call : calls.values()) {
+    for (RunningRequest call : requests.values()) {
       sum += call.memoryTokens();
     }
-    for (RunningRequest copy : copies.values()) {
+    for (RunningRequest copy : backupCopies.values()) {
       sum += copy.memoryTokens();
     }
     return sum;
   }
 
-  int unreadTokens() {
+  int pendingPromptTokens() {
     int sum = 0;
-    for (RunningRequest call : calls.values()) {
-      sum += call.unreadTokens();
+    for (RunningRequest call : requests.values()) {
+      sum += call.pendingPromptTokens();
     }
     return sum;
   }
--- a/src/main/java/org/curranthaven/internal/dispatch/Backends.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/Backends.java
@@ -35,12 +35,12 @@
     return spec == null ? null : spec.engine();
   }
 
-  void registered(BackendRecord registration, long nowMillis) {
+  void register(BackendRecord registration, long nowMillis) {
     BackendState known = byId.get(registration.getId());
     if (known == null) {
       byId.put(registration.getId(), new BackendState(registration, nowMillis));
     } else {
-      known.registered(registration, nowMillis);
+      known.updateRegistration(registration, nowMillis);
     }
   }
 
@@ -53,17 +53,17 @@
   }
 
   /** Returns the service's backend servers that are not leaving. */
-  Stream<BackendState> stayingOf(String service) {
+  Stream<BackendState> notLeaving(String service) {
     return byId.values().stream().filter(state -> state.serves(service) && !state.isLeaving());
   }
 
   /** Returns those that may take the call, whether they have room or not. */
-  Stream<BackendState> usable(PlacementRequest ask, long nowMillis) {
+  Stream<BackendState> usableFor(PlacementRequest ask, long nowMillis) {
     Predicate<BackendState> trusted =
         state ->
             !ejector.isEjected(state.id(), nowMillis)
-                && !failureRateEjector.isOut(state.id(), nowMillis);
-    return stayingOf(ask.getService())
+                && !failureRateEjector.isEjected(state.id(), nowMillis);
+    return notLeaving(ask.getService())
         .filter(state -> !ask.getExcludedList().contains(state.id()))
         .filter(trusted);
   }
@@ -86,52 +86,52 @@
 
   // ---- where calls run --------------------------------------------------------------------------
 
-  int openCalls() {
+  int runningRequests() {
     return placements.size();
   }
 
-  Collection<RequestId> openKeys() {
+  Collection<RequestId> runningRequestIds() {
     return placements.keySet();
   }
 
-  @Nullable BackendState runningAt(RequestId key) {
+  @Nullable BackendState backendOf(RequestId key) {
     return placements.get(key);
   }
 
-  void placed(RunningRequest call, BackendState backend) {
-    backend.calls.put(call.key, call);
-    placements.put(call.key, backend);
+  void addPlacement(RunningRequest call, BackendState backend) {
+    backend.requests.put(call.id, call);
+    placements.put(call.id, backend);
   }
 
   /** Notes that the call runs at the backend server, which counts it already. */
-  void nowAt(RequestId key, BackendState backend) {
+  void changePlacement(RequestId key, BackendState backend) {
     placements.put(key, backend);
   }
 
-  void unplaced(RequestId key) {
+  void removePlacement(RequestId key) {
     placements.remove(key);
   }
 
-  void forgetIfGone(BackendState state) {
-    if (state.isLeaving() && state.calls.isEmpty()) {
+  void removeIfDrained(BackendState state) {
+    if (state.isLeaving() && state.requests.isEmpty()) {
       byId.remove(state.id());
       ejector.forget(state.id());
-      failureRateEjector.forget(state.id());
+      failureRateEjector.remove(state.id());
     }
   }
 
   // ---- how calls fared --------------------------------------------------------------------------
 
-  void replied(BackendState backend) {
+  void recordFirstReply(BackendState backend) {
     ejector.succeeded(backend.id());
   }
 
-  void answered(BackendState backend) {
+  void recordSuccess(BackendState backend) {
     ejector.succeeded(backend.id());
     failureRateEjector.succeeded(backend.id());
   }
 
-  void failed(BackendState backend, long nowMillis) {
+  void recordFailure(BackendState backend, long nowMillis) {
     List<String> peers =
         byId.values().stream()
             .filter(other -> other.serves(backend.service()))
--- a/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
@@ -10,7 +10,7 @@
  */
 final class CapacityRules {
   /** Share of an engine's memory that forecasts may fill for the most urgent calls. */
-  static final double MEMORY_SHARE = 0.95;
+  static final double MOST_URGENT_MEMORY_SHARE = 0.95;
 
   /** The same share for less urgent calls, so that an urgent one finds room. */
   private static final double LESS_URGENT_MEMORY_SHARE = 0.88;
@@ -19,10 +19,10 @@
   static final double LATE_MEMORY_SHARE = 0.8;
 
   /** Share of memory that copies may fill, of one engine and of all of a service together. */
-  static final double COPY_MEMORY_SHARE = 0.5;
+  static final double BACKUP_MEMORY_SHARE = 0.5;
 
   /** Calls a plain backend server is given for each slot: a short queue keeps it busy. */
-  private static final double PLAIN_CALLS_PER_SLOT = 1.5;
+  private static final double PLAIN_REQUESTS_PER_SLOT = 1.5;
 
   private final int capacityShares;
 
@@ -41,7 +41,9 @@
 
   /** Returns the share of an engine's memory that a call of the priority may fill it to. */
   static double memoryShare(PlacementRequest ask, int mostUrgentPriority) {
-    return ask.getPriority() <= mostUrgentPriority ? MEMORY_SHARE : LESS_URGENT_MEMORY_SHARE;
+    return ask.getPriority() <= mostUrgentPriority
+        ? MOST_URGENT_MEMORY_SHARE
+        : LESS_URGENT_MEMORY_SHARE;
   }
 
   /**
@@ -51,23 +53,23 @@
    * @param tokens memory that the call is counted with
    * @param memoryShare share of an engine's memory that it may fill
    */
-  boolean hasRoom(
+  boolean hasCapacity(
       BackendState backend,
       @Nullable EngineCapabilities engine,
       double tokens,
       double memoryShare,
       long nowMillis) {
-    if (backend.saysFull(nowMillis)) {
+    if (backend.isFull(nowMillis)) {
       return false;
     }
     if (engine == null) {
-      double most = backend.slots() * PLAIN_CALLS_PER_SLOT / capacityShares;
-      return backend.calls.size() < Math.max(1, most);
+      double most = backend.slots() * PLAIN_REQUESTS_PER_SLOT / capacityShares;
+      return backend.requests.size() < Math.max(1, most);
     }
     int slots = Math.max(1, engine.slots() / capacityShares);
     double memory = memoryShare * engine.memoryTokens() / capacityShares;
     boolean fits = backend.memoryTokens() + tokens <= memory;
     boolean alone = backend.isIdle() && tokens <= engine.memoryTokens();
-    return backend.calls.size() < slots && (fits || alone);
+    return backend.requests.size() < slots && (fits || alone);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
@@ -32,30 +32,30 @@
   private static final double MEMORY_WEIGHT_TOKENS = 2_500;
 
   /** Weight of a start that is still slow, in prompt tokens. */
-  private static final double COLD_WEIGHT_TOKENS = 4_000;
+  private static final double WARM_UP_WEIGHT_TOKENS = 4_000;
 
   /** Weight of another data centre, in prompt tokens. */
-  private static final double FAR_WEIGHT_TOKENS = 30;
+  private static final double OTHER_DATA_CENTRE_WEIGHT_TOKENS = 30;
 
   /** Time for which a backend server that turned a call away gets none. */
-  private static final long FULL_MILLIS = 150;
+  private static final long FULL_BACKOFF_MILLIS = 150;
 
   /** Weight of chance where hosts that decide alone do not know what the others place. */
-  private static final double ALONE_SPREAD_TOKENS = 3_000;
+  private static final double LOCAL_JITTER_TOKENS = 3_000;
 
   /** Time after its target at which a plain call that waits is turned away: it is short. */
-  private static final long PLAIN_LATE_MILLIS = 300;
+  private static final long MAX_PLAIN_LATENESS_MILLIS = 300;
 
   private static final int MAX_URGENCY = 9;
 
   private final RetryLimits retryLimits;
   private final RandomGenerator random;
   private final Backends backends = new Backends();
-  private final DispatchQueue waiting = new DispatchQueue();
-  private final Map<String, ServiceRetryBudget> retries = new HashMap<>();
-  private final CapacityRules rooms;
+  private final DispatchQueue queue = new DispatchQueue();
+  private final Map<String, ServiceRetryBudget> retryBudgets = new HashMap<>();
+  private final CapacityRules capacityRules;
   private final QueueTimeForecast forecast;
-  private final MigrationPlanner moves;
+  private final MigrationPlanner migrationPlanner;
   private List<DispatchDecision> decisions = new ArrayList<>();
 
   /**
@@ -65,11 +65,12 @@
    *     one scheduler
    */
   public DispatchCore(RetryLimits retryLimits, int capacityShares, RandomGenerator random) {
-    this.retryLimits = retryLimits.sharedBy(capacityShares);
+    this.retryLimits = retryLimits.dividedAmong(capacityShares);
     this.random = random;
-    this.rooms = new CapacityRules(capacityShares);
-    this.forecast = new QueueTimeForecast(backends, rooms.capacityShares(), random);
-    this.moves = new MigrationPlanner(backends, rooms, decision -> decisions.add(decision));
+    this.capacityRules = new CapacityRules(capacityShares);
+    this.forecast = new QueueTimeForecast(backends, capacityRules.capacityShares(), random);
+    this.migrationPlanner =
+        new MigrationPlanner(backends, capacityRules, decision -> decisions.add(decision));
   }
 
   /** Returns and forgets what was decided since the last call, in order. */
@@ -84,17 +85,17 @@
 
   /** Returns the number of calls that wait. */
   public int queuedRequests() {
-    return waiting.size();
+    return queue.size();
   }
 
   /** Returns whether the call was taken in and waits for room. */
   public boolean isQueued(RequestId key) {
-    return waiting.contains(key);
+    return queue.contains(key);
   }
 
   /** Returns the number of calls that run. */
   public int runningRequests() {
-    return backends.openCalls();
+    return backends.runningRequests();
   }
 
   // ---- backend servers --------------------------------------------------------------------------
@@ -106,8 +107,8 @@
 
   /** Notes a new backend server, or news of one. */
   public void updateBackend(BackendRecord registration, long nowMillis) {
-    backends.registered(registration, nowMillis);
-    moveAwayFrom(registration.getId(), nowMillis);
+    backends.register(registration, nowMillis);
+    migrateFrom(registration.getId(), nowMillis);
     serveQueue(registration.getService(), nowMillis);
   }
 
@@ -117,15 +118,15 @@
     if (state == null) {
       return;
     }
-    state.registered(state.registration().toBuilder().setLeaving(true).build(), nowMillis);
-    moves.moveAwayFrom(state, nowMillis);
-    backends.forgetIfGone(state);
+    state.updateRegistration(state.registration().toBuilder().setLeaving(true).build(), nowMillis);
+    migrationPlanner.migrateFrom(state, nowMillis);
+    backends.removeIfDrained(state);
   }
 
-  private void moveAwayFrom(String id, long nowMillis) {
+  private void migrateFrom(String id, long nowMillis) {
     BackendState state = backends.get(id);
     if (state != null) {
-      moves.moveAwayFrom(state, nowMillis);
+      migrationPlanner.migrateFrom(state, nowMillis);
     }
   }
 
@@ -135,66 +136,73 @@
   public void submit(RequestId key, PlacementRequest ask, long nowMillis) {
     requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis);
     ServiceRetryBudget window =
-        retries.computeIfAbsent(ask.getService(), name -> new ServiceRetryBudget(retryLimits));
+        retryBudgets.computeIfAbsent(ask.getService(), name -> new ServiceRetryBudget(retryLimits));
     if (!ask.getRepeat()) {
-      window.called(nowMillis);
+      window.recordRequest(nowMillis);
     } else if (!window.tryRetry(nowMillis)) {
-      refuse(key, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.RETRIES_USED_UP);
+      reject(key, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.RETRIES_USED_UP);
       return;
     }
-    SortedSet<QueuedRequest> queue = waiting.of(ask.getService());
-    boolean overtakes = queue.isEmpty() || ask.getPriority() < queue.first().ask().getPriority();
-    Placing placing =
-        overtakes ? place(key, ask, ask.getTargetLeftMillis(), nowMillis) : Placing.NO_ROOM;
-    if (placing != Placing.PLACED) {
-      waitOrRefuse(key, ask, placing, nowMillis);
+    SortedSet<QueuedRequest> serviceQueue = queue.requestsOf(ask.getService());
+    boolean overtakes =
+        serviceQueue.isEmpty() || ask.getPriority() < serviceQueue.first().request().getPriority();
+    PlacementResult placing =
+        overtakes
+            ? place(key, ask, ask.getTargetLeftMillis(), nowMillis)
+            : PlacementResult.NO_CAPACITY;
+    if (placing != PlacementResult.PLACED) {
+      queueOrReject(key, ask, placing, nowMillis);
     }
   }
 
-  private void waitOrRefuse(RequestId key, PlacementRequest ask, Placing placing, long nowMillis) {
+  private void queueOrReject(
+      RequestId key, PlacementRequest ask, PlacementResult placing, long nowMillis) {
     long targetLeft = Math.min(ask.getTargetLeftMillis(), ask.getDeadlineLeftMillis());
     boolean served = hasCandidates(ask, nowMillis);
     if (!served && ask.getExcludedCount() > 0) {
-      refuse(key, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.ALL_TRIED);
+      reject(key, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.ALL_TRIED);
       return;
     }
     double expected =
-        served ? expectedWaitMillis(ask, placing) : QueueTimeForecast.UNKNOWN_SERVICE_WAIT_MILLIS;
-    long readMillis = forecast.readMillis(ask);
+        served
+            ? expectedQueueMillis(ask, placing)
+            : QueueTimeForecast.UNKNOWN_SERVICE_TIMEOUT_MILLIS;
+    long readMillis = forecast.idleFirstReplyMillis(ask);
     boolean inTime = served ? expected + readMillis <= targetLeft : targetLeft > expected;
-    if (!inTime || waiting.isFull()) {
+    if (!inTime || queue.isFull()) {
       if (!served || !placeLate(key, ask, nowMillis)) {
-        refuseForRoom(key, served, expected);
+        rejectForCapacity(key, served, expected);
       }
       return;
     }
-    long mostWait = ask.getEngine() ? targetLeft - readMillis : targetLeft + PLAIN_LATE_MILLIS;
-    long wait = served ? mostWait : QueueTimeForecast.UNKNOWN_SERVICE_WAIT_MILLIS;
+    long mostWait =
+        ask.getEngine() ? targetLeft - readMillis : targetLeft + MAX_PLAIN_LATENESS_MILLIS;
+    long wait = served ? mostWait : QueueTimeForecast.UNKNOWN_SERVICE_TIMEOUT_MILLIS;
     long giveUpAt = nowMillis + Math.min(wait, ask.getDeadlineLeftMillis());
     long dueAt = nowMillis + ask.getTargetLeftMillis();
-    waiting.add(new QueuedRequest(key, ask, waiting.takeOrder(), dueAt, giveUpAt));
+    queue.add(new QueuedRequest(key, ask, queue.takeSequenceNumber(), dueAt, giveUpAt));
   }
 
-  private double expectedWaitMillis(PlacementRequest ask, Placing placing) {
+  private double expectedQueueMillis(PlacementRequest ask, PlacementResult placing) {
     // Where there is room but much to read first, reading makes way for the call all the time.
-    return placing == Placing.NOT_IN_TIME
+    return placing == PlacementResult.LATE
         ? 0
-        : forecast.expectedWaitMillis(ask, waiting.of(ask.getService()));
+        : forecast.expectedQueueMillis(ask, queue.requestsOf(ask.getService()));
   }
 
   /** Notes how far a call's output has come. */
   public void outputProgressed(RequestId key, int outputTokens, long nowMillis) {
-    BackendState backend = backends.runningAt(key);
-    RunningRequest call = backend == null ? null : backend.calls.get(key);
+    BackendState backend = backends.backendOf(key);
+    RunningRequest call = backend == null ? null : backend.requests.get(key);
     if (backend == null || call == null) {
       return;
     }
     boolean first = call.outputTokens() == 0 && outputTokens > 0;
-    call.progressed(outputTokens);
+    call.outputProgressed(outputTokens);
     if (first) {
-      backends.replied(backend);
-      forecast.replied(call, nowMillis);
-      moves.moveAwayFrom(backend, nowMillis);
+      backends.recordFirstReply(backend);
+      forecast.recordFirstReply(call, nowMillis);
+      migrationPlanner.migrateFrom(backend, nowMillis);
       serveQueue(backend.service(), nowMillis);
     }
   }
@@ -202,44 +210,44 @@
   /** Notes that a call no longer runs where it was placed, or no longer waits. */
   public void requestEnded(
       RequestId key, DispatchOutcome outcome, int outputTokens, long nowMillis) {
-    if (waiting.remove(key) != null) {
+    if (queue.remove(key) != null) {
       return;
     }
-    BackendState backend = backends.runningAt(key);
+    BackendState backend = backends.backendOf(key);
     if (backend == null) {
       return;
     }
     switch (outcome) {
-      case DISPATCH_OUTCOME_MOVED -> moves.moved(key, backend);
-      case DISPATCH_OUTCOME_MOVE_FAILED -> moves.moveFailed(key, backend);
-      default -> closed(key, backend, outcome, outputTokens, nowMillis);
+      case DISPATCH_OUTCOME_MOVED -> migrationPlanner.leftSource(key, backend);
+      case DISPATCH_OUTCOME_MOVE_FAILED -> migrationPlanner.migrationFailed(key, backend);
+      default -> finishRunning(key, backend, outcome, outputTokens, nowMillis);
     }
-    moves.moveAwayFrom(backend, nowMillis);
+    migrationPlanner.migrateFrom(backend, nowMillis);
     serveQueue(backend.service(), nowMillis);
   }
 
-  private void closed(
+  private void finishRunning(
       RequestId key, BackendState backend, DispatchOutcome outcome, int tokens, long nowMillis) {
-    backends.unplaced(key);
-    RunningRequest call = backend.calls.remove(key);
+    backends.removePlacement(key);
+    RunningRequest call = backend.requests.remove(key);
     if (call == null) {
       return;
     }
-    moves.dropCopy(call);
-    if (call.moving) {
-      moves.moveFailed(key, backend);
+    migrationPlanner.releaseBackup(call);
+    if (call.migratingAway) {
+      migrationPlanner.migrationFailed(key, backend);
     }
     switch (outcome) {
       case DISPATCH_OUTCOME_ANSWERED -> {
-        backends.answered(backend);
-        forecast.answered(call, tokens, nowMillis);
+        backends.recordSuccess(backend);
+        forecast.recordCompletion(call, tokens, nowMillis);
       }
       case DISPATCH_OUTCOME_FAILED, DISPATCH_OUTCOME_UNREACHABLE ->
-          backends.failed(backend, nowMillis);
-      case DISPATCH_OUTCOME_REJECTED -> backend.rejected(nowMillis + FULL_MILLIS);
+          backends.recordFailure(backend, nowMillis);
+      case DISPATCH_OUTCOME_REJECTED -> backend.markFull(nowMillis + FULL_BACKOFF_MILLIS);
       default -> {}
     }
-    backends.forgetIfGone(backend);
+    backends.removeIfDrained(backend);
   }
 
   /** Takes in a call that another scheduler placed. */
@@ -250,15 +258,15 @@
       return;
     }
     RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
-    call.progressed(outputTokens);
-    backends.placed(call, backend);
-    moves.moveAwayFrom(backend, nowMillis);
+    call.outputProgressed(outputTokens);
+    backends.addPlacement(call, backend);
+    migrationPlanner.migrateFrom(backend, nowMillis);
   }
 
   /** Notes that a gateway is gone with all its calls. */
   public void removeGateway(String gateway, long nowMillis) {
-    List<RequestId> keys = new ArrayList<>(waiting.keys());
-    keys.addAll(backends.openKeys());
+    List<RequestId> keys = new ArrayList<>(queue.ids());
+    keys.addAll(backends.runningRequestIds());
     keys.removeIf(key -> !key.gateway().equals(gateway));
     keys.forEach(
         key -> requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis));
@@ -266,90 +274,91 @@
 
   /** Turns away calls whose time to wait is up, and tries the others again. */
   public void tick(long nowMillis) {
-    for (QueuedRequest call : waiting.due(nowMillis)) {
-      waiting.remove(call.key());
-      if (!placeLate(call.key(), call.ask(), nowMillis)) {
-        double expected = expectedWaitMillis(call.ask(), Placing.NO_ROOM);
-        refuseForRoom(call.key(), hasCandidates(call.ask(), nowMillis), expected);
+    for (QueuedRequest call : queue.expired(nowMillis)) {
+      queue.remove(call.id());
+      if (!placeLate(call.id(), call.request(), nowMillis)) {
+        double expected = expectedQueueMillis(call.request(), PlacementResult.NO_CAPACITY);
+        rejectForCapacity(call.id(), hasCandidates(call.request(), nowMillis), expected);
       }
     }
-    waiting.services().forEach(service -> serveQueue(service, nowMillis));
+    queue.services().forEach(service -> serveQueue(service, nowMillis));
     for (BackendState backend : List.copyOf(backends.all())) {
-      moves.moveAwayFrom(backend, nowMillis);
+      migrationPlanner.migrateFrom(backend, nowMillis);
     }
   }
 
   // ---- placing ----------------------------------------------------------------------------------
 
   private void serveQueue(String service, long nowMillis) {
-    NavigableSet<QueuedRequest> queue = waiting.of(service);
-    QueuedRequest call = queue.isEmpty() ? null : queue.first();
+    NavigableSet<QueuedRequest> serviceQueue = queue.requestsOf(service);
+    QueuedRequest call = serviceQueue.isEmpty() ? null : serviceQueue.first();
     while (call != null) {
-      Placing placing = place(call.key(), call.ask(), call.dueAtMillis() - nowMillis, nowMillis);
-      if (placing == Placing.PLACED) {
-        waiting.remove(call.key());
-      } else if (placing == Placing.NO_ROOM) {
+      PlacementResult placing =
+          place(call.id(), call.request(), call.dueAtMillis() - nowMillis, nowMillis);
+      if (placing == PlacementResult.PLACED) {
+        queue.remove(call.id());
+      } else if (placing == PlacementResult.NO_CAPACITY) {
         // Those behind it would take the room that a large call waits for.
         return;
       }
-      call = queue.higher(call);
+      call = serviceQueue.higher(call);
     }
   }
 
   /** What came of the attempt to place a call. */
-  private enum Placing {
+  private enum PlacementResult {
     PLACED,
     /** No backend server has room. */
-    NO_ROOM,
+    NO_CAPACITY,
     /** There is room, but so much to read first that the call would be late. */
-    NOT_IN_TIME
+    LATE
   }
 
   /** Places a call where it can be in time. */
-  private Placing place(
+  private PlacementResult place(
       RequestId key, PlacementRequest ask, long targetLeftMillis, long nowMillis) {
     double share = CapacityRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
     RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
-    List<BackendState> withRoom = withRoom(call, share, nowMillis).toList();
+    List<BackendState> withRoom = withCapacity(call, share, nowMillis).toList();
     BackendState best =
         cheapest(
             withRoom.stream().filter(backend -> isInTime(backend, ask, targetLeftMillis)),
             ask,
             nowMillis);
     if (best != null) {
-      run(call, best, nowMillis);
-      return Placing.PLACED;
+      commitPlacement(call, best, nowMillis);
+      return PlacementResult.PLACED;
     }
-    return withRoom.isEmpty() ? Placing.NO_ROOM : Placing.NOT_IN_TIME;
+    return withRoom.isEmpty() ? PlacementResult.NO_CAPACITY : PlacementResult.LATE;
   }
 
   private boolean isInTime(BackendState backend, PlacementRequest ask, long targetLeftMillis) {
-    int tokensAhead = backend.unreadTokens() + ask.getPromptTokens();
+    int tokensAhead = backend.pendingPromptTokens() + ask.getPromptTokens();
     return !ask.getEngine() || forecast.firstReplyMillis(ask, tokensAhead) <= targetLeftMillis;
   }
 
   /** Places a call that cannot be in time any more, where that takes no room from others. */
   private boolean placeLate(RequestId key, PlacementRequest ask, long nowMillis) {
     RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
-    boolean othersWait = !waiting.of(ask.getService()).isEmpty();
+    boolean othersWait = !queue.requestsOf(ask.getService()).isEmpty();
     double share =
         othersWait
             ? CapacityRules.LATE_MEMORY_SHARE
             : CapacityRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
-    Stream<BackendState> withRoom = withRoom(call, share, nowMillis);
+    Stream<BackendState> withRoom = withCapacity(call, share, nowMillis);
     BackendState best = cheapest(withRoom, ask, nowMillis);
     if (best != null) {
-      run(call, best, nowMillis);
+      commitPlacement(call, best, nowMillis);
     }
     return best != null;
   }
 
-  private Stream<BackendState> withRoom(RunningRequest call, double share, long nowMillis) {
-    EngineCapabilities engine = backends.engineOf(call.ask.getService());
+  private Stream<BackendState> withCapacity(RunningRequest call, double share, long nowMillis) {
+    EngineCapabilities engine = backends.engineOf(call.request.getService());
     double tokens = call.memoryTokens();
     return backends
-        .usable(call.ask, nowMillis)
-        .filter(backend -> rooms.hasRoom(backend, engine, tokens, share, nowMillis));
+        .usableFor(call.request, nowMillis)
+        .filter(backend -> capacityRules.hasCapacity(backend, engine, tokens, share, nowMillis));
   }
 
   private @Nullable BackendState cheapest(
@@ -358,25 +367,25 @@
     return Backends.cheapest(among, backend -> cost(backend, engine, ask, nowMillis));
   }
 
-  private void run(RunningRequest call, BackendState best, long nowMillis) {
-    call.tokensAhead = best.unreadTokens() + call.ask.getPromptTokens();
-    backends.placed(call, best);
-    best.parts.read(call.ask.getPartsList());
-    moves.keepCopy(best, call, nowMillis);
-    int urgency = Math.min(MAX_URGENCY, call.ask.getPriority());
-    decisions.add(new DispatchDecision.Place(call.key, best.id(), urgency, call.backup));
+  private void commitPlacement(RunningRequest call, BackendState best, long nowMillis) {
+    call.promptTokensToFirstReply = best.pendingPromptTokens() + call.request.getPromptTokens();
+    backends.addPlacement(call, best);
+    best.promptPartCache.recordRead(call.request.getPartsList());
+    migrationPlanner.assignBackup(best, call, nowMillis);
+    int urgency = Math.min(MAX_URGENCY, call.request.getPriority());
+    decisions.add(new DispatchDecision.Place(call.id, best.id(), urgency, call.backup));
   }
 
   private boolean hasCandidates(PlacementRequest ask, long nowMillis) {
-    return backends.usable(ask, nowMillis).findAny().isPresent();
+    return backends.usableFor(ask, nowMillis).findAny().isPresent();
   }
 
   private int mostUrgentPriority(String service) {
     int most = Integer.MAX_VALUE;
     for (BackendState backend : backends.all()) {
       if (backend.serves(service)) {
-        for (RunningRequest call : backend.calls.values()) {
-          most = Math.min(most, call.ask.getPriority());
+        for (RunningRequest call : backend.requests.values()) {
+          most = Math.min(most, call.request.getPriority());
         }
       }
     }
@@ -389,31 +398,35 @@
       PlacementRequest ask,
       long nowMillis) {
     double far = ask.getDataCentre().equals(backend.registration().getDataCentre()) ? 0 : 1;
-    double cold = backend.isCold(nowMillis) ? COLD_WEIGHT_TOKENS : 0;
+    double cold = backend.isWarmingUp(nowMillis) ? WARM_UP_WEIGHT_TOKENS : 0;
     if (engine == null) {
-      double load = (double) backend.calls.size() / backend.slots();
-      return load * MEMORY_WEIGHT_TOKENS + far * FAR_WEIGHT_TOKENS + cold + random.nextDouble();
+      double load = (double) backend.requests.size() / backend.slots();
+      return load * MEMORY_WEIGHT_TOKENS
+          + far * OTHER_DATA_CENTRE_WEIGHT_TOKENS
+          + cold
+          + random.nextDouble();
     }
     double memory = backend.memoryTokens() / Math.max(1, engine.memoryTokens());
-    double chance = rooms.capacityShares() > 1 ? ALONE_SPREAD_TOKENS * random.nextDouble() : 0;
-    return backend.unreadTokens()
+    double chance =
+        capacityRules.capacityShares() > 1 ? LOCAL_JITTER_TOKENS * random.nextDouble() : 0;
+    return backend.pendingPromptTokens()
         + chance
         + memory * MEMORY_WEIGHT_TOKENS
-        + far * FAR_WEIGHT_TOKENS
+        + far * OTHER_DATA_CENTRE_WEIGHT_TOKENS
         + cold
-        - backend.parts.cachedTokens(ask.getPartsList());
+        - backend.promptPartCache.cachedPrefixTokens(ask.getPartsList());
   }
 
   // ---- turning away -----------------------------------------------------------------------------
 
-  private void refuseForRoom(RequestId key, boolean served, double expectedMillis) {
-    refuse(
+  private void rejectForCapacity(RequestId key, boolean served, double expectedMillis) {
+    reject(
         key,
         forecast.retryAfterMillis(expectedMillis),
         served ? RejectionReason.NO_ROOM_IN_TIME : RejectionReason.NO_BACKEND);
   }
 
-  private void refuse(RequestId key, long retryAfterMillis, RejectionReason reason) {
+  private void reject(RequestId key, long retryAfterMillis, RejectionReason reason) {
     decisions.add(new DispatchDecision.Reject(key, retryAfterMillis, reason));
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchDecision.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchDecision.java
@@ -3,7 +3,7 @@
 /** What the scheduler decided for a call. */
 public sealed interface DispatchDecision {
   /** Returns the call. */
-  RequestId key();
+  RequestId requestId();
 
   /**
    * The call runs on a backend server.
@@ -11,7 +11,7 @@
    * @param urgency rank at the backend server; 0 comes first
    * @param backup backend server that keeps a copy of the running call; empty for none
    */
-  record Place(RequestId key, String backend, int urgency, String backup)
+  record Place(RequestId requestId, String backend, int urgency, String backup)
       implements DispatchDecision {}
 
   /**
@@ -19,7 +19,7 @@
    *
    * @param retryAfterMillis when room is expected
    */
-  record Reject(RequestId key, long retryAfterMillis, RejectionReason reason)
+  record Reject(RequestId requestId, long retryAfterMillis, RejectionReason reason)
       implements DispatchDecision {}
 
   /**
@@ -27,5 +27,5 @@
    *
    * @param backup backend server that keeps a copy of it from then on; empty for none
    */
-  record Migrate(RequestId key, String target, String backup) implements DispatchDecision {}
+  record Migrate(RequestId requestId, String target, String backup) implements DispatchDecision {}
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchQueue.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchQueue.java
@@ -10,30 +10,30 @@
 
 /** The calls that wait for room, by service and rank. Not thread-safe. */
 final class DispatchQueue {
-  private static final int MAX_WAITING = 20_000;
+  private static final int MAX_QUEUED = 20_000;
 
   private final Map<String, NavigableSet<QueuedRequest>> byService = new HashMap<>();
-  private final Map<RequestId, QueuedRequest> byKey = new HashMap<>();
-  private long nextOrder;
+  private final Map<RequestId, QueuedRequest> byId = new HashMap<>();
+  private long nextSequenceNumber;
 
   int size() {
-    return byKey.size();
+    return byId.size();
   }
 
   boolean contains(RequestId key) {
-    return byKey.containsKey(key);
+    return byId.containsKey(key);
   }
 
   boolean isFull() {
-    return byKey.size() >= MAX_WAITING;
+    return byId.size() >= MAX_QUEUED;
   }
 
-  long takeOrder() {
-    return nextOrder++;
+  long takeSequenceNumber() {
+    return nextSequenceNumber++;
   }
 
   /** Returns the service's calls, the first to be served first. */
-  NavigableSet<QueuedRequest> of(String service) {
+  NavigableSet<QueuedRequest> requestsOf(String service) {
     return byService.computeIfAbsent(service, name -> new TreeSet<>(QueuedRequest.BY_RANK));
   }
 
@@ -41,29 +41,29 @@
     return List.copyOf(byService.keySet());
   }
 
-  List<RequestId> keys() {
-    return List.copyOf(byKey.keySet());
+  List<RequestId> ids() {
+    return List.copyOf(byId.keySet());
   }
 
   void add(QueuedRequest call) {
-    of(call.ask().getService()).add(call);
-    byKey.put(call.key(), call);
+    requestsOf(call.request().getService()).add(call);
+    byId.put(call.id(), call);
   }
 
   /** Removes a call; returns it, or null if it does not wait. */
   @Nullable QueuedRequest remove(RequestId key) {
-    QueuedRequest call = byKey.remove(key);
+    QueuedRequest call = byId.remove(key);
     if (call != null) {
-      of(call.ask().getService()).remove(call);
+      requestsOf(call.request().getService()).remove(call);
     }
     return call;
   }
 
   /** Returns the calls whose time to wait is up. */
-  List<QueuedRequest> due(long nowMillis) {
+  List<QueuedRequest> expired(long nowMillis) {
     List<QueuedRequest> due = new ArrayList<>();
-    for (QueuedRequest call : byKey.values()) {
-      if (nowMillis >= call.giveUpAtMillis()) {
+    for (QueuedRequest call : byId.values()) {
+      if (nowMillis >= call.expiresAtMillis()) {
         due.add(call);
       }
     }
--- a/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
@@ -4,13 +4,14 @@
 
 /** Forecasts the output of a route's calls from their hints and from earlier outputs. */
 final class OutputLengthForecast {
-  private static final double NEW_WEIGHT = 0.05;
-  private static final double PRIOR_SHARE_OF_MOST = 0.4;
+  private static final double LATEST_OUTPUT_WEIGHT = 0.05;
+  private static final double INITIAL_SHARE_OF_LIMIT = 0.4;
 
   private double meanTokens = -1;
 
-  void finished(int tokens) {
-    meanTokens = meanTokens < 0 ? tokens : meanTokens + NEW_WEIGHT * (tokens - meanTokens);
+  void recordOutput(int tokens) {
+    meanTokens =
+        meanTokens < 0 ? tokens : meanTokens + LATEST_OUTPUT_WEIGHT * (tokens - meanTokens);
   }
 
   int forecast(PlacementRequest ask) {
@@ -21,7 +22,7 @@
     } else if (meanTokens >= 0) {
       expected = meanTokens;
     } else {
-      expected = most * PRIOR_SHARE_OF_MOST;
+      expected = most * INITIAL_SHARE_OF_LIMIT;
     }
     return (int) (most > 0 ? Math.min(most, expected) : expected);
   }
--- a/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
@@ -20,14 +20,14 @@
         }
       };
 
-  void read(List<PromptPart> parts) {
+  void recordRead(List<PromptPart> parts) {
     for (PromptPart part : parts) {
       tokensById.put(part.getId(), part.getTokens());
     }
   }
 
   /** Returns the tokens of the parts that begin the prompt and were read here. */
-  int cachedTokens(List<PromptPart> parts) {
+  int cachedPrefixTokens(List<PromptPart> parts) {
     int sum = 0;
     for (PromptPart part : parts) {
       if (!tokensById.containsKey(part.getId())) {
--- a/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
@@ -5,41 +5,41 @@
 /** A call that runs on a backend server, as the scheduler sees it. Not thread-safe. */
 final class RunningRequest {
   /** Part of an output's forecast rest that counts as used: outputs end at different times. */
-  private static final double GROWTH_SHARE = 0.6;
+  private static final double RESERVED_GROWTH_SHARE = 0.6;
 
   /** Factor by which an output that outgrew its forecast is expected to grow on. */
-  private static final double OUTGROWN = 1.25;
+  private static final double OVERRUN_FACTOR = 1.25;
 
-  private static final int OUTGROWN_TOKENS = 32;
+  private static final int OVERRUN_TOKENS = 32;
 
-  final RequestId key;
-  final PlacementRequest ask;
+  final RequestId id;
+  final PlacementRequest request;
   final long placedAtMillis;
   private final int forecastTokens;
   private int outputTokens;
 
   /** Prompt tokens to be read until the first output, this call's own included; 0: not known. */
-  int tokensAhead;
+  int promptTokensToFirstReply;
 
   /** Whether the call is being moved away from here. */
-  boolean moving;
+  boolean migratingAway;
 
   /** Whether the call is being moved to here. */
-  boolean arriving;
+  boolean migratingIn;
 
-  int moveAttempts;
+  int migrationAttempts;
 
   /** Backend server that keeps a copy; empty for none. */
   String backup = "";
 
   RunningRequest(RequestId key, PlacementRequest ask, int forecastTokens, long placedAtMillis) {
-    this.key = key;
-    this.ask = ask;
+    this.id = key;
+    this.request = ask;
     this.forecastTokens = forecastTokens;
     this.placedAtMillis = placedAtMillis;
   }
 
-  void progressed(int tokens) {
+  void outputProgressed(int tokens) {
     outputTokens = Math.max(outputTokens, tokens);
   }
 
@@ -48,8 +48,8 @@
   }
 
   /** Returns the tokens of the prompt that the backend server has still to read. */
-  int unreadTokens() {
-    return outputTokens > 0 ? 0 : ask.getPromptTokens();
+  int pendingPromptTokens() {
+    return outputTokens > 0 ? 0 : request.getPromptTokens();
   }
 
   /** Returns the output tokens still to come, as forecast. */
@@ -57,13 +57,13 @@
     if (outputTokens < forecastTokens) {
       return forecastTokens - outputTokens;
     }
-    int grown = (int) (outputTokens * OUTGROWN) + OUTGROWN_TOKENS;
-    int most = ask.getMaxOutputTokens() > 0 ? ask.getMaxOutputTokens() : grown;
+    int grown = (int) (outputTokens * OVERRUN_FACTOR) + OVERRUN_TOKENS;
+    int most = request.getMaxOutputTokens() > 0 ? request.getMaxOutputTokens() : grown;
     return Math.max(0, Math.min(grown, most) - outputTokens);
   }
 
   /** Returns the memory that the call is counted with, in tokens. */
   double memoryTokens() {
-    return ask.getPromptTokens() + outputTokens + GROWTH_SHARE * remainingTokens();
+    return request.getPromptTokens() + outputTokens + RESERVED_GROWTH_SHARE * remainingTokens();
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
@@ -8,34 +8,34 @@
   private static final int BUCKETS = 20;
 
   /** Part of the allowance that is used, since calls are counted where they are placed. */
-  private static final double USED_SHARE = 0.8;
+  private static final double USABLE_SHARE = 0.8;
 
-  private final RetryLimits allowance;
+  private final RetryLimits limits;
   private final long bucketMillis;
-  private final long[] bucketNumber = new long[BUCKETS];
-  private final int[] calls = new int[BUCKETS];
+  private final long[] bucketNumbers = new long[BUCKETS];
+  private final int[] requests = new int[BUCKETS];
   private final int[] retries = new int[BUCKETS];
 
   ServiceRetryBudget(RetryLimits allowance) {
-    this.allowance = allowance;
+    this.limits = allowance;
     this.bucketMillis = Math.max(1, allowance.windowMillis() / BUCKETS);
   }
 
-  void called(long nowMillis) {
-    calls[bucket(nowMillis)]++;
+  void recordRequest(long nowMillis) {
+    requests[currentBucket(nowMillis)]++;
   }
 
   boolean tryRetry(long nowMillis) {
-    int current = bucket(nowMillis);
+    int current = currentBucket(nowMillis);
     int callSum = 0;
     int retrySum = 0;
     for (int i = 0; i < BUCKETS; i++) {
-      if (bucketNumber[current] - bucketNumber[i] < BUCKETS) {
-        callSum += calls[i];
+      if (bucketNumbers[current] - bucketNumbers[i] < BUCKETS) {
+        callSum += requests[i];
         retrySum += retries[i];
       }
     }
-    double allowed = USED_SHARE * (allowance.ratio() * callSum + allowance.slack());
+    double allowed = USABLE_SHARE * (limits.ratio() * callSum + limits.fixedRetries());
     if (retrySum + 1 > allowed) {
       return false;
     }
@@ -43,12 +43,12 @@
     return true;
   }
 
-  private int bucket(long nowMillis) {
+  private int currentBucket(long nowMillis) {
     long number = nowMillis / bucketMillis;
     int index = (int) Math.floorMod(number, (long) BUCKETS);
-    if (bucketNumber[index] != number) {
-      bucketNumber[index] = number;
-      calls[index] = 0;
+    if (bucketNumbers[index] != number) {
+      bucketNumbers[index] = number;
+      requests[index] = 0;
       retries[index] = 0;
     }
     return index;
--- a/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
@@ -76,7 +76,10 @@
 
   /** Returns whether a run that breaks off may have left a copy to go on from. */
   boolean mayRescue(String backup) {
-    return engine != null && engine.moves() && !route.isRepeatable() && !backup.isEmpty();
+    return engine != null
+        && engine.supportsMigration()
+        && !route.isRepeatable()
+        && !backup.isEmpty();
   }
 
   /**
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -451,7 +451,7 @@
       return;
     }
     for (DispatchDecision decision : core.drainDecisions()) {
-      PlacementListener call = calls.get(decision.key().id());
+      PlacementListener call = calls.get(decision.requestId().id());
       if (call == null) {
         continue;
       }
@@ -459,7 +459,7 @@
         case DispatchDecision.Place place ->
             call.onPlaced(place.backend(), place.urgency(), place.backup());
         case DispatchDecision.Reject refuse -> {
-          calls.remove(refuse.key().id());
+          calls.remove(refuse.requestId().id());
           call.onRejected(refuse.retryAfterMillis(), refuse.reason().name());
         }
         case DispatchDecision.Migrate move -> call.onMigrate(move.target(), move.backup());
--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -355,25 +355,25 @@
     for (DispatchDecision decision : core.drainDecisions()) {
       DispatchOrders.Builder order =
           orders.computeIfAbsent(
-              decision.key().gateway(), name -> DispatchOrders.newBuilder().setTerm(term));
+              decision.requestId().gateway(), name -> DispatchOrders.newBuilder().setTerm(term));
       switch (decision) {
         case DispatchDecision.Place place ->
             order.addPlacements(
                 Placement.newBuilder()
-                    .setId(place.key().id())
+                    .setId(place.requestId().id())
                     .setBackend(place.backend())
                     .setUrgency(place.urgency())
                     .setBackup(place.backup()));
         case DispatchDecision.Reject refuse ->
             order.addRefusals(
                 Refusal.newBuilder()
-                    .setId(refuse.key().id())
+                    .setId(refuse.requestId().id())
                     .setRetryAfterMillis(refuse.retryAfterMillis())
                     .setReason(refuse.reason().name()));
         case DispatchDecision.Migrate move ->
             order.addMoves(
                 Move.newBuilder()
-                    .setId(move.key().id())
+                    .setId(move.requestId().id())
                     .setTarget(move.target())
                     .setBackup(move.backup()));
       }
--- a/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
@@ -28,7 +28,7 @@
   private long nextId = 1;
 
   @BeforeEach
-  void putCatalogIntoForce() {
+  void setCatalog() {
     EngineCapabilities engine = new EngineCapabilities(8, MEMORY_TOKENS, 4, true, true);
     Route route =
         new Route(
@@ -66,7 +66,7 @@
   }
 
   /** A backend server that starts slowly, so that calls go elsewhere first. */
-  private static BackendRecord cold(String id) {
+  private static BackendRecord warmingUp(String id) {
     return backend(id, "engines").toBuilder().setColdLeftMillis(60_000).build();
   }
 
@@ -74,13 +74,13 @@
     return backend(id, "engines").toBuilder().setLeaving(true).setSequence(9).build();
   }
 
-  private RequestId ask(PlacementRequest.Builder ask, long nowMillis) {
+  private RequestId submit(PlacementRequest.Builder ask, long nowMillis) {
     RequestId key = new RequestId("gateway", nextId++);
     core.submit(key, ask.setId(key.id()).build(), nowMillis);
     return key;
   }
 
-  private static PlacementRequest.Builder draft(int promptTokens, int outputTokens) {
+  private static PlacementRequest.Builder draftRequest(int promptTokens, int outputTokens) {
     return PlacementRequest.newBuilder()
         .setService("engines")
         .setRoute("drafts")
@@ -94,7 +94,7 @@
         .setEngine(true);
   }
 
-  private static PlacementRequest.Builder plainCall() {
+  private static PlacementRequest.Builder plainRequest() {
     return PlacementRequest.newBuilder()
         .setService("plain")
         .setRoute("pages")
@@ -113,9 +113,9 @@
   void a_call_goes_to_the_engine_with_the_least_to_read() {
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(backend("y", "engines"), 0);
-    ask(draft(3_000, 400), 0);
+    submit(draftRequest(3_000, 400), 0);
     DispatchDecision.Place first = (DispatchDecision.Place) onlyDecision();
-    ask(draft(1_000, 100), 1);
+    submit(draftRequest(1_000, 100), 1);
     DispatchDecision.Place second = (DispatchDecision.Place) onlyDecision();
 
     assertThat(second.backend()).isNotEqualTo(first.backend());
@@ -124,9 +124,9 @@
   @Test
   void a_call_waits_while_memory_is_full_and_runs_once_there_is_room() {
     core.updateBackend(backend("x", "engines"), 0);
-    RequestId first = ask(draft(6_000, 100), 0);
+    RequestId first = submit(draftRequest(6_000, 100), 0);
     onlyDecision();
-    RequestId second = ask(draft(6_000, 100).setTargetLeftMillis(4_000), 1);
+    RequestId second = submit(draftRequest(6_000, 100).setTargetLeftMillis(4_000), 1);
     assertThat(core.drainDecisions()).isEmpty();
 
     core.requestEnded(first, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 100, 300);
@@ -137,13 +137,13 @@
   @Test
   void a_call_that_cannot_start_in_time_is_turned_away_at_once_with_the_time_to_come_back() {
     core.updateBackend(backend("x", "engines"), 0);
-    ask(draft(6_000, 3_000), 0);
+    submit(draftRequest(6_000, 3_000), 0);
     onlyDecision();
 
-    RequestId late = ask(draft(6_000, 100), 1);
+    RequestId late = submit(draftRequest(6_000, 100), 1);
 
     DispatchDecision.Reject refusal = (DispatchDecision.Reject) onlyDecision();
-    assertThat(refusal.key()).isEqualTo(late);
+    assertThat(refusal.requestId()).isEqualTo(late);
     assertThat(refusal.reason()).isEqualTo(RejectionReason.NO_ROOM_IN_TIME);
     assertThat(refusal.retryAfterMillis()).isBetween(10_000L, 15_000L);
   }
@@ -151,9 +151,9 @@
   @Test
   void a_waiting_call_is_turned_away_once_it_cannot_be_in_time() {
     core.updateBackend(backend("x", "engines"), 0);
-    ask(draft(6_000, 60), 0);
+    submit(draftRequest(6_000, 60), 0);
     onlyDecision();
-    ask(draft(6_000, 100).setTargetLeftMillis(3_000), 1);
+    submit(draftRequest(6_000, 100).setTargetLeftMillis(3_000), 1);
     assertThat(core.drainDecisions()).isEmpty();
 
     core.tick(3_000);
@@ -165,9 +165,9 @@
   @Test
   void a_call_waits_until_what_is_to_be_read_before_it_lets_it_be_in_time() {
     core.updateBackend(backend("x", "engines"), 0);
-    RequestId reading = ask(draft(3_000, 100), 0);
+    RequestId reading = submit(draftRequest(3_000, 100), 0);
     onlyDecision();
-    RequestId second = ask(draft(3_000, 100).setTargetLeftMillis(1_000), 1);
+    RequestId second = submit(draftRequest(3_000, 100).setTargetLeftMillis(1_000), 1);
     assertThat(core.drainDecisions()).isEmpty();
 
     core.outputProgressed(reading, 4, 400);
@@ -178,35 +178,35 @@
   @Test
   void a_call_that_must_wait_for_reading_does_not_hold_up_one_that_need_not() {
     core.updateBackend(backend("x", "engines"), 0);
-    ask(draft(3_000, 100), 0);
+    submit(draftRequest(3_000, 100), 0);
     onlyDecision();
-    ask(draft(3_000, 100).setTargetLeftMillis(1_000), 1);
-    RequestId patient = ask(draft(3_000, 100).setTargetLeftMillis(1_400), 2);
+    submit(draftRequest(3_000, 100).setTargetLeftMillis(1_000), 1);
+    RequestId patient = submit(draftRequest(3_000, 100).setTargetLeftMillis(1_400), 2);
 
     core.tick(10);
 
-    assertThat(((DispatchDecision.Place) onlyDecision()).key()).isEqualTo(patient);
+    assertThat(((DispatchDecision.Place) onlyDecision()).requestId()).isEqualTo(patient);
   }
 
   @Test
   void a_call_that_cannot_be_in_time_runs_all_the_same_where_nobody_waits_for_the_room() {
     core.updateBackend(backend("x", "engines"), 0);
-    ask(draft(7_500, 100).setTargetLeftMillis(5_000), 0);
+    submit(draftRequest(7_500, 100).setTargetLeftMillis(5_000), 0);
     onlyDecision();
 
-    RequestId late = ask(draft(1_000, 100).setTargetLeftMillis(100), 1);
+    RequestId late = submit(draftRequest(1_000, 100).setTargetLeftMillis(100), 1);
 
-    assertThat(((DispatchDecision.Place) onlyDecision()).key()).isEqualTo(late);
+    assertThat(((DispatchDecision.Place) onlyDecision()).requestId()).isEqualTo(late);
   }
 
   @Test
   void a_call_that_cannot_be_in_time_leaves_scarce_room_to_those_that_wait() {
     core.updateBackend(backend("x", "engines"), 0);
-    ask(draft(7_500, 100).setTargetLeftMillis(5_000), 0);
+    submit(draftRequest(7_500, 100).setTargetLeftMillis(5_000), 0);
     onlyDecision();
-    ask(draft(3_000, 100).setTargetLeftMillis(5_000), 1);
+    submit(draftRequest(3_000, 100).setTargetLeftMillis(5_000), 1);
 
-    ask(draft(1_000, 100).setTargetLeftMillis(100), 2);
+    submit(draftRequest(1_000, 100).setTargetLeftMillis(100), 2);
 
     assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Reject.class);
   }
@@ -215,17 +215,17 @@
   void slow_first_replies_lead_to_earlier_refusals() {
     core.updateBackend(backend("x", "engines"), 0);
     for (int i = 0; i < 80; i++) {
-      RequestId call = ask(draft(1_000, 8), i * 1_000L);
+      RequestId call = submit(draftRequest(1_000, 8), i * 1_000L);
       core.outputProgressed(call, 4, i * 1_000L + 500);
       core.requestEnded(call, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 8, i * 1_000L + 600);
     }
     long nowMillis = 100_000;
-    RequestId large = ask(draft(6_300, 100).setTargetLeftMillis(9_000), nowMillis);
+    RequestId large = submit(draftRequest(6_300, 100).setTargetLeftMillis(9_000), nowMillis);
     core.outputProgressed(large, 4, nowMillis + 3_000);
-    ask(draft(6_000, 100).setTargetLeftMillis(20_000), nowMillis + 3_000);
+    submit(draftRequest(6_000, 100).setTargetLeftMillis(20_000), nowMillis + 3_000);
     core.drainDecisions();
 
-    ask(draft(2_900, 100).setPriority(0), nowMillis + 3_001);
+    submit(draftRequest(2_900, 100).setPriority(0), nowMillis + 3_001);
 
     assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Reject.class);
   }
@@ -240,7 +240,7 @@
       for (String id : List.of("x", "y", "z")) {
         alone.updateBackend(backend(id, "engines"), 0);
       }
-      alone.submit(new RequestId("gateway", 1), draft(3_000, 100).build(), 0);
+      alone.submit(new RequestId("gateway", 1), draftRequest(3_000, 100).build(), 0);
       chosen.add(((DispatchDecision.Place) alone.drainDecisions().getFirst()).backend());
     }
 
@@ -250,15 +250,16 @@
   @Test
   void a_more_urgent_call_overtakes_those_that_wait() {
     core.updateBackend(backend("x", "engines"), 0);
-    RequestId running = ask(draft(8_500, 100), 0);
+    RequestId running = submit(draftRequest(8_500, 100), 0);
     onlyDecision();
-    ask(draft(6_000, 100).setTargetLeftMillis(9_000), 1);
-    RequestId urgent = ask(draft(6_000, 100).setPriority(0).setTargetLeftMillis(9_000), 2);
+    submit(draftRequest(6_000, 100).setTargetLeftMillis(9_000), 1);
+    RequestId urgent =
+        submit(draftRequest(6_000, 100).setPriority(0).setTargetLeftMillis(9_000), 2);
     core.drainDecisions();
 
     core.requestEnded(running, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 100, 500);
 
-    assertThat(((DispatchDecision.Place) onlyDecision()).key()).isEqualTo(urgent);
+    assertThat(((DispatchDecision.Place) onlyDecision()).requestId()).isEqualTo(urgent);
   }
 
   @Test
@@ -266,7 +267,7 @@
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(leaving("x"), 10);
 
-    ask(draft(100, 10), 20);
+    submit(draftRequest(100, 10), 20);
 
     assertThat(core.drainDecisions()).isEmpty();
   }
@@ -274,8 +275,8 @@
   @Test
   void calls_on_a_leaving_engine_are_moved_one_after_the_other() {
     core.updateBackend(backend("x", "engines"), 0);
-    RequestId one = ask(draft(1_000, 2_000), 0);
-    RequestId two = ask(draft(1_500, 2_000), 0);
+    RequestId one = submit(draftRequest(1_000, 2_000), 0);
+    RequestId two = submit(draftRequest(1_500, 2_000), 0);
     core.drainDecisions();
     core.outputProgressed(one, 4, 100);
     core.outputProgressed(two, 4, 100);
@@ -295,7 +296,7 @@
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(backend("y", "engines"), 0);
 
-    ask(draft(1_000, 400).setIrreplaceable(true), 0);
+    submit(draftRequest(1_000, 400).setIrreplaceable(true), 0);
 
     DispatchDecision.Place place = (DispatchDecision.Place) onlyDecision();
     assertThat(place.backup()).isNotEmpty().isNotEqualTo(place.backend());
@@ -304,9 +305,9 @@
   @Test
   void copies_leave_half_of_an_idle_engine_to_calls() {
     core.updateBackend(backend("x", "engines"), 0);
-    core.updateBackend(cold("idle"), 0);
+    core.updateBackend(warmingUp("idle"), 0);
     for (int i = 0; i < 7; i++) {
-      core.outputProgressed(ask(draft(1_200, 50).setIrreplaceable(true), i), 4, i);
+      core.outputProgressed(submit(draftRequest(1_200, 50).setIrreplaceable(true), i), 4, i);
     }
 
     long copies =
@@ -321,13 +322,13 @@
   void no_copies_are_made_while_calls_need_the_memory_of_the_service() {
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(backend("y", "engines"), 0);
-    core.updateBackend(cold("new"), 0);
+    core.updateBackend(warmingUp("new"), 0);
     for (int i = 0; i < 2; i++) {
-      core.outputProgressed(ask(draft(8_000, 50).setTargetLeftMillis(9_000), i), 4, i);
+      core.outputProgressed(submit(draftRequest(8_000, 50).setTargetLeftMillis(9_000), i), 4, i);
     }
     core.drainDecisions();
 
-    ask(draft(900, 50).setIrreplaceable(true), 5);
+    submit(draftRequest(900, 50).setIrreplaceable(true), 5);
 
     assertThat(((DispatchDecision.Place) onlyDecision()).backup()).isEmpty();
   }
@@ -337,7 +338,7 @@
     core.updateBackend(backend("p", "plain"), 0);
     int placed = 0;
     for (int i = 0; i < 40; i++) {
-      RequestId key = ask(plainCall().setRepeat(true), i);
+      RequestId key = submit(plainRequest().setRepeat(true), i);
       if (onlyDecision() instanceof DispatchDecision.Place) {
         placed++;
         core.requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 0, i);
@@ -350,7 +351,7 @@
   @Test
   void the_calls_of_a_gateway_that_is_gone_make_room() {
     core.updateBackend(backend("x", "engines"), 0);
-    ask(draft(9_000, 100), 0);
+    submit(draftRequest(9_000, 100), 0);
     core.drainDecisions();
 
     core.removeGateway("gateway", 10);
@@ -361,10 +362,10 @@
   @Test
   void a_new_scheduler_counts_what_another_one_placed() {
     core.updateBackend(backend("x", "engines"), 0);
-    PlacementRequest running = draft(9_000, 2_000).setId(77).build();
+    PlacementRequest running = draftRequest(9_000, 2_000).setId(77).build();
     core.restoreRunning(new RequestId("gateway", 77), running, "x", 40, 0);
 
-    ask(draft(6_000, 100), 1);
+    submit(draftRequest(6_000, 100), 1);
 
     assertThat(onlyDecision()).isInstanceOf(DispatchDecision.Reject.class);
   }
--- a/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
@@ -11,7 +11,7 @@
   private final FailureRateEjector ejector = new FailureRateEjector();
 
   /** Plays calls of which every {@code n}th fails at the named backend server. */
-  private void play(String backend, int calls, int failEvery) {
+  private void recordRequests(String backend, int calls, int failEvery) {
     for (int i = 1; i <= calls; i++) {
       if (i % failEvery == 0) {
         ejector.failed(backend, PEERS, 0);
@@ -23,35 +23,35 @@
 
   @Test
   void one_that_fails_every_other_call_while_its_peers_do_not_is_taken_out() {
-    play("b", 30, 30);
-    play("c", 30, 30);
-    play("a", 20, 2);
+    recordRequests("b", 30, 30);
+    recordRequests("c", 30, 30);
+    recordRequests("a", 20, 2);
 
-    assertThat(ejector.isOut("a", 1)).isTrue();
-    assertThat(ejector.isOut("b", 1)).isFalse();
+    assertThat(ejector.isEjected("a", 1)).isTrue();
+    assertThat(ejector.isEjected("b", 1)).isFalse();
   }
 
   @Test
   void it_comes_back_after_a_time() {
-    play("a", 20, 2);
+    recordRequests("a", 20, 2);
 
-    assertThat(ejector.isOut("a", 60_000)).isFalse();
+    assertThat(ejector.isEjected("a", 60_000)).isFalse();
   }
 
   @Test
   void where_all_fail_alike_none_is_taken_out() {
     for (int i = 0; i < 20; i++) {
-      PEERS.forEach(peer -> play(peer, 2, 2));
+      PEERS.forEach(peer -> recordRequests(peer, 2, 2));
     }
 
-    assertThat(PEERS).noneMatch(peer -> ejector.isOut(peer, 1));
+    assertThat(PEERS).noneMatch(peer -> ejector.isEjected(peer, 1));
   }
 
   @Test
   void never_more_than_a_third_are_out_at_once() {
-    play("a", 20, 1);
-    play("b", 20, 1);
+    recordRequests("a", 20, 1);
+    recordRequests("b", 20, 1);
 
-    assertThat(PEERS.stream().filter(peer -> ejector.isOut(peer, 1))).hasSize(1);
+    assertThat(PEERS.stream().filter(peer -> ejector.isEjected(peer, 1))).hasSize(1);
   }
 }
