--- a/src/main/java/org/curranthaven/internal/catalog/Catalog.java
+++ b/src/main/java/org/curranthaven/internal/catalog/Catalog.java
@@ -11,7 +11,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Everything that operators set for routed calls, under one revision.
+ * Routes, services, limits and workspaces that operators configure for routed requests, under one
+ * revision. Immutable.
  *
  * <pre>{@code
  * Optional<Route> route = catalog.routeFor("stories.example", "/drafts/new");
@@ -26,11 +27,11 @@
   private final Map<String, CatalogWorkspace> workspaceByKey;
 
   /**
-   * Creates a checked catalog.
+   * Creates a catalog and checks it.
    *
-   * @param workspaceByKey workspaces by their keys; null where callers need no key
-   * @throws IllegalArgumentException if a route names an unknown service, or stands where another
-   *     one does
+   * @param workspaceByKey workspaces by API key; null if callers need no key
+   * @throws IllegalArgumentException if a route refers to an undefined service, or two routes have
+   *     the same host and path prefix
    */
   public Catalog(
       long revision,
@@ -43,12 +44,17 @@
     this.keysRequired = workspaceByKey != null;
     this.workspaceByKey = workspaceByKey == null ? Map.of() : Map.copyOf(workspaceByKey);
     services.forEach(service -> this.services.put(service.name(), service));
-    Set<String> places = new HashSet<>();
+    Set<String> hostsAndPrefixes = new HashSet<>();
     for (Route route : routes) {
       checkServices(route);
-      if (!places.add(route.host() + " " + route.pathPrefix())) {
+      if (!hostsAndPrefixes.add(route.host() + " " + route.pathPrefix())) {
         throw new IllegalArgumentException(
-            "two routes stand at " + route.host() + route.pathPrefix());
+            "route '"
+                + route.name()
+                + "' has the same host and path prefix as another route: "
+                + route.host()
+                + route.pathPrefix()
+                + "; change or remove one of them");
       }
       routesByHost.computeIfAbsent(route.host(), host -> new java.util.ArrayList<>()).add(route);
     }
@@ -58,30 +64,33 @@
   }
 
   private void checkServices(Route route) {
-    for (ServiceWeight share : route.services()) {
-      if (!services.containsKey(share.service())) {
+    for (ServiceWeight target : route.services()) {
+      if (!services.containsKey(target.service())) {
         throw new IllegalArgumentException(
-            "route '" + route.name() + "' names the unknown service '" + share.service() + "'");
+            "route '"
+                + route.name()
+                + "' refers to service '"
+                + target.service()
+                + "', which the catalog does not define; define the service or correct its name");
       }
     }
   }
 
-  /** Returns a catalog without routes, of revision 0. */
+  /** Returns a catalog of revision 0 without routes, services or keys. */
   public static Catalog empty() {
     return new Catalog(0, List.of(), List.of(), RequestLimits.standard(), Map.of());
   }
 
-  /** Returns the revision. */
   public long revision() {
     return revision;
   }
 
-  /** Returns the bounds on what callers may send. */
+  /** Returns the limits on the size and timing of what callers send. */
   public RequestLimits limits() {
     return limits;
   }
 
-  /** Returns the route with the longest prefix that begins the path. */
+  /** Returns the route of the host with the longest path prefix that matches. */
   public Optional<Route> routeFor(String host, String path) {
     List<Route> routes = routesByHost.get(host.toLowerCase(Locale.ROOT));
     return routes == null
@@ -89,17 +98,17 @@
         : routes.stream().filter(route -> path.startsWith(route.pathPrefix())).findFirst();
   }
 
-  /** Returns the service of the name, or null. */
+  /** Returns the service with the name; null if the catalog does not define it. */
   public @Nullable ServiceSpec service(String name) {
     return services.get(name);
   }
 
-  /** Returns whether a call of the route needs a key. */
+  /** Returns whether a request on the route needs an API key. */
   public boolean needsKey(Route route) {
     return keysRequired && !route.anonymous();
   }
 
-  /** Returns the workspace that holds the key, or null. */
+  /** Returns the workspace to which the API key belongs; null if the key is unknown. */
   public @Nullable CatalogWorkspace workspaceOf(String key) {
     return workspaceByKey.get(key);
   }
--- a/src/main/java/org/curranthaven/internal/catalog/CatalogCodec.java
+++ b/src/main/java/org/curranthaven/internal/catalog/CatalogCodec.java
@@ -2,8 +2,8 @@
 
 import org.curranthaven.api.Outcome;
 
-/** Reads the document in which operators write a catalog. */
+/** Decodes the catalog document that operators write. */
 public interface CatalogCodec {
-  /** Returns the catalog that the document holds, or why it is invalid. */
+  /** Returns the catalog in the document, or the reason why the document is invalid. */
   Outcome<Catalog> decode(byte[] document);
 }
--- a/src/main/java/org/curranthaven/internal/catalog/CatalogState.java
+++ b/src/main/java/org/curranthaven/internal/catalog/CatalogState.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.ByteString;
 
-/** The replicated catalog document: the highest revision stays. Not thread-safe. */
+/** Replicated catalog document; the one with the highest revision wins. Not thread-safe. */
 public final class CatalogState {
   private long revision;
   private ByteString document = ByteString.EMPTY;
@@ -10,13 +10,13 @@
   /**
    * Snapshot of the state.
    *
-   * @param revision revision of the document; 0 when there is none
+   * @param revision revision of the document; 0 if there is none
    * @param document the document as the operator sent it
    */
   @SuppressWarnings("ArrayRecordComponent")
   public record Snapshot(long revision, byte[] document) {}
 
-  /** Takes a document unless its revision is not above the one held; returns the one in force. */
+  /** Stores the document if its revision is higher; returns the revision stored afterwards. */
   public long replace(long newRevision, byte[] newDocument) {
     if (newRevision > revision) {
       revision = newRevision;
@@ -25,22 +25,22 @@
     return revision;
   }
 
-  /** Returns the revision in force; 0 when there is none. */
+  /** Returns the stored revision; 0 if there is no document. */
   public long revision() {
     return revision;
   }
 
-  /** Returns the document in force. */
+  /** Returns the stored document; empty if there is none. */
   public ByteString document() {
     return document;
   }
 
-  /** Returns the whole state. */
+  /** Returns a snapshot of the state. */
   public Snapshot snapshot() {
     return new Snapshot(revision, document.toByteArray());
   }
 
-  /** Replaces the whole state. */
+  /** Replaces the state by a snapshot. */
   public void restore(Snapshot snapshot) {
     revision = snapshot.revision();
     document = ByteString.copyFrom(snapshot.document());
--- a/src/main/java/org/curranthaven/internal/catalog/CatalogWorkspace.java
+++ b/src/main/java/org/curranthaven/internal/catalog/CatalogWorkspace.java
@@ -1,9 +1,9 @@
 package org.curranthaven.internal.catalog;
 
 /**
- * A workspace as the catalog names it.
+ * A workspace that the catalog defines.
  *
  * @param name name of the workspace
- * @param priority rank of its calls, before the route's own; negative where it has none
+ * @param priority priority of its requests, which overrides the route's; negative if not set
  */
 public record CatalogWorkspace(String name, int priority) {}
--- a/src/main/java/org/curranthaven/internal/catalog/EngineCapabilities.java
+++ b/src/main/java/org/curranthaven/internal/catalog/EngineCapabilities.java
@@ -1,14 +1,14 @@
 package org.curranthaven.internal.catalog;
 
 /**
- * What the engines of a service can do.
+ * Capacity and features of the engines of a service.
  *
- * @param slots requests that an engine batches
- * @param memoryTokens tokens that an engine's memory holds
- * @param tokensPerEvent tokens in one event of a stream
- * @param supportsMigration whether a running request can be moved to another engine
- * @param supportsBackups whether an engine can keep another one supplied with a copy of a running
- *     request
+ * @param slots maximum number of requests that an engine runs in one batch
+ * @param memoryTokens memory of an engine, in tokens
+ * @param tokensPerEvent output tokens in one event of a stream
+ * @param supportsMigration whether a running request can be migrated to another engine
+ * @param supportsBackups whether an engine can maintain a backup copy of a running request on
+ *     another engine
  */
 public record EngineCapabilities(
     int slots,
--- a/src/main/java/org/curranthaven/internal/catalog/Repeatability.java
+++ b/src/main/java/org/curranthaven/internal/catalog/Repeatability.java
@@ -1,11 +1,11 @@
 package org.curranthaven.internal.catalog;
 
-/** What may be repeated about the calls of a route. */
+/** Whether the requests of a route may run more than once. */
 public enum Repeatability {
-  /** May run more than once. */
+  /** The request may run more than once. */
   IDEMPOTENT,
-  /** Runs at most once. */
+  /** The request runs at most once. */
   NON_IDEMPOTENT,
-  /** A series of events; runs at most once unless the route lets it resume. */
+  /** The response is a stream of events; runs at most once unless the route is resumable. */
   STREAM
 }
--- a/src/main/java/org/curranthaven/internal/catalog/RequestLimits.java
+++ b/src/main/java/org/curranthaven/internal/catalog/RequestLimits.java
@@ -1,17 +1,17 @@
 package org.curranthaven.internal.catalog;
 
 /**
- * Bounds on what a caller may send.
+ * Limits on the size and timing of what a caller sends.
  *
- * @param maxHeaderBytes largest request line and headers
- * @param maxBodyBytes largest body
- * @param headerTimeoutMillis longest time from the first byte of a request to the end of its
+ * @param maxHeaderBytes maximum size of the request line and headers together
+ * @param maxBodyBytes maximum size of the request body
+ * @param headerTimeoutMillis maximum time from the first byte of a request to the end of its
  *     headers
- * @param idleTimeoutMillis longest time that a connection may stay without a request
+ * @param idleTimeoutMillis maximum time that a connection may stay open without a request
  */
 public record RequestLimits(
     int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
-  /** Returns the bounds in force before a catalog sets them. */
+  /** Returns the default limits, which apply where the catalog sets none. */
   public static RequestLimits standard() {
     return new RequestLimits(16_384, 4_194_304, 3_000, 15_000);
   }
--- a/src/main/java/org/curranthaven/internal/catalog/Route.java
+++ b/src/main/java/org/curranthaven/internal/catalog/Route.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * Calls of one host name and path prefix, and what is promised for them.
+ * Rules for the requests with one host name and path prefix: where they go, their targets and how
+ * they may be retried.
  *
  * @param name name of the route
- * @param host host name that selects it, in lower case
- * @param pathPrefix beginning of the paths that select it; ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis longest time that a call is kept waiting for its whole answer
- * @param targetMillis time within which the answer, or a stream's first event, is due
- * @param gapTargetMillis longest pause between a stream's events; 0 where there is none
- * @param priority rank; 0 is the most urgent
- * @param attempts most backend servers that may run one call
- * @param anonymous whether calls need no key
- * @param resumable whether a stream may go on at another backend server
- * @param services services that the calls go to, at least one of them with a weight above 0
+ * @param host host name that requests must have, in lower case
+ * @param pathPrefix prefix that request paths must have; ends with a slash
+ * @param kind whether requests may run more than once
+ * @param timeoutMillis maximum time until the complete response
+ * @param targetMillis time within which the response, or a stream's first event, is due
+ * @param gapTargetMillis maximum target gap between a stream's events; 0 for no target
+ * @param priority priority of requests; 0 is the most urgent
+ * @param attempts maximum number of attempts per request
+ * @param anonymous whether requests need no API key
+ * @param resumable whether a stream may resume on another backend server
+ * @param services services that requests are distributed to; at least one has a weight above 0
  */
 public record Route(
     String name,
@@ -34,31 +35,39 @@
   public Route {
     services = List.copyOf(services);
     if (timeoutMillis <= 0) {
-      throw new IllegalArgumentException("route '" + name + "' has no time limit above 0");
+      throw new IllegalArgumentException(
+          "route '"
+              + name
+              + "' has a timeout of "
+              + timeoutMillis
+              + " ms; set it to a value above 0");
     }
     if (services.stream().mapToDouble(ServiceWeight::weight).sum() <= 0) {
-      throw new IllegalArgumentException("route '" + name + "' sends calls to no service");
+      throw new IllegalArgumentException(
+          "route '"
+              + name
+              + "' has no service with a weight above 0; give at least one service a weight");
     }
   }
 
-  /** Returns whether a call may run more than once. */
+  /** Returns whether a request may run more than once. */
   public boolean isRepeatable() {
     return kind == Repeatability.IDEMPOTENT || (kind == Repeatability.STREAM && resumable);
   }
 
   /**
-   * Returns the service of a call.
+   * Selects the service of a request by weight.
    *
-   * @param draw number from 0 to 1, drawn for the call
+   * @param draw random number from 0 (inclusive) to 1 (exclusive), drawn for the request
    */
   public String serviceFor(double draw) {
-    double left = draw * services.stream().mapToDouble(ServiceWeight::weight).sum();
-    for (ServiceWeight share : services) {
-      left -= share.weight();
-      if (left < 0) {
-        return share.service();
+    double remaining = draw * services.stream().mapToDouble(ServiceWeight::weight).sum();
+    for (ServiceWeight target : services) {
+      remaining -= target.weight();
+      if (remaining < 0) {
+        return target.service();
       }
     }
-    return services.stream().filter(s -> s.weight() > 0).toList().getLast().service();
+    return services.stream().filter(target -> target.weight() > 0).toList().getLast().service();
   }
 }
--- a/src/main/java/org/curranthaven/internal/catalog/ServiceSpec.java
+++ b/src/main/java/org/curranthaven/internal/catalog/ServiceSpec.java
@@ -6,7 +6,7 @@
  * A service that backend servers register for.
  *
  * @param name name of the service
- * @param maxConnections connections that one backend server accepts from all callers together
- * @param engine what its engines can do; null for a plain service
+ * @param maxConnections maximum number of connections that one backend server accepts in total
+ * @param engine capabilities of its engines; null for a plain service
  */
 public record ServiceSpec(String name, int maxConnections, @Nullable EngineCapabilities engine) {}
--- a/src/main/java/org/curranthaven/internal/catalog/package-info.java
+++ b/src/main/java/org/curranthaven/internal/catalog/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Routes, services and workspaces that operators set as one document, and the rule by which the
- * highest revision wins.
+ * Routes, services and workspaces that operators configure in one document. Of several documents,
+ * the one with the highest revision wins.
  */
 @org.jspecify.annotations.NullMarked
 package org.curranthaven.internal.catalog;
--- a/src/main/java/org/curranthaven/internal/dispatch/BackendRegistry.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/BackendRegistry.java
@@ -10,11 +10,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The backend servers that registered, as the scheduler knows them: each by its own name, in the
- * order of its sequence numbers. One that is gone never comes back under its name. Not thread-safe.
+ * Registered backend servers as the scheduler knows them, by id. For each id, updates are applied
+ * in the order of their sequence numbers. A backend server that was removed does not return under
+ * the same id. Not thread-safe.
  */
 public final class BackendRegistry {
-  /** Time for which the name of one that is gone is kept: longer than a late message takes. */
+  /** Time for which a removed id is remembered; longer than a delayed message takes to arrive. */
   static final long REMOVED_ID_RETENTION_MILLIS = 120_000;
 
   private final Map<String, BackendRecord> records = new LinkedHashMap<>();
@@ -22,76 +23,82 @@
   private final Map<String, Long> removedAtMillis = new HashMap<>();
   private long lastFirstSeen;
 
-  /** Takes in a registration; returns what changed for those who send, or null for nothing. */
-  public @Nullable BackendRecord register(BackendRecord news, long nowMillis) {
-    if (removedAtMillis.containsKey(news.getId())) {
+  /**
+   * Applies a registration.
+   *
+   * @return the record to publish to gateways; null if nothing changed that they use
+   */
+  public @Nullable BackendRecord register(BackendRecord update, long nowMillis) {
+    if (removedAtMillis.containsKey(update.getId())) {
       return null;
     }
-    BackendRecord old = records.get(news.getId());
-    if (old != null && news.getSequence() <= old.getSequence()) {
+    BackendRecord previous = records.get(update.getId());
+    if (previous != null && update.getSequence() <= previous.getSequence()) {
       return null;
     }
-    long firstSeen = old == null ? nextFirstSeen(news) : old.getFirstSeen();
-    boolean leaving = news.getLeaving() || (old != null && old.getLeaving());
-    BackendRecord current = news.toBuilder().setFirstSeen(firstSeen).setLeaving(leaving).build();
+    long firstSeen = previous == null ? nextFirstSeen(update) : previous.getFirstSeen();
+    boolean leaving = update.getLeaving() || (previous != null && previous.getLeaving());
+    BackendRecord current = update.toBuilder().setFirstSeen(firstSeen).setLeaving(leaving).build();
     records.put(current.getId(), current);
     registeredAtMillis.put(current.getId(), nowMillis);
-    return old != null && isEquivalent(old, current) ? null : current;
+    return previous != null && isEquivalent(previous, current) ? null : current;
   }
 
-  private long nextFirstSeen(BackendRecord news) {
-    lastFirstSeen = Math.max(lastFirstSeen, news.getFirstSeen()) + 1;
+  private long nextFirstSeen(BackendRecord update) {
+    lastFirstSeen = Math.max(lastFirstSeen, update.getFirstSeen()) + 1;
     return lastFirstSeen;
   }
 
-  private static boolean isEquivalent(BackendRecord a, BackendRecord b) {
-    return a.getAddress().equals(b.getAddress())
-        && a.getService().equals(b.getService())
-        && a.getSlots() == b.getSlots()
-        && a.getLeaving() == b.getLeaving();
+  private static boolean isEquivalent(BackendRecord first, BackendRecord second) {
+    return first.getAddress().equals(second.getAddress())
+        && first.getService().equals(second.getService())
+        && first.getSlots() == second.getSlots()
+        && first.getLeaving() == second.getLeaving();
   }
 
-  /** Notes that a backend server said that it is gone; returns whether it was known. */
+  /** Removes a backend server that deregistered; returns whether it was registered. */
   public boolean remove(String id, long nowMillis) {
     removedAtMillis.put(id, nowMillis);
     registeredAtMillis.remove(id);
     return records.remove(id) != null;
   }
 
-  /** Takes in what a gateway held; what is heard directly goes before it. */
+  /** Applies a record that a gateway has cached; registrations with higher sequence numbers win. */
   public @Nullable BackendRecord restore(BackendRecord record, long nowMillis) {
     lastFirstSeen = Math.max(lastFirstSeen, record.getFirstSeen());
     return register(record, nowMillis);
   }
 
-  /** Returns and removes those not heard of for the given time; their names may come back. */
-  public List<String> removeExpired(long silenceMillis, long nowMillis) {
-    List<String> silent = new ArrayList<>();
+  /** Removes and returns the ids without a registration within the timeout; they may return. */
+  public List<String> removeExpired(long timeoutMillis, long nowMillis) {
+    List<String> expired = new ArrayList<>();
     registeredAtMillis.forEach(
-        (id, heard) -> {
-          if (nowMillis - heard > silenceMillis) {
-            silent.add(id);
+        (id, registeredAt) -> {
+          if (nowMillis - registeredAt > timeoutMillis) {
+            expired.add(id);
           }
         });
-    for (String id : silent) {
+    for (String id : expired) {
       records.remove(id);
       registeredAtMillis.remove(id);
     }
-    removedAtMillis.values().removeIf(gone -> nowMillis - gone > REMOVED_ID_RETENTION_MILLIS);
-    return silent;
+    removedAtMillis
+        .values()
+        .removeIf(removedAt -> nowMillis - removedAt > REMOVED_ID_RETENTION_MILLIS);
+    return expired;
   }
 
-  /** Returns the backend server of the name, or null. */
+  /** Returns the record of the backend server; null if it is not registered. */
   public @Nullable BackendRecord get(String id) {
     return records.get(id);
   }
 
-  /** Returns every backend server that is known. */
+  /** Returns the records of all registered backend servers. */
   public Collection<BackendRecord> all() {
     return records.values();
   }
 
-  /** Returns the names of those that are gone and may still be heard of late. */
+  /** Returns the removed ids for which delayed messages may still arrive. */
   public Collection<String> removedIds() {
     return removedAtMillis.keySet();
   }
--- a/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
-/** A backend server and the calls that run on it. Not thread-safe. */
+/** A backend server and the requests that run on it. Not thread-safe. */
 final class BackendState {
   private BackendRecord registration;
   private long warmAtMillis;
   private long fullUntilMillis;
   final Map<RequestId, RunningRequest> requests = new LinkedHashMap<>();
 
-  /** Calls that run elsewhere and of which a copy is kept here. */
+  /** Requests that run on other engines and have their backup copy on this one. */
   final Map<RequestId, RunningRequest> backupCopies = new LinkedHashMap<>();
 
   final PromptPartCache promptPartCache = new PromptPartCache();
@@ -21,9 +21,9 @@
     updateRegistration(registration, nowMillis);
   }
 
-  final void updateRegistration(BackendRecord newer, long nowMillis) {
-    registration = newer;
-    warmAtMillis = nowMillis + newer.getColdLeftMillis();
+  final void updateRegistration(BackendRecord update, long nowMillis) {
+    registration = update;
+    warmAtMillis = nowMillis + update.getColdLeftMillis();
   }
 
   BackendRecord registration() {
@@ -54,7 +54,7 @@
     return nowMillis < warmAtMillis;
   }
 
-  /** Notes that the backend server turned a call away although room was expected. */
+  /** Records that the backend server rejected a request although capacity was expected. */
   void markFull(long untilMillis) {
     fullUntilMillis = untilMillis;
   }
@@ -63,27 +63,27 @@
     return nowMillis < fullUntilMillis;
   }
 
-  /** Returns whether nothing runs here and no copy is kept here. */
+  /** Returns whether no request runs and no backup copy is kept on this backend server. */
   boolean isIdle() {
     return requests.isEmpty() && backupCopies.isEmpty();
   }
 
   double memoryTokens() {
-    double sum = 0;
-    for (RunningRequest call : requests.values()) {
-      sum += call.memoryTokens();
+    double tokens = 0;
+    for (RunningRequest request : requests.values()) {
+      tokens += request.memoryTokens();
     }
-    for (RunningRequest copy : backupCopies.values()) {
-      sum += copy.memoryTokens();
+    for (RunningRequest backupCopy : backupCopies.values()) {
+      tokens += backupCopy.memoryTokens();
     }
-    return sum;
+    return tokens;
   }
 
   int pendingPromptTokens() {
-    int sum = 0;
-    for (RunningRequest call : requests.values()) {
-      sum += call.pendingPromptTokens();
+    int tokens = 0;
+    for (RunningRequest request : requests.values()) {
+      tokens += request.pendingPromptTokens();
     }
-    return sum;
+    return tokens;
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/Backends.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/Backends.java
@@ -17,7 +17,7 @@
 import org.curranthaven.internal.transport.wire.PlacementRequest;
 import org.jspecify.annotations.Nullable;
 
-/** The backend servers, what runs on each, and which of them may take a call. Not thread-safe. */
+/** Backend servers, the requests that run on each, and which are usable. Not thread-safe. */
 final class Backends {
   private final Map<String, BackendState> byId = new LinkedHashMap<>();
   private final Map<RequestId, BackendState> placements = new HashMap<>();
@@ -25,22 +25,22 @@
   private final FailureRateEjector failureRateEjector = new FailureRateEjector();
   private Catalog catalog = Catalog.empty();
 
-  void setCatalog(Catalog newer) {
-    catalog = newer;
+  void setCatalog(Catalog newCatalog) {
+    catalog = newCatalog;
   }
 
-  /** Returns what is known of the service's engines; null if it has none. */
+  /** Returns the capabilities of the service's engines; null for a plain or unknown service. */
   @Nullable EngineCapabilities engineOf(String service) {
     ServiceSpec spec = catalog.service(service);
     return spec == null ? null : spec.engine();
   }
 
   void register(BackendRecord registration, long nowMillis) {
-    BackendState known = byId.get(registration.getId());
-    if (known == null) {
+    BackendState existing = byId.get(registration.getId());
+    if (existing == null) {
       byId.put(registration.getId(), new BackendState(registration, nowMillis));
     } else {
-      known.updateRegistration(registration, nowMillis);
+      existing.updateRegistration(registration, nowMillis);
     }
   }
 
@@ -57,34 +57,37 @@
     return byId.values().stream().filter(state -> state.serves(service) && !state.isLeaving());
   }
 
-  /** Returns those that may take the call, whether they have room or not. */
-  Stream<BackendState> usableFor(PlacementRequest ask, long nowMillis) {
-    Predicate<BackendState> trusted =
+  /** Returns the backend servers that may run the request, regardless of their capacity. */
+  Stream<BackendState> usableFor(PlacementRequest request, long nowMillis) {
+    Predicate<BackendState> notEjected =
         state ->
             !ejector.isEjected(state.id(), nowMillis)
                 && !failureRateEjector.isEjected(state.id(), nowMillis);
-    return notLeaving(ask.getService())
-        .filter(state -> !ask.getExcludedList().contains(state.id()))
-        .filter(trusted);
+    return notLeaving(request.getService())
+        .filter(state -> !request.getExcludedList().contains(state.id()))
+        .filter(notEjected);
   }
 
-  /** Returns the one that costs least; null for none. The cost of each is worked out once. */
+  /**
+   * Returns the candidate with the lowest cost; null if there is none. The cost function is called
+   * once per candidate.
+   */
   static @Nullable BackendState cheapest(
-      Stream<BackendState> among, ToDoubleFunction<BackendState> cost) {
-    BackendState best = null;
-    double least = Double.POSITIVE_INFINITY;
-    for (Iterator<BackendState> each = among.iterator(); each.hasNext(); ) {
-      BackendState candidate = each.next();
-      double its = cost.applyAsDouble(candidate);
-      if (its < least) {
-        best = candidate;
-        least = its;
+      Stream<BackendState> candidates, ToDoubleFunction<BackendState> cost) {
+    BackendState cheapest = null;
+    double lowestCost = Double.POSITIVE_INFINITY;
+    for (Iterator<BackendState> iterator = candidates.iterator(); iterator.hasNext(); ) {
+      BackendState candidate = iterator.next();
+      double candidateCost = cost.applyAsDouble(candidate);
+      if (candidateCost < lowestCost) {
+        cheapest = candidate;
+        lowestCost = candidateCost;
       }
     }
-    return best;
+    return cheapest;
   }
 
-  // ---- where calls run --------------------------------------------------------------------------
+  // ---- running requests -------------------------------------------------------------------------
 
   int runningRequests() {
     return placements.size();
@@ -94,22 +97,22 @@
     return placements.keySet();
   }
 
-  @Nullable BackendState backendOf(RequestId key) {
-    return placements.get(key);
+  @Nullable BackendState backendOf(RequestId requestId) {
+    return placements.get(requestId);
   }
 
-  void addPlacement(RunningRequest call, BackendState backend) {
-    backend.requests.put(call.id, call);
-    placements.put(call.id, backend);
+  void addPlacement(RunningRequest request, BackendState backend) {
+    backend.requests.put(request.id, request);
+    placements.put(request.id, backend);
   }
 
-  /** Notes that the call runs at the backend server, which counts it already. */
-  void changePlacement(RequestId key, BackendState backend) {
-    placements.put(key, backend);
+  /** Records that the request now runs on the backend server, whose requests contain it already. */
+  void changePlacement(RequestId requestId, BackendState backend) {
+    placements.put(requestId, backend);
   }
 
-  void removePlacement(RequestId key) {
-    placements.remove(key);
+  void removePlacement(RequestId requestId) {
+    placements.remove(requestId);
   }
 
   void removeIfDrained(BackendState state) {
@@ -120,7 +123,7 @@
     }
   }
 
-  // ---- how calls fared --------------------------------------------------------------------------
+  // ---- request outcomes -------------------------------------------------------------------------
 
   void recordFirstReply(BackendState backend) {
     ejector.succeeded(backend.id());
--- a/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
@@ -5,23 +5,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Tells whether a backend server has room for a call: answers the load under which memory that
- * outputs have yet to fill is promised twice. Stateless.
+ * Decides whether a backend server has capacity for a request. An engine's memory fills only while
+ * outputs grow, so the memory that running requests are forecast to need is counted before it is in
+ * use; otherwise it would be assigned twice under load. Stateless.
  */
 final class CapacityRules {
-  /** Share of an engine's memory that forecasts may fill for the most urgent calls. */
+  /** Share of an engine's memory that may be reserved when placing the most urgent requests. */
   static final double MOST_URGENT_MEMORY_SHARE = 0.95;
 
-  /** The same share for less urgent calls, so that an urgent one finds room. */
+  /** Same share for less urgent requests; lower, so that capacity remains for an urgent one. */
   private static final double LESS_URGENT_MEMORY_SHARE = 0.88;
 
-  /** The same share for calls that will be late while others wait that can be in time. */
+  /**
+   * Same share for requests that will be late while requests that can meet their due time queue.
+   */
   static final double LATE_MEMORY_SHARE = 0.8;
 
-  /** Share of memory that copies may fill, of one engine and of all of a service together. */
+  /** Memory utilization up to which backup copies are placed, per engine and over the service. */
   static final double BACKUP_MEMORY_SHARE = 0.5;
 
-  /** Calls a plain backend server is given for each slot: a short queue keeps it busy. */
+  /** Requests per slot of a plain backend server; above 1, since a short queue keeps it busy. */
   private static final double PLAIN_REQUESTS_PER_SLOT = 1.5;
 
   private final int capacityShares;
@@ -29,7 +32,8 @@
   /**
    * Creates the rules.
    *
-   * @param capacityShares number of hosts that decide alone on the same backend servers
+   * @param capacityShares number of hosts that each place requests on the same backend servers
+   *     without a scheduler; each uses an equal share of their capacity
    */
   CapacityRules(int capacityShares) {
     this.capacityShares = Math.max(1, capacityShares);
@@ -39,37 +43,37 @@
     return capacityShares;
   }
 
-  /** Returns the share of an engine's memory that a call of the priority may fill it to. */
-  static double memoryShare(PlacementRequest ask, int mostUrgentPriority) {
-    return ask.getPriority() <= mostUrgentPriority
+  /** Returns the share of an engine's memory that may be reserved when placing the request. */
+  static double memoryShare(PlacementRequest request, int mostUrgentPriority) {
+    return request.getPriority() <= mostUrgentPriority
         ? MOST_URGENT_MEMORY_SHARE
         : LESS_URGENT_MEMORY_SHARE;
   }
 
   /**
-   * Tells whether a call may be placed.
+   * Returns whether the backend server has capacity for the request.
    *
-   * @param engine what is known of the service's engines; null if it has none
-   * @param tokens memory that the call is counted with
-   * @param memoryShare share of an engine's memory that it may fill
+   * @param engine capabilities of the service's engines; null for a plain service
+   * @param requestTokens memory to reserve for the request, in tokens
+   * @param memoryShare share of the engine's memory that may be reserved in total
    */
   boolean hasCapacity(
       BackendState backend,
       @Nullable EngineCapabilities engine,
-      double tokens,
+      double requestTokens,
       double memoryShare,
       long nowMillis) {
     if (backend.isFull(nowMillis)) {
       return false;
     }
     if (engine == null) {
-      double most = backend.slots() * PLAIN_REQUESTS_PER_SLOT / capacityShares;
-      return backend.requests.size() < Math.max(1, most);
+      double maxRequests = backend.slots() * PLAIN_REQUESTS_PER_SLOT / capacityShares;
+      return backend.requests.size() < Math.max(1, maxRequests);
     }
     int slots = Math.max(1, engine.slots() / capacityShares);
-    double memory = memoryShare * engine.memoryTokens() / capacityShares;
-    boolean fits = backend.memoryTokens() + tokens <= memory;
-    boolean alone = backend.isIdle() && tokens <= engine.memoryTokens();
-    return backend.requests.size() < slots && (fits || alone);
+    double usableMemoryTokens = memoryShare * engine.memoryTokens() / capacityShares;
+    boolean fitsShare = backend.memoryTokens() + requestTokens <= usableMemoryTokens;
+    boolean fitsIdleEngine = backend.isIdle() && requestTokens <= engine.memoryTokens();
+    return backend.requests.size() < slots && (fitsShare || fitsIdleEngine);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
@@ -16,36 +16,38 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Places routed calls on backend servers. It owns no clock, thread or socket: events go in, and
- * {@link #drainDecisions} tells what to do.
+ * Decides on which backend server each routed request runs, and queues or rejects the others. Owns
+ * no clock, thread or socket: callers pass in events and the current time, and carry out what
+ * {@link #drainDecisions} returns.
  *
  * <pre>{@code
  * core.updateBackend(registration, now);
- * core.submit(key, ask, now);
- * core.drainDecisions().forEach(this::carryOut);
+ * core.submit(requestId, request, now);
+ * core.drainDecisions().forEach(this::execute);
  * }</pre>
  *
  * <p>Not thread-safe.
  */
 public final class DispatchCore {
-  /** Weight of a full memory against prompt tokens that wait to be read. */
+  /** Cost of a fully used memory or of a fully loaded plain backend server, in prompt tokens. */
   private static final double MEMORY_WEIGHT_TOKENS = 2_500;
 
-  /** Weight of a start that is still slow, in prompt tokens. */
+  /** Cost of a backend server that is still warming up, in prompt tokens. */
   private static final double WARM_UP_WEIGHT_TOKENS = 4_000;
 
-  /** Weight of another data centre, in prompt tokens. */
+  /** Cost of another data centre, in prompt tokens. */
   private static final double OTHER_DATA_CENTRE_WEIGHT_TOKENS = 30;
 
-  /** Time for which a backend server that turned a call away gets none. */
+  /** Time for which a backend server that rejected a request receives none. */
   private static final long FULL_BACKOFF_MILLIS = 150;
 
-  /** Weight of chance where hosts that decide alone do not know what the others place. */
+  /** Random cost in local fallback, where hosts do not know each other's placements. */
   private static final double LOCAL_JITTER_TOKENS = 3_000;
 
-  /** Time after its target at which a plain call that waits is turned away: it is short. */
+  /** Time for which a request to a plain service stays queued after its due time, being short. */
   private static final long MAX_PLAIN_LATENESS_MILLIS = 300;
 
+  /** Highest urgency value, which is the least urgent one. */
   private static final int MAX_URGENCY = 9;
 
   private final RetryLimits retryLimits;
@@ -61,8 +63,8 @@
   /**
    * Creates a core.
    *
-   * @param capacityShares number of hosts that decide alone on the same backend servers; 1 for the
-   *     one scheduler
+   * @param capacityShares number of hosts that each place requests on the same backend servers in
+   *     local fallback; 1 for the scheduler
    */
   public DispatchCore(RetryLimits retryLimits, int capacityShares, RandomGenerator random) {
     this.retryLimits = retryLimits.dividedAmong(capacityShares);
@@ -73,174 +75,191 @@
         new MigrationPlanner(backends, capacityRules, decision -> decisions.add(decision));
   }
 
-  /** Returns and forgets what was decided since the last call, in order. */
+  /** Returns and clears the decisions made since the last invocation, in order. */
   public List<DispatchDecision> drainDecisions() {
     if (decisions.isEmpty()) {
       return List.of();
     }
-    List<DispatchDecision> taken = decisions;
+    List<DispatchDecision> drained = decisions;
     decisions = new ArrayList<>();
-    return taken;
+    return drained;
   }
 
-  /** Returns the number of calls that wait. */
+  /** Returns the number of queued requests. */
   public int queuedRequests() {
     return queue.size();
   }
 
-  /** Returns whether the call was taken in and waits for room. */
-  public boolean isQueued(RequestId key) {
-    return queue.contains(key);
+  /** Returns whether the request is queued for capacity. */
+  public boolean isQueued(RequestId requestId) {
+    return queue.contains(requestId);
   }
 
-  /** Returns the number of calls that run. */
+  /** Returns the number of requests that run on backend servers. */
   public int runningRequests() {
     return backends.runningRequests();
   }
 
   // ---- backend servers --------------------------------------------------------------------------
 
-  /** Puts a catalog into force. */
-  public void setCatalog(Catalog newer) {
-    backends.setCatalog(newer);
+  /** Activates a catalog. */
+  public void setCatalog(Catalog newCatalog) {
+    backends.setCatalog(newCatalog);
   }
 
-  /** Notes a new backend server, or news of one. */
+  /** Handles the registration of a new backend server or an update to a known one. */
   public void updateBackend(BackendRecord registration, long nowMillis) {
     backends.register(registration, nowMillis);
     migrateFrom(registration.getId(), nowMillis);
     serveQueue(registration.getService(), nowMillis);
   }
 
-  /** Notes that a backend server takes no more calls; those that run on it may go on. */
+  /** Records that a backend server accepts no new requests; those running on it may continue. */
   public void removeBackend(String id, long nowMillis) {
-    BackendState state = backends.get(id);
-    if (state == null) {
+    BackendState backend = backends.get(id);
+    if (backend == null) {
       return;
     }
-    state.updateRegistration(state.registration().toBuilder().setLeaving(true).build(), nowMillis);
-    migrationPlanner.migrateFrom(state, nowMillis);
-    backends.removeIfDrained(state);
+    backend.updateRegistration(
+        backend.registration().toBuilder().setLeaving(true).build(), nowMillis);
+    migrationPlanner.migrateFrom(backend, nowMillis);
+    backends.removeIfDrained(backend);
   }
 
   private void migrateFrom(String id, long nowMillis) {
-    BackendState state = backends.get(id);
-    if (state != null) {
-      migrationPlanner.migrateFrom(state, nowMillis);
+    BackendState backend = backends.get(id);
+    if (backend != null) {
+      migrationPlanner.migrateFrom(backend, nowMillis);
     }
   }
 
-  // ---- calls ------------------------------------------------------------------------------------
-
-  /** Takes in a call that is to be placed. */
-  public void submit(RequestId key, PlacementRequest ask, long nowMillis) {
-    requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis);
-    ServiceRetryBudget window =
-        retryBudgets.computeIfAbsent(ask.getService(), name -> new ServiceRetryBudget(retryLimits));
-    if (!ask.getRepeat()) {
-      window.recordRequest(nowMillis);
-    } else if (!window.tryRetry(nowMillis)) {
-      reject(key, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.RETRIES_USED_UP);
+  // ---- requests ---------------------------------------------------------------------------------
+
+  /** Places, queues or rejects a request; replaces an earlier one with the same id. */
+  public void submit(RequestId requestId, PlacementRequest request, long nowMillis) {
+    requestEnded(requestId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis);
+    ServiceRetryBudget retryBudget =
+        retryBudgets.computeIfAbsent(
+            request.getService(), service -> new ServiceRetryBudget(retryLimits));
+    if (!request.getRepeat()) {
+      retryBudget.recordRequest(nowMillis);
+    } else if (!retryBudget.tryRetry(nowMillis)) {
+      reject(requestId, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.RETRIES_USED_UP);
       return;
     }
-    SortedSet<QueuedRequest> serviceQueue = queue.requestsOf(ask.getService());
-    boolean overtakes =
-        serviceQueue.isEmpty() || ask.getPriority() < serviceQueue.first().request().getPriority();
-    PlacementResult placing =
-        overtakes
-            ? place(key, ask, ask.getTargetLeftMillis(), nowMillis)
+    SortedSet<QueuedRequest> serviceQueue = queue.requestsOf(request.getService());
+    boolean ranksFirst =
+        serviceQueue.isEmpty()
+            || request.getPriority() < serviceQueue.first().request().getPriority();
+    PlacementResult result =
+        ranksFirst
+            ? place(requestId, request, request.getTargetLeftMillis(), nowMillis)
             : PlacementResult.NO_CAPACITY;
-    if (placing != PlacementResult.PLACED) {
-      queueOrReject(key, ask, placing, nowMillis);
+    if (result != PlacementResult.PLACED) {
+      queueOrReject(requestId, request, result, nowMillis);
     }
   }
 
   private void queueOrReject(
-      RequestId key, PlacementRequest ask, PlacementResult placing, long nowMillis) {
-    long targetLeft = Math.min(ask.getTargetLeftMillis(), ask.getDeadlineLeftMillis());
-    boolean served = hasCandidates(ask, nowMillis);
-    if (!served && ask.getExcludedCount() > 0) {
-      reject(key, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.ALL_TRIED);
+      RequestId requestId, PlacementRequest request, PlacementResult result, long nowMillis) {
+    long targetLeftMillis =
+        Math.min(request.getTargetLeftMillis(), request.getDeadlineLeftMillis());
+    boolean hasBackend = hasCandidates(request, nowMillis);
+    if (!hasBackend && request.getExcludedCount() > 0) {
+      reject(requestId, QueueTimeForecast.MIN_RETRY_AFTER_MILLIS, RejectionReason.ALL_TRIED);
       return;
     }
-    double expected =
-        served
-            ? expectedQueueMillis(ask, placing)
+    double expectedMillis =
+        hasBackend
+            ? expectedQueueMillis(request, result)
             : QueueTimeForecast.UNKNOWN_SERVICE_TIMEOUT_MILLIS;
-    long readMillis = forecast.idleFirstReplyMillis(ask);
-    boolean inTime = served ? expected + readMillis <= targetLeft : targetLeft > expected;
+    long firstReplyMillis = forecast.idleFirstReplyMillis(request);
+    boolean inTime =
+        hasBackend
+            ? expectedMillis + firstReplyMillis <= targetLeftMillis
+            : targetLeftMillis > expectedMillis;
     if (!inTime || queue.isFull()) {
-      if (!served || !placeLate(key, ask, nowMillis)) {
-        rejectForCapacity(key, served, expected);
+      if (!hasBackend || !placeLate(requestId, request, nowMillis)) {
+        rejectForCapacity(requestId, hasBackend, expectedMillis);
       }
       return;
     }
-    long mostWait =
-        ask.getEngine() ? targetLeft - readMillis : targetLeft + MAX_PLAIN_LATENESS_MILLIS;
-    long wait = served ? mostWait : QueueTimeForecast.UNKNOWN_SERVICE_TIMEOUT_MILLIS;
-    long giveUpAt = nowMillis + Math.min(wait, ask.getDeadlineLeftMillis());
-    long dueAt = nowMillis + ask.getTargetLeftMillis();
-    queue.add(new QueuedRequest(key, ask, queue.takeSequenceNumber(), dueAt, giveUpAt));
+    long maxQueueMillis =
+        request.getEngine()
+            ? targetLeftMillis - firstReplyMillis
+            : targetLeftMillis + MAX_PLAIN_LATENESS_MILLIS;
+    long queueMillis =
+        hasBackend ? maxQueueMillis : QueueTimeForecast.UNKNOWN_SERVICE_TIMEOUT_MILLIS;
+    long expiresAtMillis = nowMillis + Math.min(queueMillis, request.getDeadlineLeftMillis());
+    long dueAtMillis = nowMillis + request.getTargetLeftMillis();
+    queue.add(
+        new QueuedRequest(
+            requestId, request, queue.takeSequenceNumber(), dueAtMillis, expiresAtMillis));
   }
 
-  private double expectedQueueMillis(PlacementRequest ask, PlacementResult placing) {
-    // Where there is room but much to read first, reading makes way for the call all the time.
-    return placing == PlacementResult.LATE
+  private double expectedQueueMillis(PlacementRequest request, PlacementResult result) {
+    // A backend server has capacity but must process too many prompt tokens first. Processing them
+    // brings the start of this request nearer all the time, so nothing needs to be freed for it.
+    return result == PlacementResult.LATE
         ? 0
-        : forecast.expectedQueueMillis(ask, queue.requestsOf(ask.getService()));
+        : forecast.expectedQueueMillis(request, queue.requestsOf(request.getService()));
   }
 
-  /** Notes how far a call's output has come. */
-  public void outputProgressed(RequestId key, int outputTokens, long nowMillis) {
-    BackendState backend = backends.backendOf(key);
-    RunningRequest call = backend == null ? null : backend.requests.get(key);
-    if (backend == null || call == null) {
+  /** Records how many tokens a request has output so far. */
+  public void outputProgressed(RequestId requestId, int outputTokens, long nowMillis) {
+    BackendState backend = backends.backendOf(requestId);
+    RunningRequest running = backend == null ? null : backend.requests.get(requestId);
+    if (backend == null || running == null) {
       return;
     }
-    boolean first = call.outputTokens() == 0 && outputTokens > 0;
-    call.outputProgressed(outputTokens);
-    if (first) {
+    boolean isFirstOutput = running.outputTokens() == 0 && outputTokens > 0;
+    running.outputProgressed(outputTokens);
+    if (isFirstOutput) {
       backends.recordFirstReply(backend);
-      forecast.recordFirstReply(call, nowMillis);
+      forecast.recordFirstReply(running, nowMillis);
       migrationPlanner.migrateFrom(backend, nowMillis);
       serveQueue(backend.service(), nowMillis);
     }
   }
 
-  /** Notes that a call no longer runs where it was placed, or no longer waits. */
+  /** Handles that a request no longer runs on its backend server or is no longer queued. */
   public void requestEnded(
-      RequestId key, DispatchOutcome outcome, int outputTokens, long nowMillis) {
-    if (queue.remove(key) != null) {
+      RequestId requestId, DispatchOutcome outcome, int outputTokens, long nowMillis) {
+    if (queue.remove(requestId) != null) {
       return;
     }
-    BackendState backend = backends.backendOf(key);
+    BackendState backend = backends.backendOf(requestId);
     if (backend == null) {
       return;
     }
     switch (outcome) {
-      case DISPATCH_OUTCOME_MOVED -> migrationPlanner.leftSource(key, backend);
-      case DISPATCH_OUTCOME_MOVE_FAILED -> migrationPlanner.migrationFailed(key, backend);
-      default -> finishRunning(key, backend, outcome, outputTokens, nowMillis);
+      case DISPATCH_OUTCOME_MOVED -> migrationPlanner.leftSource(requestId, backend);
+      case DISPATCH_OUTCOME_MOVE_FAILED -> migrationPlanner.migrationFailed(requestId, backend);
+      default -> finishRunning(requestId, backend, outcome, outputTokens, nowMillis);
     }
     migrationPlanner.migrateFrom(backend, nowMillis);
     serveQueue(backend.service(), nowMillis);
   }
 
   private void finishRunning(
-      RequestId key, BackendState backend, DispatchOutcome outcome, int tokens, long nowMillis) {
-    backends.removePlacement(key);
-    RunningRequest call = backend.requests.remove(key);
-    if (call == null) {
+      RequestId requestId,
+      BackendState backend,
+      DispatchOutcome outcome,
+      int outputTokens,
+      long nowMillis) {
+    backends.removePlacement(requestId);
+    RunningRequest running = backend.requests.remove(requestId);
+    if (running == null) {
       return;
     }
-    migrationPlanner.releaseBackup(call);
-    if (call.migratingAway) {
-      migrationPlanner.migrationFailed(key, backend);
+    migrationPlanner.releaseBackup(running);
+    if (running.migratingAway) {
+      migrationPlanner.migrationFailed(requestId, backend);
     }
     switch (outcome) {
       case DISPATCH_OUTCOME_ANSWERED -> {
         backends.recordSuccess(backend);
-        forecast.recordCompletion(call, tokens, nowMillis);
+        forecast.recordCompletion(running, outputTokens, nowMillis);
       }
       case DISPATCH_OUTCOME_FAILED, DISPATCH_OUTCOME_UNREACHABLE ->
           backends.recordFailure(backend, nowMillis);
@@ -250,35 +269,41 @@
     backends.removeIfDrained(backend);
   }
 
-  /** Takes in a call that another scheduler placed. */
+  /** Restores a running request that another scheduler placed. */
   public void restoreRunning(
-      RequestId key, PlacementRequest ask, String backendId, int outputTokens, long nowMillis) {
+      RequestId requestId,
+      PlacementRequest request,
+      String backendId,
+      int outputTokens,
+      long nowMillis) {
     BackendState backend = backends.get(backendId);
     if (backend == null) {
       return;
     }
-    RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
-    call.outputProgressed(outputTokens);
-    backends.addPlacement(call, backend);
+    RunningRequest running =
+        new RunningRequest(requestId, request, forecast.outputTokens(request), nowMillis);
+    running.outputProgressed(outputTokens);
+    backends.addPlacement(running, backend);
     migrationPlanner.migrateFrom(backend, nowMillis);
   }
 
-  /** Notes that a gateway is gone with all its calls. */
+  /** Cancels all requests of a gateway that was removed. */
   public void removeGateway(String gateway, long nowMillis) {
-    List<RequestId> keys = new ArrayList<>(queue.ids());
-    keys.addAll(backends.runningRequestIds());
-    keys.removeIf(key -> !key.gateway().equals(gateway));
-    keys.forEach(
-        key -> requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis));
+    List<RequestId> requestIds = new ArrayList<>(queue.ids());
+    requestIds.addAll(backends.runningRequestIds());
+    requestIds.removeIf(requestId -> !requestId.gateway().equals(gateway));
+    requestIds.forEach(
+        requestId ->
+            requestEnded(requestId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis));
   }
 
-  /** Turns away calls whose time to wait is up, and tries the others again. */
+  /** Places or rejects requests that expired in the queue, and retries the other queued ones. */
   public void tick(long nowMillis) {
-    for (QueuedRequest call : queue.expired(nowMillis)) {
-      queue.remove(call.id());
-      if (!placeLate(call.id(), call.request(), nowMillis)) {
-        double expected = expectedQueueMillis(call.request(), PlacementResult.NO_CAPACITY);
-        rejectForCapacity(call.id(), hasCandidates(call.request(), nowMillis), expected);
+    for (QueuedRequest queued : queue.expired(nowMillis)) {
+      queue.remove(queued.id());
+      if (!placeLate(queued.id(), queued.request(), nowMillis)) {
+        double expectedMillis = expectedQueueMillis(queued.request(), PlacementResult.NO_CAPACITY);
+        rejectForCapacity(queued.id(), hasCandidates(queued.request(), nowMillis), expectedMillis);
       }
     }
     queue.services().forEach(service -> serveQueue(service, nowMillis));
@@ -287,146 +312,155 @@
     }
   }
 
-  // ---- placing ----------------------------------------------------------------------------------
+  // ---- placement --------------------------------------------------------------------------------
 
   private void serveQueue(String service, long nowMillis) {
     NavigableSet<QueuedRequest> serviceQueue = queue.requestsOf(service);
-    QueuedRequest call = serviceQueue.isEmpty() ? null : serviceQueue.first();
-    while (call != null) {
-      PlacementResult placing =
-          place(call.id(), call.request(), call.dueAtMillis() - nowMillis, nowMillis);
-      if (placing == PlacementResult.PLACED) {
-        queue.remove(call.id());
-      } else if (placing == PlacementResult.NO_CAPACITY) {
-        // Those behind it would take the room that a large call waits for.
+    QueuedRequest queued = serviceQueue.isEmpty() ? null : serviceQueue.first();
+    while (queued != null) {
+      PlacementResult result =
+          place(queued.id(), queued.request(), queued.dueAtMillis() - nowMillis, nowMillis);
+      if (result == PlacementResult.PLACED) {
+        queue.remove(queued.id());
+      } else if (result == PlacementResult.NO_CAPACITY) {
+        // Requests behind it would take the capacity that a large request waits for.
         return;
       }
-      call = serviceQueue.higher(call);
+      queued = serviceQueue.higher(queued);
     }
   }
 
-  /** What came of the attempt to place a call. */
+  /** Outcome of trying to place a request. */
   private enum PlacementResult {
     PLACED,
-    /** No backend server has room. */
+    /** No backend server has capacity. */
     NO_CAPACITY,
-    /** There is room, but so much to read first that the call would be late. */
+    /** There is capacity, but so many prompt tokens to process first that it would be late. */
     LATE
   }
 
-  /** Places a call where it can be in time. */
+  /** Places a request on a backend server where it can meet its due time. */
   private PlacementResult place(
-      RequestId key, PlacementRequest ask, long targetLeftMillis, long nowMillis) {
-    double share = CapacityRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
-    RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
-    List<BackendState> withRoom = withCapacity(call, share, nowMillis).toList();
-    BackendState best =
+      RequestId requestId, PlacementRequest request, long targetLeftMillis, long nowMillis) {
+    double memoryShare =
+        CapacityRules.memoryShare(request, mostUrgentPriority(request.getService()));
+    RunningRequest running =
+        new RunningRequest(requestId, request, forecast.outputTokens(request), nowMillis);
+    List<BackendState> candidates = withCapacity(running, memoryShare, nowMillis).toList();
+    BackendState chosen =
         cheapest(
-            withRoom.stream().filter(backend -> isInTime(backend, ask, targetLeftMillis)),
-            ask,
+            candidates.stream().filter(backend -> isInTime(backend, request, targetLeftMillis)),
+            request,
             nowMillis);
-    if (best != null) {
-      commitPlacement(call, best, nowMillis);
+    if (chosen != null) {
+      commitPlacement(running, chosen, nowMillis);
       return PlacementResult.PLACED;
     }
-    return withRoom.isEmpty() ? PlacementResult.NO_CAPACITY : PlacementResult.LATE;
+    return candidates.isEmpty() ? PlacementResult.NO_CAPACITY : PlacementResult.LATE;
   }
 
-  private boolean isInTime(BackendState backend, PlacementRequest ask, long targetLeftMillis) {
-    int tokensAhead = backend.pendingPromptTokens() + ask.getPromptTokens();
-    return !ask.getEngine() || forecast.firstReplyMillis(ask, tokensAhead) <= targetLeftMillis;
+  private boolean isInTime(BackendState backend, PlacementRequest request, long targetLeftMillis) {
+    int promptTokens = backend.pendingPromptTokens() + request.getPromptTokens();
+    return !request.getEngine()
+        || forecast.firstReplyMillis(request, promptTokens) <= targetLeftMillis;
   }
 
-  /** Places a call that cannot be in time any more, where that takes no room from others. */
-  private boolean placeLate(RequestId key, PlacementRequest ask, long nowMillis) {
-    RunningRequest call = new RunningRequest(key, ask, forecast.outputTokens(ask), nowMillis);
-    boolean othersWait = !queue.requestsOf(ask.getService()).isEmpty();
-    double share =
-        othersWait
+  /** Places a request that cannot meet its due time, if that takes no capacity from others. */
+  private boolean placeLate(RequestId requestId, PlacementRequest request, long nowMillis) {
+    RunningRequest running =
+        new RunningRequest(requestId, request, forecast.outputTokens(request), nowMillis);
+    boolean othersQueued = !queue.requestsOf(request.getService()).isEmpty();
+    double memoryShare =
+        othersQueued
             ? CapacityRules.LATE_MEMORY_SHARE
-            : CapacityRules.memoryShare(ask, mostUrgentPriority(ask.getService()));
-    Stream<BackendState> withRoom = withCapacity(call, share, nowMillis);
-    BackendState best = cheapest(withRoom, ask, nowMillis);
-    if (best != null) {
-      commitPlacement(call, best, nowMillis);
+            : CapacityRules.memoryShare(request, mostUrgentPriority(request.getService()));
+    Stream<BackendState> candidates = withCapacity(running, memoryShare, nowMillis);
+    BackendState chosen = cheapest(candidates, request, nowMillis);
+    if (chosen != null) {
+      commitPlacement(running, chosen, nowMillis);
     }
-    return best != null;
+    return chosen != null;
   }
 
-  private Stream<BackendState> withCapacity(RunningRequest call, double share, long nowMillis) {
-    EngineCapabilities engine = backends.engineOf(call.request.getService());
-    double tokens = call.memoryTokens();
+  private Stream<BackendState> withCapacity(
+      RunningRequest running, double memoryShare, long nowMillis) {
+    EngineCapabilities engine = backends.engineOf(running.request.getService());
+    double requestTokens = running.memoryTokens();
     return backends
-        .usableFor(call.request, nowMillis)
-        .filter(backend -> capacityRules.hasCapacity(backend, engine, tokens, share, nowMillis));
+        .usableFor(running.request, nowMillis)
+        .filter(
+            backend ->
+                capacityRules.hasCapacity(backend, engine, requestTokens, memoryShare, nowMillis));
   }
 
   private @Nullable BackendState cheapest(
-      Stream<BackendState> among, PlacementRequest ask, long nowMillis) {
-    EngineCapabilities engine = backends.engineOf(ask.getService());
-    return Backends.cheapest(among, backend -> cost(backend, engine, ask, nowMillis));
+      Stream<BackendState> candidates, PlacementRequest request, long nowMillis) {
+    EngineCapabilities engine = backends.engineOf(request.getService());
+    return Backends.cheapest(candidates, backend -> cost(backend, engine, request, nowMillis));
   }
 
-  private void commitPlacement(RunningRequest call, BackendState best, long nowMillis) {
-    call.promptTokensToFirstReply = best.pendingPromptTokens() + call.request.getPromptTokens();
-    backends.addPlacement(call, best);
-    best.promptPartCache.recordRead(call.request.getPartsList());
-    migrationPlanner.assignBackup(best, call, nowMillis);
-    int urgency = Math.min(MAX_URGENCY, call.request.getPriority());
-    decisions.add(new DispatchDecision.Place(call.id, best.id(), urgency, call.backup));
+  private void commitPlacement(RunningRequest running, BackendState chosen, long nowMillis) {
+    running.promptTokensToFirstReply =
+        chosen.pendingPromptTokens() + running.request.getPromptTokens();
+    backends.addPlacement(running, chosen);
+    chosen.promptPartCache.recordRead(running.request.getPartsList());
+    migrationPlanner.assignBackup(chosen, running, nowMillis);
+    int urgency = Math.min(MAX_URGENCY, running.request.getPriority());
+    decisions.add(new DispatchDecision.Place(running.id, chosen.id(), urgency, running.backup));
   }
 
-  private boolean hasCandidates(PlacementRequest ask, long nowMillis) {
-    return backends.usableFor(ask, nowMillis).findAny().isPresent();
+  private boolean hasCandidates(PlacementRequest request, long nowMillis) {
+    return backends.usableFor(request, nowMillis).findAny().isPresent();
   }
 
   private int mostUrgentPriority(String service) {
-    int most = Integer.MAX_VALUE;
+    int mostUrgent = Integer.MAX_VALUE;
     for (BackendState backend : backends.all()) {
       if (backend.serves(service)) {
-        for (RunningRequest call : backend.requests.values()) {
-          most = Math.min(most, call.request.getPriority());
+        for (RunningRequest running : backend.requests.values()) {
+          mostUrgent = Math.min(mostUrgent, running.request.getPriority());
         }
       }
     }
-    return most;
+    return mostUrgent;
   }
 
   private double cost(
       BackendState backend,
       @Nullable EngineCapabilities engine,
-      PlacementRequest ask,
+      PlacementRequest request,
       long nowMillis) {
-    double far = ask.getDataCentre().equals(backend.registration().getDataCentre()) ? 0 : 1;
-    double cold = backend.isWarmingUp(nowMillis) ? WARM_UP_WEIGHT_TOKENS : 0;
+    double otherDataCentre =
+        request.getDataCentre().equals(backend.registration().getDataCentre()) ? 0 : 1;
+    double warmUpCost = backend.isWarmingUp(nowMillis) ? WARM_UP_WEIGHT_TOKENS : 0;
     if (engine == null) {
       double load = (double) backend.requests.size() / backend.slots();
       return load * MEMORY_WEIGHT_TOKENS
-          + far * OTHER_DATA_CENTRE_WEIGHT_TOKENS
-          + cold
+          + otherDataCentre * OTHER_DATA_CENTRE_WEIGHT_TOKENS
+          + warmUpCost
           + random.nextDouble();
     }
-    double memory = backend.memoryTokens() / Math.max(1, engine.memoryTokens());
-    double chance =
+    double memoryUsed = backend.memoryTokens() / Math.max(1, engine.memoryTokens());
+    double jitter =
         capacityRules.capacityShares() > 1 ? LOCAL_JITTER_TOKENS * random.nextDouble() : 0;
     return backend.pendingPromptTokens()
-        + chance
-        + memory * MEMORY_WEIGHT_TOKENS
-        + far * OTHER_DATA_CENTRE_WEIGHT_TOKENS
-        + cold
-        - backend.promptPartCache.cachedPrefixTokens(ask.getPartsList());
+        + jitter
+        + memoryUsed * MEMORY_WEIGHT_TOKENS
+        + otherDataCentre * OTHER_DATA_CENTRE_WEIGHT_TOKENS
+        + warmUpCost
+        - backend.promptPartCache.cachedPrefixTokens(request.getPartsList());
   }
 
-  // ---- turning away -----------------------------------------------------------------------------
+  // ---- rejection --------------------------------------------------------------------------------
 
-  private void rejectForCapacity(RequestId key, boolean served, double expectedMillis) {
+  private void rejectForCapacity(RequestId requestId, boolean hasBackend, double expectedMillis) {
     reject(
-        key,
+        requestId,
         forecast.retryAfterMillis(expectedMillis),
-        served ? RejectionReason.NO_ROOM_IN_TIME : RejectionReason.NO_BACKEND);
+        hasBackend ? RejectionReason.NO_ROOM_IN_TIME : RejectionReason.NO_BACKEND);
   }
 
-  private void reject(RequestId key, long retryAfterMillis, RejectionReason reason) {
-    decisions.add(new DispatchDecision.Reject(key, retryAfterMillis, reason));
+  private void reject(RequestId requestId, long retryAfterMillis, RejectionReason reason) {
+    decisions.add(new DispatchDecision.Reject(requestId, retryAfterMillis, reason));
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchDecision.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchDecision.java
@@ -1,31 +1,31 @@
 package org.curranthaven.internal.dispatch;
 
-/** What the scheduler decided for a call. */
+/** Decision on a request, made by the scheduler or by a gateway in local fallback. */
 public sealed interface DispatchDecision {
-  /** Returns the call. */
+  /** Returns the id of the request that the decision is about. */
   RequestId requestId();
 
   /**
-   * The call runs on a backend server.
+   * Runs the request on a backend server.
    *
-   * @param urgency rank at the backend server; 0 comes first
-   * @param backup backend server that keeps a copy of the running call; empty for none
+   * @param urgency rank in the backend server's own queue; 0 is served first
+   * @param backup engine that keeps the backup copy of the running request; empty for none
    */
   record Place(RequestId requestId, String backend, int urgency, String backup)
       implements DispatchDecision {}
 
   /**
-   * The call is turned away; it did not run.
+   * Rejects the request; it did not run.
    *
-   * @param retryAfterMillis when room is expected
+   * @param retryAfterMillis time after which capacity is expected
    */
   record Reject(RequestId requestId, long retryAfterMillis, RejectionReason reason)
       implements DispatchDecision {}
 
   /**
-   * The running call goes on at another backend server.
+   * Migrates the running request to another engine.
    *
-   * @param backup backend server that keeps a copy of it from then on; empty for none
+   * @param backup engine that keeps its backup copy after the migration; empty for none
    */
   record Migrate(RequestId requestId, String target, String backup) implements DispatchDecision {}
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchQueue.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchQueue.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import org.jspecify.annotations.Nullable;
 
-/** The calls that wait for room, by service and rank. Not thread-safe. */
+/** Requests that wait for capacity, by service and rank. Not thread-safe. */
 final class DispatchQueue {
   private static final int MAX_QUEUED = 20_000;
 
@@ -20,8 +20,8 @@
     return byId.size();
   }
 
-  boolean contains(RequestId key) {
-    return byId.containsKey(key);
+  boolean contains(RequestId requestId) {
+    return byId.containsKey(requestId);
   }
 
   boolean isFull() {
@@ -32,9 +32,9 @@
     return nextSequenceNumber++;
   }
 
-  /** Returns the service's calls, the first to be served first. */
+  /** Returns the queued requests of the service in the order in which they are to be served. */
   NavigableSet<QueuedRequest> requestsOf(String service) {
-    return byService.computeIfAbsent(service, name -> new TreeSet<>(QueuedRequest.BY_RANK));
+    return byService.computeIfAbsent(service, key -> new TreeSet<>(QueuedRequest.BY_RANK));
   }
 
   List<String> services() {
@@ -45,28 +45,28 @@
     return List.copyOf(byId.keySet());
   }
 
-  void add(QueuedRequest call) {
-    requestsOf(call.request().getService()).add(call);
-    byId.put(call.id(), call);
+  void add(QueuedRequest queued) {
+    requestsOf(queued.request().getService()).add(queued);
+    byId.put(queued.id(), queued);
   }
 
-  /** Removes a call; returns it, or null if it does not wait. */
-  @Nullable QueuedRequest remove(RequestId key) {
-    QueuedRequest call = byId.remove(key);
-    if (call != null) {
-      requestsOf(call.request().getService()).remove(call);
+  /** Removes and returns a request; returns null if it is not queued. */
+  @Nullable QueuedRequest remove(RequestId requestId) {
+    QueuedRequest queued = byId.remove(requestId);
+    if (queued != null) {
+      requestsOf(queued.request().getService()).remove(queued);
     }
-    return call;
+    return queued;
   }
 
-  /** Returns the calls whose time to wait is up. */
+  /** Returns the requests whose time in the queue has expired. */
   List<QueuedRequest> expired(long nowMillis) {
-    List<QueuedRequest> due = new ArrayList<>();
-    for (QueuedRequest call : byId.values()) {
-      if (nowMillis >= call.expiresAtMillis()) {
-        due.add(call);
+    List<QueuedRequest> expired = new ArrayList<>();
+    for (QueuedRequest queued : byId.values()) {
+      if (nowMillis >= queued.expiresAtMillis()) {
+        expired.add(queued);
       }
     }
-    return due;
+    return expired;
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
@@ -5,27 +5,28 @@
 import java.util.Map;
 
 /**
- * Takes backend servers out of use that fail a part of their calls while their peers do not: a
- * bounded share of them at once, for a time that doubles each time. Not thread-safe.
+ * Ejects backend servers that fail part of their requests while their peers do not. At most a
+ * bounded share is ejected at the same time, each for a time that doubles with every ejection. Not
+ * thread-safe.
  */
 final class FailureRateEjector {
-  /** Failures among recent calls above which a backend server is an outlier. */
+  /** Failure rate of recent requests above which a backend server is an outlier. */
   private static final double OUTLIER_FAILURE_RATE = 0.25;
 
-  /** Factor by which an outlier fails more often than its peers. */
+  /** Factor by which an outlier's failure rate must exceed the average of its peers. */
   private static final double PEER_FACTOR = 2.5;
 
-  /** Weight of the latest call in the rate. */
+  /** Weight of the latest request in the moving average of the failure rate. */
   private static final double LATEST_REQUEST_WEIGHT = 0.12;
 
-  /** Calls before the rate counts. */
+  /** Requests needed before a backend server may be ejected. */
   private static final int MIN_REQUESTS = 6;
 
   private static final double MAX_EJECTED_SHARE = 0.34;
   private static final long FIRST_EJECTION_MILLIS = 2_500;
   private static final int MAX_DOUBLINGS = 4;
 
-  /** Rate with which a backend server comes back: a few more failures take it out again. */
+  /** Failure rate assigned on ejection; after the return, a few more failures eject it again. */
   private static final double POST_EJECTION_FAILURE_RATE = 0.15;
 
   private final Map<String, RequestStats> statsByBackend = new HashMap<>();
@@ -42,43 +43,44 @@
   }
 
   void failed(String backend, Collection<String> peers, long nowMillis) {
-    RequestStats tally = recordOutcome(backend, 1);
-    if (tally.requests < MIN_REQUESTS || nowMillis < tally.ejectedUntilMillis) {
+    RequestStats stats = recordOutcome(backend, 1);
+    if (stats.requests < MIN_REQUESTS || nowMillis < stats.ejectedUntilMillis) {
       return;
     }
-    double peerRate =
+    double peerFailureRate =
         peers.stream()
             .filter(peer -> !peer.equals(backend))
             .mapToDouble(this::failureRate)
             .average()
             .orElse(1);
-    long out = peers.stream().filter(peer -> isEjected(peer, nowMillis)).count();
-    boolean mayGo = out + 1 <= Math.max(1, MAX_EJECTED_SHARE * peers.size()) && peers.size() > 1;
-    if (mayGo
-        && tally.failureRate > OUTLIER_FAILURE_RATE
-        && tally.failureRate > PEER_FACTOR * peerRate) {
-      tally.ejectedUntilMillis =
-          nowMillis + (FIRST_EJECTION_MILLIS << Math.min(tally.ejections, MAX_DOUBLINGS));
-      tally.ejections++;
-      tally.failureRate = POST_EJECTION_FAILURE_RATE;
+    long ejectedPeers = peers.stream().filter(peer -> isEjected(peer, nowMillis)).count();
+    boolean mayEject =
+        ejectedPeers + 1 <= Math.max(1, MAX_EJECTED_SHARE * peers.size()) && peers.size() > 1;
+    if (mayEject
+        && stats.failureRate > OUTLIER_FAILURE_RATE
+        && stats.failureRate > PEER_FACTOR * peerFailureRate) {
+      stats.ejectedUntilMillis =
+          nowMillis + (FIRST_EJECTION_MILLIS << Math.min(stats.ejections, MAX_DOUBLINGS));
+      stats.ejections++;
+      stats.failureRate = POST_EJECTION_FAILURE_RATE;
     }
   }
 
-  private RequestStats recordOutcome(String backend, double failure) {
-    RequestStats tally = statsByBackend.computeIfAbsent(backend, id -> new RequestStats());
-    tally.requests++;
-    tally.failureRate += LATEST_REQUEST_WEIGHT * (failure - tally.failureRate);
-    return tally;
+  private RequestStats recordOutcome(String backend, double failureValue) {
+    RequestStats stats = statsByBackend.computeIfAbsent(backend, id -> new RequestStats());
+    stats.requests++;
+    stats.failureRate += LATEST_REQUEST_WEIGHT * (failureValue - stats.failureRate);
+    return stats;
   }
 
   private double failureRate(String backend) {
-    RequestStats tally = statsByBackend.get(backend);
-    return tally == null ? 0 : tally.failureRate;
+    RequestStats stats = statsByBackend.get(backend);
+    return stats == null ? 0 : stats.failureRate;
   }
 
   boolean isEjected(String backend, long nowMillis) {
-    RequestStats tally = statsByBackend.get(backend);
-    return tally != null && nowMillis < tally.ejectedUntilMillis;
+    RequestStats stats = statsByBackend.get(backend);
+    return stats != null && nowMillis < stats.ejectedUntilMillis;
   }
 
   void remove(String backend) {
--- a/src/main/java/org/curranthaven/internal/dispatch/MigrationPlanner.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/MigrationPlanner.java
@@ -7,17 +7,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Moves running calls off engines that leave, and has copies of irreplaceable ones kept. Answers
- * the load under which engines are taken away while their calls run. Not thread-safe.
+ * Migrates running requests away from leaving engines and assigns backup copies to irreplaceable
+ * requests, so that they survive engines being removed under load. Not thread-safe.
  */
 final class MigrationPlanner {
-  /** Output still to come below which a call on a leaving backend server is not moved, in ms. */
+  /** Forecast time to the end below which a request on a leaving engine is not migrated. */
   private static final double MIN_REMAINING_MILLIS = 1_000;
 
-  /** Cost of a move to another data centre, which takes twice as long, in shares of a memory. */
+  /** Cost of migrating to another data centre, which takes twice as long; 1 is a full memory. */
   private static final double OTHER_DATA_CENTRE_COST = 0.35;
 
-  /** Cost of a move to an engine whose link another move fills, in shares of a memory. */
+  /** Cost of each migration that already uses the target's network link; 1 is a full memory. */
   private static final double BUSY_LINK_COST = 0.7;
 
   private static final int MAX_MIGRATION_ATTEMPTS = 3;
@@ -26,22 +26,24 @@
   private final CapacityRules capacityRules;
   private final Consumer<DispatchDecision> decisions;
 
-  MigrationPlanner(Backends backends, CapacityRules rooms, Consumer<DispatchDecision> decisions) {
+  MigrationPlanner(
+      Backends backends, CapacityRules capacityRules, Consumer<DispatchDecision> decisions) {
     this.backends = backends;
-    this.capacityRules = rooms;
+    this.capacityRules = capacityRules;
     this.decisions = decisions;
   }
 
   /**
-   * Moves calls away from a leaving engine, one after the other: copies share its link, and one
-   * that is whole saves a call, while several that are half made save none. The smallest go first.
+   * Migrates requests away from a leaving engine, one at a time and the smallest first. State
+   * transfers share the engine's network link, and one complete transfer preserves a request while
+   * several partial ones preserve none.
    */
   void migrateFrom(BackendState source, long nowMillis) {
     EngineCapabilities engine = backends.engineOf(source.service());
     if (!source.isLeaving() || engine == null || !engine.supportsMigration()) {
       return;
     }
-    if (source.requests.values().stream().anyMatch(call -> call.migratingAway)) {
+    if (source.requests.values().stream().anyMatch(running -> running.migratingAway)) {
       return;
     }
     List<RunningRequest> smallestFirst =
@@ -49,142 +51,149 @@
             .filter(MigrationPlanner::isWorthMigrating)
             .sorted(Comparator.comparingDouble(RunningRequest::memoryTokens))
             .toList();
-    for (RunningRequest call : smallestFirst) {
-      if (migrate(source, call, engine, nowMillis)) {
+    for (RunningRequest running : smallestFirst) {
+      if (migrate(source, running, engine, nowMillis)) {
         return;
       }
     }
   }
 
-  private static boolean isWorthMigrating(RunningRequest call) {
+  private static boolean isWorthMigrating(RunningRequest running) {
     boolean endsSoon =
-        call.remainingTokens() * QueueTimeForecast.MILLIS_PER_OUTPUT_TOKEN < MIN_REMAINING_MILLIS;
-    return call.outputTokens() > 0 && !endsSoon && call.migrationAttempts < MAX_MIGRATION_ATTEMPTS;
+        running.remainingTokens() * QueueTimeForecast.MILLIS_PER_OUTPUT_TOKEN
+            < MIN_REMAINING_MILLIS;
+    return running.outputTokens() > 0
+        && !endsSoon
+        && running.migrationAttempts < MAX_MIGRATION_ATTEMPTS;
   }
 
-  /**
-   * Orders the move of a call to the engine to which it takes the least; returns whether it did.
-   */
+  /** Decides to migrate a request to the cheapest target; returns whether there was one. */
   private boolean migrate(
-      BackendState source, RunningRequest call, EngineCapabilities engine, long nowMillis) {
+      BackendState source, RunningRequest running, EngineCapabilities engine, long nowMillis) {
     BackendState target =
-        cheapestTarget(source, call, engine, CapacityRules.MOST_URGENT_MEMORY_SHARE, nowMillis);
+        cheapestTarget(source, running, engine, CapacityRules.MOST_URGENT_MEMORY_SHARE, nowMillis);
     if (target == null) {
       return false;
     }
-    call.migratingAway = true;
-    call.migrationAttempts++;
-    // Counted at the target from now on, and at the source until the move has ended.
-    RunningRequest copy =
-        new RunningRequest(call.id, call.request, call.remainingTokens(), nowMillis);
-    copy.outputProgressed(call.outputTokens());
-    copy.migratingIn = true;
-    target.requests.put(call.id, copy);
-    assignBackup(target, copy, nowMillis);
-    decisions.accept(new DispatchDecision.Migrate(call.id, target.id(), copy.backup));
+    running.migratingAway = true;
+    running.migrationAttempts++;
+    // Counted on the target from now on, and on the source until the migration has ended.
+    RunningRequest incoming =
+        new RunningRequest(running.id, running.request, running.remainingTokens(), nowMillis);
+    incoming.outputProgressed(running.outputTokens());
+    incoming.migratingIn = true;
+    target.requests.put(running.id, incoming);
+    assignBackup(target, incoming, nowMillis);
+    decisions.accept(new DispatchDecision.Migrate(running.id, target.id(), incoming.backup));
     return true;
   }
 
-  /** Returns the engine with room to which the call's memory takes the least; null for none. */
+  /** Returns the engine with capacity that has the lowest migration cost; null if there is none. */
   private @Nullable BackendState cheapestTarget(
       BackendState source,
-      RunningRequest call,
+      RunningRequest running,
       EngineCapabilities engine,
       double memoryShare,
       long nowMillis) {
-    double tokens = call.memoryTokens();
+    double requestTokens = running.memoryTokens();
     return Backends.cheapest(
         backends
-            .usableFor(call.request, nowMillis)
-            .filter(other -> other != source)
+            .usableFor(running.request, nowMillis)
+            .filter(candidate -> candidate != source)
             .filter(
-                other -> capacityRules.hasCapacity(other, engine, tokens, memoryShare, nowMillis)),
-        other -> migrationCost(source, other, engine));
+                candidate ->
+                    capacityRules.hasCapacity(
+                        candidate, engine, requestTokens, memoryShare, nowMillis)),
+        candidate -> migrationCost(source, candidate, engine));
   }
 
   private static double migrationCost(
       BackendState source, BackendState target, EngineCapabilities engine) {
-    boolean near =
+    boolean sameDataCentre =
         source.registration().getDataCentre().equals(target.registration().getDataCentre());
-    double memory = target.memoryTokens() / Math.max(1, engine.memoryTokens());
-    long arriving = target.requests.values().stream().filter(call -> call.migratingIn).count();
-    return memory + (near ? 0 : OTHER_DATA_CENTRE_COST) + arriving * BUSY_LINK_COST;
+    double memoryUsed = target.memoryTokens() / Math.max(1, engine.memoryTokens());
+    long incomingMigrations =
+        target.requests.values().stream().filter(running -> running.migratingIn).count();
+    return memoryUsed
+        + (sameDataCentre ? 0 : OTHER_DATA_CENTRE_COST)
+        + incomingMigrations * BUSY_LINK_COST;
   }
 
-  /** Notes that the call left the source: for the target of its move, or for its copy. */
-  void leftSource(RequestId key, BackendState source) {
-    RunningRequest call = source.requests.remove(key);
+  /** Handles that the request continues on its migration target or from its backup copy. */
+  void leftSource(RequestId requestId, BackendState source) {
+    RunningRequest running = source.requests.remove(requestId);
     backends.removeIfDrained(source);
-    BackendState keeper = call == null ? null : backends.get(call.backup);
-    if (call != null) {
-      releaseBackup(call);
+    BackendState backupEngine = running == null ? null : backends.get(running.backup);
+    if (running != null) {
+      releaseBackup(running);
     }
-    if (call != null && !call.migratingAway && keeper != null) {
-      keeper.requests.put(key, call);
+    if (running != null && !running.migratingAway && backupEngine != null) {
+      backupEngine.requests.put(requestId, running);
     }
     for (BackendState target : backends.all()) {
-      RunningRequest arrived = target.requests.get(key);
-      if (arrived != null) {
-        arrived.migratingIn = false;
-        backends.changePlacement(key, target);
+      RunningRequest incoming = target.requests.get(requestId);
+      if (incoming != null) {
+        incoming.migratingIn = false;
+        backends.changePlacement(requestId, target);
         return;
       }
     }
-    backends.removePlacement(key);
+    backends.removePlacement(requestId);
   }
 
-  /** Notes that the call goes on at the source, or has ended there. */
-  void migrationFailed(RequestId key, BackendState source) {
-    RunningRequest call = source.requests.get(key);
-    if (call != null) {
-      call.migratingAway = false;
+  /** Handles a failed migration: the request continues on the source or has ended there. */
+  void migrationFailed(RequestId requestId, BackendState source) {
+    RunningRequest running = source.requests.get(requestId);
+    if (running != null) {
+      running.migratingAway = false;
     }
-    for (BackendState other : backends.all()) {
-      RunningRequest copy = other == source ? null : other.requests.remove(key);
-      if (copy != null) {
-        releaseBackup(copy);
+    for (BackendState candidate : backends.all()) {
+      RunningRequest incoming = candidate == source ? null : candidate.requests.remove(requestId);
+      if (incoming != null) {
+        releaseBackup(incoming);
       }
     }
   }
 
   /**
-   * Has a copy of an irreplaceable call kept where memory is left over: at the engine that keeps it
-   * and at the service's engines together, so that copies do not take what calls need.
+   * Assigns an engine to keep the backup copy of an irreplaceable request. Requires spare memory
+   * both on that engine and over all engines of the service, so that backup copies do not take
+   * memory that requests need.
    */
-  void assignBackup(BackendState runsAt, RunningRequest call, long nowMillis) {
-    EngineCapabilities engine = backends.engineOf(runsAt.service());
-    if (engine == null || !engine.supportsBackups() || !call.request.getIrreplaceable()) {
+  void assignBackup(BackendState primary, RunningRequest running, long nowMillis) {
+    EngineCapabilities engine = backends.engineOf(primary.service());
+    if (engine == null || !engine.supportsBackups() || !running.request.getIrreplaceable()) {
       return;
     }
-    if (memoryUtilization(runsAt.service(), engine) >= CapacityRules.BACKUP_MEMORY_SHARE) {
+    if (memoryUtilization(primary.service(), engine) >= CapacityRules.BACKUP_MEMORY_SHARE) {
       return;
     }
-    BackendState keeper =
-        cheapestTarget(runsAt, call, engine, CapacityRules.BACKUP_MEMORY_SHARE, nowMillis);
-    if (keeper != null) {
-      call.backup = keeper.id();
-      keeper.backupCopies.put(call.id, call);
+    BackendState backupEngine =
+        cheapestTarget(primary, running, engine, CapacityRules.BACKUP_MEMORY_SHARE, nowMillis);
+    if (backupEngine != null) {
+      running.backup = backupEngine.id();
+      backupEngine.backupCopies.put(running.id, running);
     }
   }
 
-  /** Returns the share of the memory of all the service's engines that is in use. */
+  /** Returns the share of memory in use over all engines of the service that are not leaving. */
   private double memoryUtilization(String service, EngineCapabilities engine) {
-    double used = 0;
-    double all = 0;
+    double usedTokens = 0;
+    double totalTokens = 0;
     for (BackendState backend : backends.all()) {
       if (backend.serves(service) && !backend.isLeaving()) {
-        used += backend.memoryTokens();
-        all += engine.memoryTokens();
+        usedTokens += backend.memoryTokens();
+        totalTokens += engine.memoryTokens();
       }
     }
-    return all == 0 ? 1 : used / all;
+    return totalTokens == 0 ? 1 : usedTokens / totalTokens;
   }
 
-  void releaseBackup(RunningRequest call) {
-    BackendState keeper = backends.get(call.backup);
-    call.backup = "";
-    if (keeper != null) {
-      keeper.backupCopies.remove(call.id, call);
+  void releaseBackup(RunningRequest running) {
+    BackendState backupEngine = backends.get(running.backup);
+    running.backup = "";
+    if (backupEngine != null) {
+      backupEngine.backupCopies.remove(running.id, running);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
@@ -2,7 +2,10 @@
 
 import org.curranthaven.internal.transport.wire.PlacementRequest;
 
-/** Forecasts the output of a route's calls from their hints and from earlier outputs. */
+/**
+ * Forecasts the output length of a route's requests from their hints and from earlier outputs. Not
+ * thread-safe.
+ */
 final class OutputLengthForecast {
   private static final double LATEST_OUTPUT_WEIGHT = 0.05;
   private static final double INITIAL_SHARE_OF_LIMIT = 0.4;
@@ -14,16 +17,16 @@
         meanTokens < 0 ? tokens : meanTokens + LATEST_OUTPUT_WEIGHT * (tokens - meanTokens);
   }
 
-  int forecast(PlacementRequest ask) {
-    int most = ask.getMaxOutputTokens();
+  int forecast(PlacementRequest request) {
+    int limit = request.getMaxOutputTokens();
     double expected;
-    if (ask.getHintedOutputTokens() > 0) {
-      expected = ask.getHintedOutputTokens();
+    if (request.getHintedOutputTokens() > 0) {
+      expected = request.getHintedOutputTokens();
     } else if (meanTokens >= 0) {
       expected = meanTokens;
     } else {
-      expected = most * INITIAL_SHARE_OF_LIMIT;
+      expected = limit * INITIAL_SHARE_OF_LIMIT;
     }
-    return (int) (most > 0 ? Math.min(most, expected) : expected);
+    return (int) (limit > 0 ? Math.min(limit, expected) : expected);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
@@ -6,8 +6,8 @@
 import org.curranthaven.internal.transport.wire.PromptPart;
 
 /**
- * Prompt parts that a backend server read lately and so may hold in its cache; the least recently
- * used are forgotten. Not thread-safe.
+ * Prompt parts that a backend server processed recently and may therefore hold in its prompt cache.
+ * The least recently used parts are evicted. Not thread-safe.
  */
 final class PromptPartCache {
   private static final int MAX_PARTS = 512;
@@ -26,15 +26,15 @@
     }
   }
 
-  /** Returns the tokens of the parts that begin the prompt and were read here. */
+  /** Returns the number of tokens in the longest run of leading parts that may be cached. */
   int cachedPrefixTokens(List<PromptPart> parts) {
-    int sum = 0;
+    int cachedTokens = 0;
     for (PromptPart part : parts) {
       if (!tokensById.containsKey(part.getId())) {
         break;
       }
-      sum += part.getTokens();
+      cachedTokens += part.getTokens();
     }
-    return sum;
+    return cachedTokens;
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
@@ -10,39 +10,41 @@
 import org.curranthaven.internal.transport.wire.PlacementRequest;
 
 /**
- * Forecasts when there is room for a call that none has room for now. Answers the load under which
- * a call that waits in vain costs its caller the time to try elsewhere. Not thread-safe.
+ * Forecasts when capacity becomes free for a request that no backend server can run now. Rejecting
+ * a request that would not be placed in time leaves its caller the time to try elsewhere. Not
+ * thread-safe.
  */
 final class QueueTimeForecast {
-  /** Time that an engine takes for one output token. */
+  /** Assumed time per output token of an engine. */
   static final double MILLIS_PER_OUTPUT_TOKEN = 10;
 
-  /** Time that an engine takes to read one prompt token, until first replies have told better. */
+  /** Time per prompt token of an engine, used until first replies have been observed. */
   private static final double INITIAL_MILLIS_PER_PROMPT_TOKEN = 0.16;
 
+  /** Weight of the latest first reply in the moving average. */
   private static final double PROMPT_TIME_WEIGHT = 0.05;
 
-  /** Bounds of the learnt time: one odd call must not turn others away. */
+  /** Lower bound of an observation; bounded so that one outlier does not cause rejections. */
   private static final double MIN_MILLIS_PER_PROMPT_TOKEN = 0.07;
 
   private static final double MAX_MILLIS_PER_PROMPT_TOKEN = 0.5;
 
-  /** Part of a first reply's time that is kept free for what the mean does not tell. */
+  /** Factor on the forecast first-reply time, to allow for deviations from the average. */
   private static final double FIRST_REPLY_MARGIN = 1.1;
 
-  /** Time that a plain call takes until runs have told better. */
+  /** Duration of a request to a plain service, used until completions have been observed. */
   private static final double INITIAL_PLAIN_MILLIS = 100;
 
   private static final double PLAIN_MILLIS_WEIGHT = 0.05;
 
-  /** Time for which calls wait for a service whose backend servers are not known yet. */
+  /** Time for which requests are queued for a service without a known backend server. */
   static final long UNKNOWN_SERVICE_TIMEOUT_MILLIS = 1_000;
 
   static final long MIN_RETRY_AFTER_MILLIS = 200;
   private static final long MAX_RETRY_AFTER_MILLIS = 15_000;
   private static final double RETRY_AFTER_JITTER = 0.3;
 
-  /** Memory that becomes free when a call ends. */
+  /** Memory that becomes free when a running request ends. */
   private record Release(double afterMillis, double tokens) {}
 
   private final Backends backends;
@@ -58,34 +60,40 @@
     this.random = random;
   }
 
-  /** Returns the output tokens expected of the call. */
-  int outputTokens(PlacementRequest ask) {
-    return outputLengthsOf(ask).forecast(ask);
+  /** Returns the forecast output length of the request, in tokens. */
+  int outputTokens(PlacementRequest request) {
+    return outputLengthsOf(request).forecast(request);
   }
 
-  private OutputLengthForecast outputLengthsOf(PlacementRequest ask) {
-    return outputLengthsByRoute.computeIfAbsent(ask.getRoute(), name -> new OutputLengthForecast());
+  private OutputLengthForecast outputLengthsOf(PlacementRequest request) {
+    return outputLengthsByRoute.computeIfAbsent(
+        request.getRoute(), route -> new OutputLengthForecast());
   }
 
-  /** Learns from a call that was answered. */
-  void recordCompletion(RunningRequest call, int tokens, long nowMillis) {
-    if (call.request.getEngine()) {
-      outputLengthsOf(call.request).recordOutput(tokens);
+  /** Updates the averages from a request that completed. */
+  void recordCompletion(RunningRequest running, int outputTokens, long nowMillis) {
+    if (running.request.getEngine()) {
+      outputLengthsOf(running.request).recordOutput(outputTokens);
     } else {
-      double took = nowMillis - call.placedAtMillis;
+      double elapsedMillis = nowMillis - running.placedAtMillis;
       plainMillisByService.merge(
-          call.request.getService(), took, (old, now) -> old + PLAIN_MILLIS_WEIGHT * (now - old));
+          running.request.getService(),
+          elapsedMillis,
+          (average, latest) -> average + PLAIN_MILLIS_WEIGHT * (latest - average));
     }
   }
 
-  /** Learns from a call whose first output came. */
-  void recordFirstReply(RunningRequest call, long nowMillis) {
-    if (call.promptTokensToFirstReply > 0) {
-      double each = (double) (nowMillis - call.placedAtMillis) / call.promptTokensToFirstReply;
-      double bounded = Math.clamp(each, MIN_MILLIS_PER_PROMPT_TOKEN, MAX_MILLIS_PER_PROMPT_TOKEN);
-      String service = call.request.getService();
-      double old = millisPerPromptToken(service);
-      promptTokenMillisByService.put(service, old + PROMPT_TIME_WEIGHT * (bounded - old));
+  /** Updates the time per prompt token from a request that produced its first output. */
+  void recordFirstReply(RunningRequest running, long nowMillis) {
+    if (running.promptTokensToFirstReply > 0) {
+      double millisPerToken =
+          (double) (nowMillis - running.placedAtMillis) / running.promptTokensToFirstReply;
+      double boundedMillisPerToken =
+          Math.clamp(millisPerToken, MIN_MILLIS_PER_PROMPT_TOKEN, MAX_MILLIS_PER_PROMPT_TOKEN);
+      String service = running.request.getService();
+      double average = millisPerPromptToken(service);
+      promptTokenMillisByService.put(
+          service, average + PROMPT_TIME_WEIGHT * (boundedMillisPerToken - average));
     }
   }
 
@@ -93,51 +101,56 @@
     return promptTokenMillisByService.getOrDefault(service, INITIAL_MILLIS_PER_PROMPT_TOKEN);
   }
 
-  /** Returns the time from a call's placement on an idle engine to its first reply. */
-  long idleFirstReplyMillis(PlacementRequest ask) {
-    return ask.getEngine() ? firstReplyMillis(ask, ask.getPromptTokens()) : 0;
+  /** Returns the time from placement on an idle engine to the first reply; 0 for plain services. */
+  long idleFirstReplyMillis(PlacementRequest request) {
+    return request.getEngine() ? firstReplyMillis(request, request.getPromptTokens()) : 0;
   }
 
   /**
-   * Returns the time from a call's placement to its first reply.
+   * Returns the forecast time from placement to the first reply.
    *
-   * @param tokensAhead prompt tokens to be read until then, the call's own included
+   * @param promptTokens prompt tokens to process until then, including the request's own
    */
-  long firstReplyMillis(PlacementRequest ask, int tokensAhead) {
-    return (long) (tokensAhead * millisPerPromptToken(ask.getService()) * FIRST_REPLY_MARGIN);
+  long firstReplyMillis(PlacementRequest request, int promptTokens) {
+    return (long) (promptTokens * millisPerPromptToken(request.getService()) * FIRST_REPLY_MARGIN);
   }
 
-  /** Returns when to come back, spread so that those turned away together do not return so. */
+  /**
+   * Returns the retry delay, with jitter so that requests rejected together do not return together.
+   */
   long retryAfterMillis(double expectedMillis) {
-    double spread = expectedMillis * (1 + RETRY_AFTER_JITTER * random.nextDouble());
-    return Math.clamp((long) spread, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
+    double withJitter = expectedMillis * (1 + RETRY_AFTER_JITTER * random.nextDouble());
+    return Math.clamp((long) withJitter, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
   }
 
-  /** Returns the time until room is expected for a call behind those that wait. */
-  double expectedQueueMillis(PlacementRequest ask, Collection<QueuedRequest> queue) {
-    return ask.getEngine() ? engineQueueMillis(ask, queue) : plainQueueMillis(ask, queue);
+  /** Returns the expected time until capacity is free for a request behind those queued. */
+  double expectedQueueMillis(PlacementRequest request, Collection<QueuedRequest> queue) {
+    return request.getEngine()
+        ? engineQueueMillis(request, queue)
+        : plainQueueMillis(request, queue);
   }
 
-  private double plainQueueMillis(PlacementRequest ask, Collection<QueuedRequest> queue) {
-    int slots = backends.notLeaving(ask.getService()).mapToInt(BackendState::slots).sum();
-    double each = plainMillisByService.getOrDefault(ask.getService(), INITIAL_PLAIN_MILLIS);
+  private double plainQueueMillis(PlacementRequest request, Collection<QueuedRequest> queue) {
+    int slots = backends.notLeaving(request.getService()).mapToInt(BackendState::slots).sum();
+    double millisPerRequest =
+        plainMillisByService.getOrDefault(request.getService(), INITIAL_PLAIN_MILLIS);
     return slots == 0
         ? UNKNOWN_SERVICE_TIMEOUT_MILLIS
-        : (queue.size() + 1) * each * capacityShares / slots;
+        : (queue.size() + 1) * millisPerRequest * capacityShares / slots;
   }
 
-  private double engineQueueMillis(PlacementRequest ask, Collection<QueuedRequest> queue) {
-    double needed = neededMemoryTokens(ask);
-    for (QueuedRequest ahead : queue) {
-      if (ahead.request().getPriority() <= ask.getPriority()) {
-        needed += neededMemoryTokens(ahead.request());
+  private double engineQueueMillis(PlacementRequest request, Collection<QueuedRequest> queue) {
+    double neededTokens = neededMemoryTokens(request);
+    for (QueuedRequest queued : queue) {
+      if (queued.request().getPriority() <= request.getPriority()) {
+        neededTokens += neededMemoryTokens(queued.request());
       }
     }
-    double freed = 0;
-    List<Release> releases = expectedReleases(ask.getService());
+    double freedTokens = 0;
+    List<Release> releases = expectedReleases(request.getService());
     for (Release release : releases) {
-      freed += release.tokens();
-      if (freed >= needed) {
+      freedTokens += release.tokens();
+      if (freedTokens >= neededTokens) {
         return release.afterMillis();
       }
     }
@@ -150,21 +163,21 @@
         .notLeaving(service)
         .flatMap(backend -> backend.requests.values().stream())
         .forEach(
-            call ->
+            running ->
                 releases.add(
                     new Release(
-                        remainingMillis(call, millisPerPromptToken(service)),
-                        call.memoryTokens())));
+                        remainingMillis(running, millisPerPromptToken(service)),
+                        running.memoryTokens())));
     releases.sort(Comparator.comparingDouble(Release::afterMillis));
     return releases;
   }
 
-  private static double remainingMillis(RunningRequest call, double readMillisPerToken) {
-    return call.remainingTokens() * MILLIS_PER_OUTPUT_TOKEN
-        + call.pendingPromptTokens() * readMillisPerToken;
+  private static double remainingMillis(RunningRequest running, double millisPerPromptToken) {
+    return running.remainingTokens() * MILLIS_PER_OUTPUT_TOKEN
+        + running.pendingPromptTokens() * millisPerPromptToken;
   }
 
-  private double neededMemoryTokens(PlacementRequest ask) {
-    return ask.getPromptTokens() + outputTokens(ask);
+  private double neededMemoryTokens(PlacementRequest request) {
+    return request.getPromptTokens() + outputTokens(request);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/QueuedRequest.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueuedRequest.java
@@ -4,11 +4,11 @@
 import org.curranthaven.internal.transport.wire.PlacementRequest;
 
 /**
- * A call that waits for room.
+ * A request that waits for capacity.
  *
- * @param sequenceNumber number by which calls of the same rank and due time are told apart
+ * @param sequenceNumber arrival order, which ranks requests of equal priority and due time
  * @param dueAtMillis when its first reply is due
- * @param expiresAtMillis when it is turned away
+ * @param expiresAtMillis when it leaves the queue: placed late if capacity allows, else rejected
  */
 record QueuedRequest(
     RequestId id,
@@ -17,7 +17,7 @@
     long dueAtMillis,
     long expiresAtMillis) {
   static final Comparator<QueuedRequest> BY_RANK =
-      Comparator.comparingInt((QueuedRequest call) -> call.request().getPriority())
+      Comparator.comparingInt((QueuedRequest queued) -> queued.request().getPriority())
           .thenComparingLong(QueuedRequest::dueAtMillis)
           .thenComparingLong(QueuedRequest::sequenceNumber);
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/RejectionReason.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RejectionReason.java
@@ -1,13 +1,13 @@
 package org.curranthaven.internal.dispatch;
 
-/** Why a call was turned away. */
+/** Reason for which a request was rejected. */
 public enum RejectionReason {
-  /** No backend server of the service is known. */
+  /** No backend server of the service is registered or usable. */
   NO_BACKEND,
-  /** Room comes too late for the call's target. */
+  /** Capacity is not expected before the request's due time. */
   NO_ROOM_IN_TIME,
-  /** The call ran before, and the service's retries are used up. */
+  /** The request is a retry, and the service's retry budget is exhausted. */
   RETRIES_USED_UP,
-  /** Every backend server that may take the call was tried. */
+  /** Every usable backend server of the service was tried. */
   ALL_TRIED
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/RequestId.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RequestId.java
@@ -1,9 +1,9 @@
 package org.curranthaven.internal.dispatch;
 
 /**
- * Names a call among all gateways.
+ * Identifies a request across all gateways.
  *
  * @param gateway name of the gateway
- * @param id number of the call there
+ * @param id number of the request, unique at that gateway
  */
 public record RequestId(String gateway, long id) {}
--- a/src/main/java/org/curranthaven/internal/dispatch/RetryLimits.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RetryLimits.java
@@ -1,14 +1,14 @@
 package org.curranthaven.internal.dispatch;
 
 /**
- * Bound on the retries of a service, over all callers.
+ * Limits on the retries of one service, over all callers.
  *
- * @param ratio retries allowed for each call
- * @param fixedRetries retries allowed besides, in each window
- * @param windowMillis length of the window
+ * @param ratio retries allowed per request
+ * @param fixedRetries retries allowed per window in addition to the ratio
+ * @param windowMillis length of the sliding window
  */
 public record RetryLimits(double ratio, double fixedRetries, long windowMillis) {
-  /** Returns the part of the allowance for one of several hosts that decide alone. */
+  /** Returns the limits for one of several hosts that place requests without a scheduler. */
   public RetryLimits dividedAmong(int hosts) {
     return new RetryLimits(ratio, fixedRetries / Math.max(1, hosts), windowMillis);
   }
--- a/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
@@ -2,12 +2,15 @@
 
 import org.curranthaven.internal.transport.wire.PlacementRequest;
 
-/** A call that runs on a backend server, as the scheduler sees it. Not thread-safe. */
+/** A request that runs on a backend server, as the scheduler sees it. Not thread-safe. */
 final class RunningRequest {
-  /** Part of an output's forecast rest that counts as used: outputs end at different times. */
+  /**
+   * Share of the output still forecast that counts as memory in use; below 1, since requests end at
+   * different times and do not all reach their full size together.
+   */
   private static final double RESERVED_GROWTH_SHARE = 0.6;
 
-  /** Factor by which an output that outgrew its forecast is expected to grow on. */
+  /** Factor by which an output that exceeded its forecast is expected to grow further. */
   private static final double OVERRUN_FACTOR = 1.25;
 
   private static final int OVERRUN_TOKENS = 32;
@@ -18,23 +21,23 @@
   private final int forecastTokens;
   private int outputTokens;
 
-  /** Prompt tokens to be read until the first output, this call's own included; 0: not known. */
+  /** Prompt tokens to process before the first output, including this request's; 0 if unknown. */
   int promptTokensToFirstReply;
 
-  /** Whether the call is being moved away from here. */
+  /** Whether the request is being migrated away from this engine. */
   boolean migratingAway;
 
-  /** Whether the call is being moved to here. */
+  /** Whether the request is being migrated to this engine. */
   boolean migratingIn;
 
   int migrationAttempts;
 
-  /** Backend server that keeps a copy; empty for none. */
+  /** Engine that keeps the backup copy; empty for none. */
   String backup = "";
 
-  RunningRequest(RequestId key, PlacementRequest ask, int forecastTokens, long placedAtMillis) {
-    this.id = key;
-    this.request = ask;
+  RunningRequest(RequestId id, PlacementRequest request, int forecastTokens, long placedAtMillis) {
+    this.id = id;
+    this.request = request;
     this.forecastTokens = forecastTokens;
     this.placedAtMillis = placedAtMillis;
   }
@@ -47,22 +50,22 @@
     return outputTokens;
   }
 
-  /** Returns the tokens of the prompt that the backend server has still to read. */
+  /** Returns the prompt tokens that the engine has yet to process; 0 after the first output. */
   int pendingPromptTokens() {
     return outputTokens > 0 ? 0 : request.getPromptTokens();
   }
 
-  /** Returns the output tokens still to come, as forecast. */
+  /** Returns the forecast number of output tokens still to come. */
   int remainingTokens() {
     if (outputTokens < forecastTokens) {
       return forecastTokens - outputTokens;
     }
-    int grown = (int) (outputTokens * OVERRUN_FACTOR) + OVERRUN_TOKENS;
-    int most = request.getMaxOutputTokens() > 0 ? request.getMaxOutputTokens() : grown;
-    return Math.max(0, Math.min(grown, most) - outputTokens);
+    int expected = (int) (outputTokens * OVERRUN_FACTOR) + OVERRUN_TOKENS;
+    int limit = request.getMaxOutputTokens() > 0 ? request.getMaxOutputTokens() : expected;
+    return Math.max(0, Math.min(expected, limit) - outputTokens);
   }
 
-  /** Returns the memory that the call is counted with, in tokens. */
+  /** Returns the memory to reserve for the request, in tokens. */
   double memoryTokens() {
     return request.getPromptTokens() + outputTokens + RESERVED_GROWTH_SHARE * remainingTokens();
   }
--- a/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
@@ -1,13 +1,13 @@
 package org.curranthaven.internal.dispatch;
 
 /**
- * Bounds the retries of one service over all callers: in any window they stay below a share of the
- * calls plus a fixed number. Not thread-safe.
+ * Bounds the retries of one service over all callers: within any window, retries stay below a share
+ * of the requests plus a fixed number. Not thread-safe.
  */
 final class ServiceRetryBudget {
   private static final int BUCKETS = 20;
 
-  /** Part of the allowance that is used, since calls are counted where they are placed. */
+  /** Share of the limit that is used; below 1, since requests are counted where they are placed. */
   private static final double USABLE_SHARE = 0.8;
 
   private final RetryLimits limits;
@@ -16,9 +16,9 @@
   private final int[] requests = new int[BUCKETS];
   private final int[] retries = new int[BUCKETS];
 
-  ServiceRetryBudget(RetryLimits allowance) {
-    this.limits = allowance;
-    this.bucketMillis = Math.max(1, allowance.windowMillis() / BUCKETS);
+  ServiceRetryBudget(RetryLimits limits) {
+    this.limits = limits;
+    this.bucketMillis = Math.max(1, limits.windowMillis() / BUCKETS);
   }
 
   void recordRequest(long nowMillis) {
@@ -27,16 +27,16 @@
 
   boolean tryRetry(long nowMillis) {
     int current = currentBucket(nowMillis);
-    int callSum = 0;
+    int requestSum = 0;
     int retrySum = 0;
     for (int i = 0; i < BUCKETS; i++) {
       if (bucketNumbers[current] - bucketNumbers[i] < BUCKETS) {
-        callSum += requests[i];
+        requestSum += requests[i];
         retrySum += retries[i];
       }
     }
-    double allowed = USABLE_SHARE * (limits.ratio() * callSum + limits.fixedRetries());
-    if (retrySum + 1 > allowed) {
+    double maxRetries = USABLE_SHARE * (limits.ratio() * requestSum + limits.fixedRetries());
+    if (retrySum + 1 > maxRetries) {
       return false;
     }
     retries[current]++;
--- a/src/main/java/org/curranthaven/internal/dispatch/package-info.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Decides which backend server runs each routed call, when, and which calls are turned away. One
- * scheduler decides for all gateways; a gateway that no scheduler answers decides alone with the
- * same code on its share of the backend servers.
+ * Decides on which backend server and when each routed request runs, and which requests are
+ * rejected. One scheduler decides for all gateways. A gateway without a responsive scheduler falls
+ * back to deciding locally, with the same code on its share of the backend servers' capacity.
  */
 @org.jspecify.annotations.NullMarked
 package org.curranthaven.internal.dispatch;
--- a/src/main/java/org/curranthaven/internal/placement/PlacementCommand.java
+++ b/src/main/java/org/curranthaven/internal/placement/PlacementCommand.java
@@ -11,12 +11,12 @@
   @JsonSubTypes.Type(value = PlacementCommand.RecordLoad.class, name = "recordLoad"),
 })
 public sealed interface PlacementCommand {
-  /** Takes the lease for a host; {@code attempt} identifies the attempt. */
+  /** Acquires the lease for a host; {@code attempt} makes a repeated command idempotent. */
   record Acquire(String host, String attempt) implements PlacementCommand {}
 
-  /** Extends the lease of the holder with this fencing number. */
+  /** Renews the lease of the holder with this fencing number. */
   record Renew(long fencingNumber) implements PlacementCommand {}
 
-  /** Counts a weight load against the weight store's rate, before the order is sent. */
+  /** Counts a load of model weights against the weight store's rate limit, before it is ordered. */
   record RecordLoad(long fencingNumber, long nowMillis) implements PlacementCommand {}
 }
--- a/src/main/java/org/curranthaven/internal/placement/PlacementState.java
+++ b/src/main/java/org/curranthaven/internal/placement/PlacementState.java
@@ -1,36 +1,38 @@
 package org.curranthaven.internal.placement;
 
 /**
- * Replicated lease of the one host that may order engines. Each holder gets a higher fencing number
- * than any before. The state also keeps the weight store's token bucket, so that a change of holder
- * does not exceed the store's rate. Not thread-safe.
+ * Replicated lease of the one host that may send orders to engines. Each new acquisition gets a
+ * higher fencing number than all earlier ones; a repeated attempt gets the same one. The state also
+ * contains the token bucket of the weight store, so that the store's rate limit holds across a
+ * change of the lease holder. Not thread-safe.
  */
 public final class PlacementState {
-  /** Time between two weight loads at the store's steady rate, in milliseconds. */
+  /** Interval between weight loads at the store's sustained rate. */
   public static final long LOAD_INTERVAL_MILLIS = 2_000;
 
-  /** Most weight loads at once after a quiet time. */
+  /** Maximum number of weight loads in a burst after a time without loads. */
   public static final int LOAD_BURST = 4;
 
   private Snapshot state = new Snapshot("", "", 0, 0);
 
   /**
-   * The whole state.
+   * Snapshot of the state.
    *
-   * @param holder name of the host that holds the lease, empty before the first
-   * @param attempt the attempt by which it acquired the lease
-   * @param fencingNumber number of the lease; rises with each holder
-   * @param loadsPaidUntilMillis time up to which the loads recorded use up the store's rate
+   * @param holder name of the host that holds the lease; empty if it was never acquired
+   * @param attempt identifier of the attempt that acquired the lease
+   * @param fencingNumber fencing number of the lease; rises with each acquisition
+   * @param loadsPaidUntilMillis time until which the recorded loads use up the store's sustained
+   *     rate
    */
   public record Snapshot(
       String holder, String attempt, long fencingNumber, long loadsPaidUntilMillis) {}
 
   /**
-   * Answer to a command.
+   * Result of a command.
    *
-   * @param held whether the caller holds the lease; for a load, whether it may be ordered now
-   * @param fencingNumber number of the lease in force
-   * @param waitMillis for a load that is refused, when to ask again
+   * @param held whether the sender holds the lease; for a load, whether it may also be ordered now
+   * @param fencingNumber fencing number of the current lease
+   * @param waitMillis delay after which to repeat a load that exceeds the rate limit; else 0
    */
   public record Result(boolean held, long fencingNumber, long waitMillis) {}
 
@@ -51,25 +53,25 @@
     return new Result(true, state.fencingNumber(), 0);
   }
 
-  private Result recordLoad(long number, long nowMillis) {
-    if (number != state.fencingNumber()) {
+  private Result recordLoad(long fencingNumber, long nowMillis) {
+    if (fencingNumber != state.fencingNumber()) {
       return new Result(false, state.fencingNumber(), 0);
     }
-    long paidUntil = Math.max(state.loadsPaidUntilMillis(), nowMillis) + LOAD_INTERVAL_MILLIS;
-    long wait = paidUntil - nowMillis - LOAD_BURST * LOAD_INTERVAL_MILLIS;
-    if (wait > 0) {
-      return new Result(false, number, wait);
+    long paidUntilMillis = Math.max(state.loadsPaidUntilMillis(), nowMillis) + LOAD_INTERVAL_MILLIS;
+    long waitMillis = paidUntilMillis - nowMillis - LOAD_BURST * LOAD_INTERVAL_MILLIS;
+    if (waitMillis > 0) {
+      return new Result(false, fencingNumber, waitMillis);
     }
-    state = new Snapshot(state.holder(), state.attempt(), number, paidUntil);
-    return new Result(true, number, 0);
+    state = new Snapshot(state.holder(), state.attempt(), fencingNumber, paidUntilMillis);
+    return new Result(true, fencingNumber, 0);
   }
 
-  /** Returns the whole state. */
+  /** Returns a snapshot of the state. */
   public Snapshot snapshot() {
     return state;
   }
 
-  /** Replaces the whole state. */
+  /** Replaces the state by a snapshot. */
   public void restore(Snapshot snapshot) {
     state = snapshot;
   }
--- a/src/main/java/org/curranthaven/internal/placement/package-info.java
+++ b/src/main/java/org/curranthaven/internal/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Fenced orders to engines. */
+/** Replicated lease of the host that may send orders to engines, with fencing numbers. */
 @NullMarked
 package org.curranthaven.internal.placement;
 
--- a/src/test/java/org/curranthaven/internal/dispatch/BackendRegistryTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/BackendRegistryTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void a_late_registration_changes_nothing() {
+  void a_registration_with_an_older_sequence_number_is_ignored() {
     registry.register(record(5, true), 0);
 
     assertThat(registry.register(record(4, false), 10)).isNull();
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void one_that_leaves_does_not_become_ready_again() {
+  void a_leaving_backend_server_stays_leaving_after_a_newer_registration() {
     registry.register(record(5, true), 0);
     registry.register(record(6, false), 10);
 
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void one_that_is_gone_is_not_brought_back_by_a_late_registration() {
+  void a_removed_backend_server_is_not_restored_by_a_delayed_registration() {
     registry.register(record(5, false), 0);
     registry.remove("i-1", 10);
 
@@ -45,21 +45,21 @@
   }
 
   @Test
-  void one_that_is_gone_before_it_was_known_stays_away() {
+  void a_backend_server_removed_before_its_first_registration_is_not_registered() {
     registry.remove("i-1", 10);
 
     assertThat(registry.register(record(1, false), 20)).isNull();
   }
 
   @Test
-  void a_registration_that_only_renews_is_no_change() {
+  void a_renewed_registration_is_not_reported_as_a_change() {
     assertThat(registry.register(record(1, false), 0)).isNotNull();
     assertThat(registry.register(record(2, false), 1_000)).isNull();
     assertThat(registry.removeExpired(1_500, 2_000)).isEmpty();
   }
 
   @Test
-  void one_that_is_silent_is_dropped_and_may_come_back() {
+  void a_backend_server_that_stops_registering_expires_and_may_register_again() {
     registry.register(record(1, false), 0);
 
     assertThat(registry.removeExpired(5_000, 5_001)).containsExactly("i-1");
--- a/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
@@ -65,7 +65,7 @@
         .build();
   }
 
-  /** A backend server that starts slowly, so that calls go elsewhere first. */
+  /** Returns a backend server that is warming up, so that requests go to others first. */
   private static BackendRecord warmingUp(String id) {
     return backend(id, "engines").toBuilder().setColdLeftMillis(60_000).build();
   }
@@ -74,10 +74,10 @@
     return backend(id, "engines").toBuilder().setLeaving(true).setSequence(9).build();
   }
 
-  private RequestId submit(PlacementRequest.Builder ask, long nowMillis) {
-    RequestId key = new RequestId("gateway", nextId++);
-    core.submit(key, ask.setId(key.id()).build(), nowMillis);
-    return key;
+  private RequestId submit(PlacementRequest.Builder request, long nowMillis) {
+    RequestId requestId = new RequestId("gateway", nextId++);
+    core.submit(requestId, request.setId(requestId.id()).build(), nowMillis);
+    return requestId;
   }
 
   private static PlacementRequest.Builder draftRequest(int promptTokens, int outputTokens) {
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void a_call_goes_to_the_engine_with_the_least_to_read() {
+  void a_request_is_placed_on_the_engine_with_the_fewest_pending_prompt_tokens() {
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(backend("y", "engines"), 0);
     submit(draftRequest(3_000, 400), 0);
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void a_call_waits_while_memory_is_full_and_runs_once_there_is_room() {
+  void a_request_is_queued_while_memory_is_full_and_placed_once_memory_is_free() {
     core.updateBackend(backend("x", "engines"), 0);
     RequestId first = submit(draftRequest(6_000, 100), 0);
     onlyDecision();
@@ -135,21 +135,21 @@
   }
 
   @Test
-  void a_call_that_cannot_start_in_time_is_turned_away_at_once_with_the_time_to_come_back() {
+  void a_request_that_cannot_meet_its_due_time_is_rejected_at_once_with_a_retry_delay() {
     core.updateBackend(backend("x", "engines"), 0);
     submit(draftRequest(6_000, 3_000), 0);
     onlyDecision();
 
     RequestId late = submit(draftRequest(6_000, 100), 1);
 
-    DispatchDecision.Reject refusal = (DispatchDecision.Reject) onlyDecision();
-    assertThat(refusal.requestId()).isEqualTo(late);
-    assertThat(refusal.reason()).isEqualTo(RejectionReason.NO_ROOM_IN_TIME);
-    assertThat(refusal.retryAfterMillis()).isBetween(10_000L, 15_000L);
+    DispatchDecision.Reject rejection = (DispatchDecision.Reject) onlyDecision();
+    assertThat(rejection.requestId()).isEqualTo(late);
+    assertThat(rejection.reason()).isEqualTo(RejectionReason.NO_ROOM_IN_TIME);
+    assertThat(rejection.retryAfterMillis()).isBetween(10_000L, 15_000L);
   }
 
   @Test
-  void a_waiting_call_is_turned_away_once_it_cannot_be_in_time() {
+  void a_queued_request_is_rejected_once_it_cannot_meet_its_due_time() {
     core.updateBackend(backend("x", "engines"), 0);
     submit(draftRequest(6_000, 60), 0);
     onlyDecision();
@@ -163,33 +163,33 @@
   }
 
   @Test
-  void a_call_waits_until_what_is_to_be_read_before_it_lets_it_be_in_time() {
+  void a_request_is_queued_until_fewer_pending_prompt_tokens_let_it_meet_its_due_time() {
     core.updateBackend(backend("x", "engines"), 0);
-    RequestId reading = submit(draftRequest(3_000, 100), 0);
+    RequestId processingPrompt = submit(draftRequest(3_000, 100), 0);
     onlyDecision();
     RequestId second = submit(draftRequest(3_000, 100).setTargetLeftMillis(1_000), 1);
     assertThat(core.drainDecisions()).isEmpty();
 
-    core.outputProgressed(reading, 4, 400);
+    core.outputProgressed(processingPrompt, 4, 400);
 
     assertThat(onlyDecision()).isEqualTo(new DispatchDecision.Place(second, "x", 1, ""));
   }
 
   @Test
-  void a_call_that_must_wait_for_reading_does_not_hold_up_one_that_need_not() {
+  void a_request_queued_behind_pending_prompts_does_not_block_one_with_a_later_due_time() {
     core.updateBackend(backend("x", "engines"), 0);
     submit(draftRequest(3_000, 100), 0);
     onlyDecision();
     submit(draftRequest(3_000, 100).setTargetLeftMillis(1_000), 1);
-    RequestId patient = submit(draftRequest(3_000, 100).setTargetLeftMillis(1_400), 2);
+    RequestId laterDue = submit(draftRequest(3_000, 100).setTargetLeftMillis(1_400), 2);
 
     core.tick(10);
 
-    assertThat(((DispatchDecision.Place) onlyDecision()).requestId()).isEqualTo(patient);
+    assertThat(((DispatchDecision.Place) onlyDecision()).requestId()).isEqualTo(laterDue);
   }
 
   @Test
-  void a_call_that_cannot_be_in_time_runs_all_the_same_where_nobody_waits_for_the_room() {
+  void a_request_that_will_be_late_is_placed_if_no_request_is_queued_for_the_capacity() {
     core.updateBackend(backend("x", "engines"), 0);
     submit(draftRequest(7_500, 100).setTargetLeftMillis(5_000), 0);
     onlyDecision();
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void a_call_that_cannot_be_in_time_leaves_scarce_room_to_those_that_wait() {
+  void a_request_that_will_be_late_leaves_scarce_capacity_to_queued_requests() {
     core.updateBackend(backend("x", "engines"), 0);
     submit(draftRequest(7_500, 100).setTargetLeftMillis(5_000), 0);
     onlyDecision();
@@ -212,12 +212,12 @@
   }
 
   @Test
-  void slow_first_replies_lead_to_earlier_refusals() {
+  void slow_first_replies_lead_to_earlier_rejections() {
     core.updateBackend(backend("x", "engines"), 0);
     for (int i = 0; i < 80; i++) {
-      RequestId call = submit(draftRequest(1_000, 8), i * 1_000L);
-      core.outputProgressed(call, 4, i * 1_000L + 500);
-      core.requestEnded(call, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 8, i * 1_000L + 600);
+      RequestId requestId = submit(draftRequest(1_000, 8), i * 1_000L);
+      core.outputProgressed(requestId, 4, i * 1_000L + 500);
+      core.requestEnded(requestId, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 8, i * 1_000L + 600);
     }
     long nowMillis = 100_000;
     RequestId large = submit(draftRequest(6_300, 100).setTargetLeftMillis(9_000), nowMillis);
@@ -231,24 +231,24 @@
   }
 
   @Test
-  void hosts_that_decide_alone_do_not_all_choose_the_same_engine() {
+  void hosts_in_local_fallback_do_not_all_choose_the_same_engine() {
     Set<String> chosen = new HashSet<>();
     for (int seed = 0; seed < 20; seed++) {
-      DispatchCore alone =
+      DispatchCore localCore =
           new DispatchCore(new RetryLimits(0.2, 10, 10_000), 20, new SplittableRandom(seed));
-      alone.setCatalog(catalog);
+      localCore.setCatalog(catalog);
       for (String id : List.of("x", "y", "z")) {
-        alone.updateBackend(backend(id, "engines"), 0);
+        localCore.updateBackend(backend(id, "engines"), 0);
       }
-      alone.submit(new RequestId("gateway", 1), draftRequest(3_000, 100).build(), 0);
-      chosen.add(((DispatchDecision.Place) alone.drainDecisions().getFirst()).backend());
+      localCore.submit(new RequestId("gateway", 1), draftRequest(3_000, 100).build(), 0);
+      chosen.add(((DispatchDecision.Place) localCore.drainDecisions().getFirst()).backend());
     }
 
     assertThat(chosen).hasSize(3);
   }
 
   @Test
-  void a_more_urgent_call_overtakes_those_that_wait() {
+  void a_more_urgent_request_overtakes_queued_requests() {
     core.updateBackend(backend("x", "engines"), 0);
     RequestId running = submit(draftRequest(8_500, 100), 0);
     onlyDecision();
@@ -263,7 +263,7 @@
   }
 
   @Test
-  void a_leaving_backend_server_gets_no_new_call() {
+  void a_leaving_backend_server_gets_no_new_request() {
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(leaving("x"), 10);
 
@@ -273,53 +273,53 @@
   }
 
   @Test
-  void calls_on_a_leaving_engine_are_moved_one_after_the_other() {
+  void requests_on_a_leaving_engine_are_migrated_one_at_a_time() {
     core.updateBackend(backend("x", "engines"), 0);
-    RequestId one = submit(draftRequest(1_000, 2_000), 0);
-    RequestId two = submit(draftRequest(1_500, 2_000), 0);
+    RequestId smaller = submit(draftRequest(1_000, 2_000), 0);
+    RequestId larger = submit(draftRequest(1_500, 2_000), 0);
     core.drainDecisions();
-    core.outputProgressed(one, 4, 100);
-    core.outputProgressed(two, 4, 100);
+    core.outputProgressed(smaller, 4, 100);
+    core.outputProgressed(larger, 4, 100);
     core.updateBackend(backend("y", "engines"), 150);
 
     core.updateBackend(leaving("x"), 200);
     DispatchDecision first = onlyDecision();
-    core.requestEnded(one, DispatchOutcome.DISPATCH_OUTCOME_MOVED, 8, 500);
+    core.requestEnded(smaller, DispatchOutcome.DISPATCH_OUTCOME_MOVED, 8, 500);
     DispatchDecision second = onlyDecision();
 
-    assertThat(first).isEqualTo(new DispatchDecision.Migrate(one, "y", ""));
-    assertThat(second).isEqualTo(new DispatchDecision.Migrate(two, "y", ""));
+    assertThat(first).isEqualTo(new DispatchDecision.Migrate(smaller, "y", ""));
+    assertThat(second).isEqualTo(new DispatchDecision.Migrate(larger, "y", ""));
   }
 
   @Test
-  void an_irreplaceable_call_gets_a_copy_at_another_engine_with_memory_left() {
+  void an_irreplaceable_request_gets_a_backup_copy_on_another_engine_with_free_memory() {
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(backend("y", "engines"), 0);
 
     submit(draftRequest(1_000, 400).setIrreplaceable(true), 0);
 
-    DispatchDecision.Place place = (DispatchDecision.Place) onlyDecision();
-    assertThat(place.backup()).isNotEmpty().isNotEqualTo(place.backend());
+    DispatchDecision.Place placement = (DispatchDecision.Place) onlyDecision();
+    assertThat(placement.backup()).isNotEmpty().isNotEqualTo(placement.backend());
   }
 
   @Test
-  void copies_leave_half_of_an_idle_engine_to_calls() {
+  void backup_copies_use_at_most_half_the_memory_of_an_idle_engine() {
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(warmingUp("idle"), 0);
     for (int i = 0; i < 7; i++) {
       core.outputProgressed(submit(draftRequest(1_200, 50).setIrreplaceable(true), i), 4, i);
     }
 
-    long copies =
+    long backupCopies =
         core.drainDecisions().stream()
             .filter(decision -> decision instanceof DispatchDecision.Place)
             .filter(decision -> ((DispatchDecision.Place) decision).backup().equals("idle"))
             .count();
-    assertThat(copies).isEqualTo(4);
+    assertThat(backupCopies).isEqualTo(4);
   }
 
   @Test
-  void no_copies_are_made_while_calls_need_the_memory_of_the_service() {
+  void no_backup_copies_are_made_while_requests_need_the_memory_of_the_service() {
     core.updateBackend(backend("x", "engines"), 0);
     core.updateBackend(backend("y", "engines"), 0);
     core.updateBackend(warmingUp("new"), 0);
@@ -334,14 +334,14 @@
   }
 
   @Test
-  void retries_stay_within_the_allowance_of_the_service() {
+  void retries_stay_within_the_retry_budget_of_the_service() {
     core.updateBackend(backend("p", "plain"), 0);
     int placed = 0;
     for (int i = 0; i < 40; i++) {
-      RequestId key = submit(plainRequest().setRepeat(true), i);
+      RequestId requestId = submit(plainRequest().setRepeat(true), i);
       if (onlyDecision() instanceof DispatchDecision.Place) {
         placed++;
-        core.requestEnded(key, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 0, i);
+        core.requestEnded(requestId, DispatchOutcome.DISPATCH_OUTCOME_ANSWERED, 0, i);
       }
     }
 
@@ -349,7 +349,7 @@
   }
 
   @Test
-  void the_calls_of_a_gateway_that_is_gone_make_room() {
+  void requests_of_a_removed_gateway_free_their_capacity() {
     core.updateBackend(backend("x", "engines"), 0);
     submit(draftRequest(9_000, 100), 0);
     core.drainDecisions();
@@ -360,7 +360,7 @@
   }
 
   @Test
-  void a_new_scheduler_counts_what_another_one_placed() {
+  void a_new_scheduler_counts_requests_that_another_one_placed() {
     core.updateBackend(backend("x", "engines"), 0);
     PlacementRequest running = draftRequest(9_000, 2_000).setId(77).build();
     core.restoreRunning(new RequestId("gateway", 77), running, "x", 40, 0);
--- a/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
@@ -10,10 +10,10 @@
 
   private final FailureRateEjector ejector = new FailureRateEjector();
 
-  /** Plays calls of which every {@code n}th fails at the named backend server. */
-  private void recordRequests(String backend, int calls, int failEvery) {
-    for (int i = 1; i <= calls; i++) {
-      if (i % failEvery == 0) {
+  /** Records requests to the backend server, of which every {@code failureInterval}-th fails. */
+  private void recordRequests(String backend, int requests, int failureInterval) {
+    for (int i = 1; i <= requests; i++) {
+      if (i % failureInterval == 0) {
         ejector.failed(backend, PEERS, 0);
       } else {
         ejector.succeeded(backend);
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void one_that_fails_every_other_call_while_its_peers_do_not_is_taken_out() {
+  void a_backend_server_that_fails_every_other_request_while_its_peers_do_not_is_ejected() {
     recordRequests("b", 30, 30);
     recordRequests("c", 30, 30);
     recordRequests("a", 20, 2);
@@ -32,14 +32,14 @@
   }
 
   @Test
-  void it_comes_back_after_a_time() {
+  void an_ejection_ends_after_some_time() {
     recordRequests("a", 20, 2);
 
     assertThat(ejector.isEjected("a", 60_000)).isFalse();
   }
 
   @Test
-  void where_all_fail_alike_none_is_taken_out() {
+  void no_backend_server_is_ejected_when_all_fail_equally() {
     for (int i = 0; i < 20; i++) {
       PEERS.forEach(peer -> recordRequests(peer, 2, 2));
     }
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void never_more_than_a_third_are_out_at_once() {
+  void at_most_a_third_of_the_backend_servers_are_ejected_at_once() {
     recordRequests("a", 20, 1);
     recordRequests("b", 20, 1);
 
