--- a/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
@@ -68,6 +68,7 @@
     return requests.isEmpty() && backupCopies.isEmpty();
   }
 
+  /** Returns the memory reserved for running requests and backup copies, in tokens. */
   double memoryTokens() {
     double tokens = 0;
     for (RunningRequest request : requests.values()) {
@@ -79,6 +80,7 @@
     return tokens;
   }
 
+  /** Returns the prompt tokens of all requests that have no output yet. */
   int pendingPromptTokens() {
     int tokens = 0;
     for (RunningRequest request : requests.values()) {
--- a/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
@@ -17,7 +17,7 @@
   private static final double LESS_URGENT_MEMORY_SHARE = 0.88;
 
   /**
-   * Same share for requests that will be late while requests that can meet their due time queue.
+   * Same share for requests that will be late, while requests that can meet their due time wait.
    */
   static final double LATE_MEMORY_SHARE = 0.8;
 
@@ -32,8 +32,8 @@
   /**
    * Creates the rules.
    *
-   * @param capacityShares number of hosts that each place requests on the same backend servers
-   *     without a scheduler; each uses an equal share of their capacity
+   * @param capacityShares number of hosts that each place requests on the same backend servers in
+   *     local fallback; each uses an equal share of their capacity
    */
   CapacityRules(int capacityShares) {
     this.capacityShares = Math.max(1, capacityShares);
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
@@ -44,7 +44,10 @@
   /** Random cost in local fallback, where hosts do not know each other's placements. */
   private static final double LOCAL_JITTER_TOKENS = 3_000;
 
-  /** Time for which a request to a plain service stays queued after its due time, being short. */
+  /**
+   * Time past its due time for which a request to a plain service stays queued; such requests are
+   * short.
+   */
   private static final long MAX_PLAIN_LATENESS_MILLIS = 300;
 
   /** Highest urgency value, which is the least urgent one. */
@@ -403,7 +406,7 @@
     running.promptTokensToFirstReply =
         chosen.pendingPromptTokens() + running.request.getPromptTokens();
     backends.addPlacement(running, chosen);
-    chosen.promptPartCache.recordRead(running.request.getPartsList());
+    chosen.promptPartCache.add(running.request.getPartsList());
     migrationPlanner.assignBackup(chosen, running, nowMillis);
     int urgency = Math.min(MAX_URGENCY, running.request.getPriority());
     decisions.add(new DispatchDecision.Place(running.id, chosen.id(), urgency, running.backup));
--- a/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
@@ -66,10 +66,11 @@
     }
   }
 
-  private RequestStats recordOutcome(String backend, double failureValue) {
+  /** Updates the statistics; {@code failure} is 1 for a failure and 0 for a success. */
+  private RequestStats recordOutcome(String backend, double failure) {
     RequestStats stats = statsByBackend.computeIfAbsent(backend, id -> new RequestStats());
     stats.requests++;
-    stats.failureRate += LATEST_REQUEST_WEIGHT * (failureValue - stats.failureRate);
+    stats.failureRate += LATEST_REQUEST_WEIGHT * (failure - stats.failureRate);
     return stats;
   }
 
--- a/src/main/java/org/curranthaven/internal/dispatch/MigrationPlanner.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/MigrationPlanner.java
@@ -147,8 +147,8 @@
     if (running != null) {
       running.migratingAway = false;
     }
-    for (BackendState candidate : backends.all()) {
-      RunningRequest incoming = candidate == source ? null : candidate.requests.remove(requestId);
+    for (BackendState other : backends.all()) {
+      RunningRequest incoming = other == source ? null : other.requests.remove(requestId);
       if (incoming != null) {
         releaseBackup(incoming);
       }
--- a/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
@@ -20,7 +20,7 @@
         }
       };
 
-  void recordRead(List<PromptPart> parts) {
+  void add(List<PromptPart> parts) {
     for (PromptPart part : parts) {
       tokensById.put(part.getId(), part.getTokens());
     }
--- a/src/main/java/org/curranthaven/internal/dispatch/RetryLimits.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RetryLimits.java
@@ -8,7 +8,7 @@
  * @param windowMillis length of the sliding window
  */
 public record RetryLimits(double ratio, double fixedRetries, long windowMillis) {
-  /** Returns the limits for one of several hosts that place requests without a scheduler. */
+  /** Returns the limits for one of several hosts in local fallback. */
   public RetryLimits dividedAmong(int hosts) {
     return new RetryLimits(ratio, fixedRetries / Math.max(1, hosts), windowMillis);
   }
--- a/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
@@ -25,6 +25,7 @@
     requests[currentBucket(nowMillis)]++;
   }
 
+  /** Records a retry if the budget allows it; returns whether it does. */
   boolean tryRetry(long nowMillis) {
     int current = currentBucket(nowMillis);
     int requestSum = 0;
