--- a/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/BackendState.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
-/** A backend server and the calls that run on it. Not thread-safe. */
+/** A backend server and the requests that run on it. Not thread-safe. */
 final class BackendState {
   private BackendRecord registration;
   private long warmAtMillis;
   private long fullUntilMillis;
-  final Map<RequestId, RunningRequest> calls = new LinkedHashMap<>();
+  final Map<RequestId, RunningRequest> requests = new LinkedHashMap<>();
 
-  /** Calls that run elsewhere and of which a copy is kept here. */
-  final Map<RequestId, RunningRequest> copies = new LinkedHashMap<>();
+  /** Requests that run on other engines and have their backup copy on this one. */
+  final Map<RequestId, RunningRequest> backupCopies = new LinkedHashMap<>();
 
-  final PromptPartCache parts = new PromptPartCache();
+  final PromptPartCache promptPartCache = new PromptPartCache();
 
   BackendState(BackendRecord registration, long nowMillis) {
     this.registration = registration;
-    registered(registration, nowMillis);
+    updateRegistration(registration, nowMillis);
   }
 
-  final void registered(BackendRecord newer, long nowMillis) {
-    registration = newer;
-    warmAtMillis = nowMillis + newer.getColdLeftMillis();
+  final void updateRegistration(BackendRecord update, long nowMillis) {
+    registration = update;
+    warmAtMillis = nowMillis + update.getColdLeftMillis();
   }
 
   BackendRecord registration() {
@@ -50,40 +50,42 @@
     return Math.max(1, registration.getSlots());
   }
 
-  boolean isCold(long nowMillis) {
+  boolean isWarmingUp(long nowMillis) {
     return nowMillis < warmAtMillis;
   }
 
-  /** Notes that the backend server turned a call away although room was expected. */
-  void rejected(long untilMillis) {
+  /** Records that the backend server rejected a request although capacity was expected. */
+  void markFull(long untilMillis) {
     fullUntilMillis = untilMillis;
   }
 
-  boolean saysFull(long nowMillis) {
+  boolean isFull(long nowMillis) {
     return nowMillis < fullUntilMillis;
   }
 
-  /** Returns whether nothing runs here and no copy is kept here. */
+  /** Returns whether no request runs and no backup copy is kept on this backend server. */
   boolean isIdle() {
-    return calls.isEmpty() && copies.isEmpty();
+    return requests.isEmpty() && backupCopies.isEmpty();
   }
 
+  /** Returns the memory reserved for running requests and backup copies, in tokens. */
   double memoryTokens() {
-    double sum = 0;
-    for (RunningRequest call : calls.values()) {
-      sum += call.memoryTokens();
+    double tokens = 0;
+    for (RunningRequest request : requests.values()) {
+      tokens += request.memoryTokens();
     }
-    for (RunningRequest copy : copies.values()) {
-      sum += copy.memoryTokens();
+    for (RunningRequest backupCopy : backupCopies.values()) {
+      tokens += backupCopy.memoryTokens();
     }
-    return sum;
+    return tokens;
   }
 
-  int unreadTokens() {
-    int sum = 0;
-    for (RunningRequest call : calls.values()) {
-      sum += call.unreadTokens();
+  /** Returns the prompt tokens of all requests that have no output yet. */
+  int pendingPromptTokens() {
+    int tokens = 0;
+    for (RunningRequest request : requests.values()) {
+      tokens += request.pendingPromptTokens();
     }
-    return sum;
+    return tokens;
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchQueue.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchQueue.java
@@ -8,65 +8,65 @@
 import java.util.TreeSet;
 import org.jspecify.annotations.Nullable;
 
-/** The calls that wait for room, by service and rank. Not thread-safe. */
+/** Requests that wait for capacity, by service and rank. Not thread-safe. */
 final class DispatchQueue {
-  private static final int MAX_WAITING = 20_000;
+  private static final int MAX_QUEUED = 20_000;
 
   private final Map<String, NavigableSet<QueuedRequest>> byService = new HashMap<>();
-  private final Map<RequestId, QueuedRequest> byKey = new HashMap<>();
-  private long nextOrder;
+  private final Map<RequestId, QueuedRequest> byId = new HashMap<>();
+  private long nextSequenceNumber;
 
   int size() {
-    return byKey.size();
+    return byId.size();
   }
 
-  boolean contains(RequestId key) {
-    return byKey.containsKey(key);
+  boolean contains(RequestId requestId) {
+    return byId.containsKey(requestId);
   }
 
   boolean isFull() {
-    return byKey.size() >= MAX_WAITING;
+    return byId.size() >= MAX_QUEUED;
   }
 
-  long takeOrder() {
-    return nextOrder++;
+  long takeSequenceNumber() {
+    return nextSequenceNumber++;
   }
 
-  /** Returns the service's calls, the first to be served first. */
-  NavigableSet<QueuedRequest> of(String service) {
-    return byService.computeIfAbsent(service, name -> new TreeSet<>(QueuedRequest.BY_RANK));
+  /** Returns the queued requests of the service in the order in which they are to be served. */
+  NavigableSet<QueuedRequest> requestsOf(String service) {
+    return byService.computeIfAbsent(service, key -> new TreeSet<>(QueuedRequest.BY_RANK));
   }
 
   List<String> services() {
     return List.copyOf(byService.keySet());
   }
 
-  List<RequestId> keys() {
-    return List.copyOf(byKey.keySet());
+  List<RequestId> ids() {
+    return List.copyOf(byId.keySet());
   }
 
-  void add(QueuedRequest call) {
-    of(call.ask().getService()).add(call);
-    byKey.put(call.key(), call);
+  void add(QueuedRequest queued) {
+    requestsOf(queued.request().getService()).add(queued);
+    byId.put(queued.id(), queued);
   }
 
-  /** Removes a call; returns it, or null if it does not wait. */
-  @Nullable QueuedRequest remove(RequestId key) {
-    QueuedRequest call = byKey.remove(key);
-    if (call != null) {
-      of(call.ask().getService()).remove(call);
+  /** Removes and returns a request; returns null if it is not queued. */
+  @Nullable QueuedRequest remove(RequestId requestId) {
+    QueuedRequest queued = byId.remove(requestId);
+    if (queued != null) {
+      requestsOf(queued.request().getService()).remove(queued);
     }
-    return call;
+    return queued;
   }
 
-  /** Returns the calls whose time to wait is up. */
-  List<QueuedRequest> due(long nowMillis) {
-    List<QueuedRequest> due = new ArrayList<>();
-    for (QueuedRequest call : byKey.values()) {
-      if (nowMillis >= call.giveUpAtMillis()) {
-        due.add(call);
+  /** Returns the requests whose time in the queue has expired. */
+  List<QueuedRequest> expired(long nowMillis) {
+    List<QueuedRequest> expired = new ArrayList<>();
+    for (QueuedRequest queued : byId.values()) {
+      if (nowMillis >= queued.expiresAtMillis()) {
+        expired.add(queued);
       }
     }
-    return due;
+    return expired;
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
@@ -5,81 +5,86 @@
 import java.util.Map;
 
 /**
- * Takes backend servers out of use that fail a part of their calls while their peers do not: a
- * bounded share of them at once, for a time that doubles each time. Not thread-safe.
+ * Ejects backend servers that fail part of their requests while their peers do not. At most a
+ * bounded share is ejected at the same time, each for a time that doubles with every ejection. Not
+ * thread-safe.
  */
 final class FailureRateEjector {
-  /** Failures among recent calls above which a backend server is an outlier. */
-  private static final double OUTLIER_RATE = 0.25;
+  /** Failure rate of recent requests above which a backend server is an outlier. */
+  private static final double OUTLIER_FAILURE_RATE = 0.25;
 
-  /** Factor by which an outlier fails more often than its peers. */
+  /** Factor by which an outlier's failure rate must exceed the average of its peers. */
   private static final double PEER_FACTOR = 2.5;
 
-  /** Weight of the latest call in the rate. */
-  private static final double LATEST_WEIGHT = 0.12;
+  /** Weight of the latest request in the moving average of the failure rate. */
+  private static final double LATEST_REQUEST_WEIGHT = 0.12;
 
-  /** Calls before the rate counts. */
-  private static final int MIN_CALLS = 6;
+  /** Requests needed before a backend server may be ejected. */
+  private static final int MIN_REQUESTS = 6;
 
-  private static final double MAX_OUT_SHARE = 0.34;
-  private static final long FIRST_OUT_MILLIS = 2_500;
+  private static final double MAX_EJECTED_SHARE = 0.34;
+  private static final long FIRST_EJECTION_MILLIS = 2_500;
   private static final int MAX_DOUBLINGS = 4;
 
-  /** Rate with which a backend server comes back: a few more failures take it out again. */
-  private static final double RETURN_RATE = 0.15;
+  /** Failure rate assigned on ejection; after the return, a few more failures eject it again. */
+  private static final double POST_EJECTION_FAILURE_RATE = 0.15;
 
-  private final Map<String, Tally> tallies = new HashMap<>();
+  private final Map<String, RequestStats> statsByBackend = new HashMap<>();
 
-  private static final class Tally {
-    double rate;
-    int calls;
-    int timesOut;
-    long outUntilMillis;
+  private static final class RequestStats {
+    double failureRate;
+    int requests;
+    int ejections;
+    long ejectedUntilMillis;
   }
 
   void succeeded(String backend) {
-    noted(backend, 0);
+    recordOutcome(backend, 0);
   }
 
   void failed(String backend, Collection<String> peers, long nowMillis) {
-    Tally tally = noted(backend, 1);
-    if (tally.calls < MIN_CALLS || nowMillis < tally.outUntilMillis) {
+    RequestStats stats = recordOutcome(backend, 1);
+    if (stats.requests < MIN_REQUESTS || nowMillis < stats.ejectedUntilMillis) {
       return;
     }
-    double peerRate =
+    double peerFailureRate =
         peers.stream()
             .filter(peer -> !peer.equals(backend))
-            .mapToDouble(this::rate)
+            .mapToDouble(this::failureRate)
             .average()
             .orElse(1);
-    long out = peers.stream().filter(peer -> isOut(peer, nowMillis)).count();
-    boolean mayGo = out + 1 <= Math.max(1, MAX_OUT_SHARE * peers.size()) && peers.size() > 1;
-    if (mayGo && tally.rate > OUTLIER_RATE && tally.rate > PEER_FACTOR * peerRate) {
-      tally.outUntilMillis =
-          nowMillis + (FIRST_OUT_MILLIS << Math.min(tally.timesOut, MAX_DOUBLINGS));
-      tally.timesOut++;
-      tally.rate = RETURN_RATE;
+    long ejectedPeers = peers.stream().filter(peer -> isEjected(peer, nowMillis)).count();
+    boolean mayEject =
+        ejectedPeers + 1 <= Math.max(1, MAX_EJECTED_SHARE * peers.size()) && peers.size() > 1;
+    if (mayEject
+        && stats.failureRate > OUTLIER_FAILURE_RATE
+        && stats.failureRate > PEER_FACTOR * peerFailureRate) {
+      stats.ejectedUntilMillis =
+          nowMillis + (FIRST_EJECTION_MILLIS << Math.min(stats.ejections, MAX_DOUBLINGS));
+      stats.ejections++;
+      stats.failureRate = POST_EJECTION_FAILURE_RATE;
     }
   }
 
-  private Tally noted(String backend, double failure) {
-    Tally tally = tallies.computeIfAbsent(backend, id -> new Tally());
-    tally.calls++;
-    tally.rate += LATEST_WEIGHT * (failure - tally.rate);
-    return tally;
+  /** Updates the statistics; {@code failure} is 1 for a failure and 0 for a success. */
+  private RequestStats recordOutcome(String backend, double failure) {
+    RequestStats stats = statsByBackend.computeIfAbsent(backend, id -> new RequestStats());
+    stats.requests++;
+    stats.failureRate += LATEST_REQUEST_WEIGHT * (failure - stats.failureRate);
+    return stats;
   }
 
-  private double rate(String backend) {
-    Tally tally = tallies.get(backend);
-    return tally == null ? 0 : tally.rate;
+  private double failureRate(String backend) {
+    RequestStats stats = statsByBackend.get(backend);
+    return stats == null ? 0 : stats.failureRate;
   }
 
-  boolean isOut(String backend, long nowMillis) {
-    Tally tally = tallies.get(backend);
-    return tally != null && nowMillis < tally.outUntilMillis;
+  boolean isEjected(String backend, long nowMillis) {
+    RequestStats stats = statsByBackend.get(backend);
+    return stats != null && nowMillis < stats.ejectedUntilMillis;
   }
 
-  void forget(String backend) {
-    tallies.remove(backend);
+  void remove(String backend) {
+    statsByBackend.remove(backend);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/QueuedRequest.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueuedRequest.java
@@ -4,16 +4,20 @@
 import org.curranthaven.internal.transport.wire.PlacementRequest;
 
 /**
- * A call that waits for room.
+ * A request that waits for capacity.
  *
- * @param order number by which calls of the same rank and due time are told apart
+ * @param sequenceNumber arrival order, which ranks requests of equal priority and due time
  * @param dueAtMillis when its first reply is due
- * @param giveUpAtMillis when it is turned away
+ * @param expiresAtMillis when it leaves the queue: placed late if capacity allows, else rejected
  */
 record QueuedRequest(
-    RequestId key, PlacementRequest ask, long order, long dueAtMillis, long giveUpAtMillis) {
+    RequestId id,
+    PlacementRequest request,
+    long sequenceNumber,
+    long dueAtMillis,
+    long expiresAtMillis) {
   static final Comparator<QueuedRequest> BY_RANK =
-      Comparator.comparingInt((QueuedRequest call) -> call.ask().getPriority())
+      Comparator.comparingInt((QueuedRequest queued) -> queued.request().getPriority())
           .thenComparingLong(QueuedRequest::dueAtMillis)
-          .thenComparingLong(QueuedRequest::order);
+          .thenComparingLong(QueuedRequest::sequenceNumber);
 }
--- a/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
@@ -78,7 +78,10 @@
 
   /** Returns whether a backup copy may exist from which an interrupted request can resume. */
   boolean mayHaveBackup(String backup) {
-    return engine != null && engine.moves() && !route.isRepeatable() && !backup.isEmpty();
+    return engine != null
+        && engine.supportsMigration()
+        && !route.isRepeatable()
+        && !backup.isEmpty();
   }
 
   /**
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -489,7 +489,7 @@
       return;
     }
     for (DispatchDecision decision : core.drainDecisions()) {
-      PlacementListener request = openRequests.get(decision.key().id());
+      PlacementListener request = openRequests.get(decision.requestId().id());
       if (request == null) {
         continue;
       }
@@ -497,7 +497,7 @@
         case DispatchDecision.Place placement ->
             request.onPlaced(placement.backend(), placement.urgency(), placement.backup());
         case DispatchDecision.Reject reject -> {
-          openRequests.remove(reject.key().id());
+          openRequests.remove(reject.requestId().id());
           request.onRejected(reject.retryAfterMillis(), reject.reason().name());
         }
         case DispatchDecision.Migrate migration ->
--- a/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
@@ -10,10 +10,10 @@
 
   private final FailureRateEjector ejector = new FailureRateEjector();
 
-  /** Plays calls of which every {@code n}th fails at the named backend server. */
-  private void play(String backend, int calls, int failEvery) {
-    for (int i = 1; i <= calls; i++) {
-      if (i % failEvery == 0) {
+  /** Records requests to the backend server, of which every {@code failureInterval}-th fails. */
+  private void recordRequests(String backend, int requests, int failureInterval) {
+    for (int i = 1; i <= requests; i++) {
+      if (i % failureInterval == 0) {
         ejector.failed(backend, PEERS, 0);
       } else {
         ejector.succeeded(backend);
@@ -22,36 +22,36 @@
   }
 
   @Test
-  void one_that_fails_every_other_call_while_its_peers_do_not_is_taken_out() {
-    play("b", 30, 30);
-    play("c", 30, 30);
-    play("a", 20, 2);
+  void a_backend_server_that_fails_every_other_request_while_its_peers_do_not_is_ejected() {
+    recordRequests("b", 30, 30);
+    recordRequests("c", 30, 30);
+    recordRequests("a", 20, 2);
 
-    assertThat(ejector.isOut("a", 1)).isTrue();
-    assertThat(ejector.isOut("b", 1)).isFalse();
+    assertThat(ejector.isEjected("a", 1)).isTrue();
+    assertThat(ejector.isEjected("b", 1)).isFalse();
   }
 
   @Test
-  void it_comes_back_after_a_time() {
-    play("a", 20, 2);
+  void an_ejection_ends_after_some_time() {
+    recordRequests("a", 20, 2);
 
-    assertThat(ejector.isOut("a", 60_000)).isFalse();
+    assertThat(ejector.isEjected("a", 60_000)).isFalse();
   }
 
   @Test
-  void where_all_fail_alike_none_is_taken_out() {
+  void no_backend_server_is_ejected_when_all_fail_equally() {
     for (int i = 0; i < 20; i++) {
-      PEERS.forEach(peer -> play(peer, 2, 2));
+      PEERS.forEach(peer -> recordRequests(peer, 2, 2));
     }
 
-    assertThat(PEERS).noneMatch(peer -> ejector.isOut(peer, 1));
+    assertThat(PEERS).noneMatch(peer -> ejector.isEjected(peer, 1));
   }
 
   @Test
-  void never_more_than_a_third_are_out_at_once() {
-    play("a", 20, 1);
-    play("b", 20, 1);
+  void at_most_a_third_of_the_backend_servers_are_ejected_at_once() {
+    recordRequests("a", 20, 1);
+    recordRequests("b", 20, 1);
 
-    assertThat(PEERS.stream().filter(peer -> ejector.isOut(peer, 1))).hasSize(1);
+    assertThat(PEERS.stream().filter(peer -> ejector.isEjected(peer, 1))).hasSize(1);
   }
 }
