--- a/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
@@ -201,7 +201,7 @@
       long start = System.nanoTime();
       for (int i = 0; i < servers; i++) {
         ByteString json = Json.write(announcement(i, repeat));
-        view.announced(Json.read(json, BackendAnnouncement.class), 5, 0);
+        view.update(Json.read(json, BackendAnnouncement.class), 5, 0);
       }
       best = Math.min(best, (System.nanoTime() - start) / NANOS_PER_MICRO);
     }
@@ -362,12 +362,12 @@
     try {
       LocalFleet.await(
           TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS),
-          () -> sender.connected().size() == receivers);
+          () -> sender.connectedHosts().size() == receivers);
       double best = Double.MAX_VALUE;
       for (int repeat = 0; repeat < REPEATS; repeat++) {
         acknowledged[0] = new CountDownLatch(receivers);
         long start = System.nanoTime();
-        for (HostRecord host : sender.connected()) {
+        for (HostRecord host : sender.connectedHosts()) {
           sender.send(
               host.getName(),
               Envelope.newBuilder()
--- a/src/main/java/org/curranthaven/internal/cli/DemoRun.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoRun.java
@@ -104,7 +104,7 @@
     AdminClient admin = new AdminClient(fleet.httpAddresses().getLast());
     boolean answering =
         LocalFleet.await(
-            READY_MILLIS, () -> !fleet.host(HOSTS - 1).network().connected().isEmpty());
+            READY_MILLIS, () -> !fleet.host(HOSTS - 1).network().connectedHosts().isEmpty());
     Outcome<JsonNode> outcome =
         answering
             ? admin.change("demo-setup", 0, "demo", Workloads.configuration())
--- a/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
@@ -247,7 +247,7 @@
             .setRevision(revision)
             .addAllDeltas(state.configuration().deltasAfter(revision - 1))
             .build();
-    for (HostRecord host : network.connected()) {
+    for (HostRecord host : network.connectedHosts()) {
       network.send(host.getName(), Envelope.newBuilder().setFreshnessGrant(push));
     }
     network.send(network.selfName(), Envelope.newBuilder().setFreshnessGrant(push));
--- a/src/main/java/org/curranthaven/internal/host/ChangeClient.java
+++ b/src/main/java/org/curranthaven/internal/host/ChangeClient.java
@@ -78,7 +78,7 @@
     long deadline = clock.nowMillis() + TOTAL_MILLIS;
     int turn = 0;
     while (clock.nowMillis() < deadline) {
-      List<String> hosts = control.controlHosts();
+      List<String> hosts = control.reachableControlHosts();
       if (!hosts.isEmpty()) {
         AdminReply reply = tryOnce(hosts.get(turn++ % hosts.size()), path, json);
         if (reply.getStatus() == STATUS_OK) {
--- a/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
+++ b/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
@@ -213,7 +213,7 @@
     execute(
         () -> {
           long nowMillis = clock.nowMillis();
-          if (!backends.announced(announcement, ageMillis, nowMillis)) {
+          if (!backends.update(announcement, ageMillis, nowMillis)) {
             return;
           }
           if (direct) {
@@ -240,7 +240,7 @@
   }
 
   /** What this host tells the others. */
-  public record Outgoing(List<BackendView.Aged> announcements, ShareUpdate shares) {
+  public record Outgoing(List<BackendView.AgedAnnouncement> announcements, ShareUpdate shares) {
     /** Returns whether there is nothing to tell. */
     public boolean isEmpty() {
       return announcements.isEmpty() && shares.shares().isEmpty() && !shares.full();
@@ -251,7 +251,8 @@
   public CompletableFuture<Outgoing> takeOutgoing() {
     return call(
         () -> {
-          List<BackendView.Aged> aged = backends.aged(heardDirectly, clock.nowMillis());
+          List<BackendView.AgedAnnouncement> aged =
+              backends.agedAnnouncements(heardDirectly, clock.nowMillis());
           heardDirectly.clear();
           return new Outgoing(aged, routing.takeShareUpdate(clock.nowMillis()));
         });
@@ -423,7 +424,7 @@
     aliveBackends.keySet().removeIf(name -> backends.alive(name, nowMillis) == null);
     if (nowMillis >= nextForgetMillis) {
       nextForgetMillis = nowMillis + FORGET_MILLIS;
-      backends.forgetOld(nowMillis);
+      backends.evictOldEntries(nowMillis);
     }
     handle(new RoutingEvent.Tick());
   }
--- a/src/main/java/org/curranthaven/internal/host/HostProcess.java
+++ b/src/main/java/org/curranthaven/internal/host/HostProcess.java
@@ -341,13 +341,13 @@
   private List<HostView> listHosts() {
     List<HostView> hosts = new ArrayList<>();
     hosts.add(HostView.of(describe()));
-    network.connected().forEach(host -> hosts.add(HostView.of(host)));
+    network.connectedHosts().forEach(host -> hosts.add(HostView.of(host)));
     hosts.sort(java.util.Comparator.comparing(HostView::name));
     return hosts;
   }
 
   private List<HostRecord> connectedControlHosts() {
-    return network.connected().stream().filter(HostRecord::getControl).toList();
+    return network.connectedHosts().stream().filter(HostRecord::getControl).toList();
   }
 
   /** The other hosts' processes, as the connections tell. */
@@ -357,14 +357,14 @@
       if (host.equals(settings.name())) {
         return hostIncarnation == incarnation;
       }
-      return network.connected().stream()
+      return network.connectedHosts().stream()
           .filter(record -> record.getName().equals(host))
           .anyMatch(record -> record.getIncarnation() == hostIncarnation);
     }
 
     @Override
     public int count() {
-      return network.connected().size();
+      return network.connectedHosts().size();
     }
   }
 
@@ -381,7 +381,7 @@
       // Read after the revision: leases for an older one are all in the list by then.
       request.addAllPeerLeases(coordinator.leasesGiven(nowMillis));
     }
-    for (String host : control.controlHosts()) {
+    for (String host : control.reachableControlHosts()) {
       network.send(host, Envelope.newBuilder().setFreshnessRequest(request));
     }
   }
@@ -392,7 +392,7 @@
       return;
     }
     SoftState.Builder state = SoftState.newBuilder().setFullShares(outgoing.shares().full());
-    for (BackendView.Aged aged : outgoing.announcements()) {
+    for (BackendView.AgedAnnouncement aged : outgoing.announcements()) {
       state.addAnnouncements(
           org.curranthaven.internal.transport.wire.BackendAnnouncement.newBuilder()
               .setJson(Json.write(aged.announcement()))
@@ -401,7 +401,7 @@
     for (HostShare share : outgoing.shares().shares()) {
       state.addShares(wire(share));
     }
-    for (HostRecord host : network.connected()) {
+    for (HostRecord host : network.connectedHosts()) {
       network.send(host.getName(), Envelope.newBuilder().setSoftState(state));
     }
   }
@@ -429,7 +429,7 @@
         }
       }
       case COMMAND_REQUEST -> command(from, message.getCommandRequest());
-      case COMMAND_REPLY -> control.received(message.getCommandReply());
+      case COMMAND_REPLY -> control.handleReply(message.getCommandReply());
       case FRESHNESS_REQUEST -> {
         if (coordinator != null) {
           coordinator.receive(from, message.getFreshnessRequest());
@@ -474,7 +474,7 @@
     }
     for (HostRecord host : grant.getHostsList()) {
       if (!host.getName().equals(settings.name())) {
-        network.learn(host.getPeerAddress());
+        network.addDiscoveredAddress(host.getPeerAddress());
       }
     }
   }
@@ -543,7 +543,7 @@
     dump.put("ready", isReady());
     dump.put("openRequests", server.openRequests());
     dump.put("children", root.statuses());
-    dump.put("peers", network.connected().stream().map(HostRecord::getName).sorted().toList());
+    dump.put("peers", network.connectedHosts().stream().map(HostRecord::getName).sorted().toList());
     dump.put("decisions", await(decisions.view()));
     if (consensus != null) {
       dump.put("storageFailure", consensus.storageFailure());
--- a/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
+++ b/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
@@ -136,7 +136,7 @@
       throws InterruptedException {
     int group = 1 + Math.floorMod(request.workspace().hashCode(), ledgerGroups);
     command.setNowMillis(epochMillis.getAsLong());
-    return control.call(group, command.build().toByteString(), timeoutMillis);
+    return control.execute(group, command.build().toByteString(), timeoutMillis);
   }
 
   private static ClaimResult parse(CommandReply reply) {
--- a/src/main/java/org/curranthaven/internal/membership/BackendView.java
+++ b/src/main/java/org/curranthaven/internal/membership/BackendView.java
@@ -20,7 +20,7 @@
   public static final long LEASE_MILLIS = 3_000;
 
   /** How long the last announcement of a server that has gone is remembered, in milliseconds. */
-  static final long TOMBSTONE_MILLIS = 3_600_000;
+  static final long TOMBSTONE_RETENTION_MILLIS = 3_600_000;
 
   /** Allowance for the time on the wire, added at each hop, in milliseconds. */
   public static final long HOP_ALLOWANCE_MILLIS = 5;
@@ -34,10 +34,10 @@
    *
    * @param ageMillis time since the server sent the announcement
    */
-  public record Aged(BackendAnnouncement announcement, long ageMillis) {}
+  public record AgedAnnouncement(BackendAnnouncement announcement, long ageMillis) {}
 
   /** Takes in an announcement that is {@code ageMillis} old; returns whether it is news. */
-  public boolean announced(BackendAnnouncement announcement, long ageMillis, long nowMillis) {
+  public boolean update(BackendAnnouncement announcement, long ageMillis, long nowMillis) {
     Entry known = entries.get(announcement.name());
     if (known != null && !announcement.isNewerThan(known.announcement())) {
       return false;
@@ -76,12 +76,12 @@
   }
 
   /** Returns the named servers' latest announcements, aged to now, to pass on to other hosts. */
-  public List<Aged> aged(Collection<String> names, long nowMillis) {
-    List<Aged> result = new ArrayList<>();
+  public List<AgedAnnouncement> agedAnnouncements(Collection<String> names, long nowMillis) {
+    List<AgedAnnouncement> result = new ArrayList<>();
     for (String name : names) {
       Entry entry = entries.get(name);
       if (entry != null) {
-        result.add(new Aged(entry.announcement(), nowMillis - entry.sentAtMillis()));
+        result.add(new AgedAnnouncement(entry.announcement(), nowMillis - entry.sentAtMillis()));
       }
     }
     return result;
@@ -92,9 +92,11 @@
     return List.copyOf(entries.keySet());
   }
 
-  /** Forgets servers that have been gone for {@link #TOMBSTONE_MILLIS}. */
-  public void forgetOld(long nowMillis) {
-    entries.values().removeIf(entry -> nowMillis - entry.sentAtMillis() > TOMBSTONE_MILLIS);
+  /** Forgets servers that have been gone for {@link #TOMBSTONE_RETENTION_MILLIS}. */
+  public void evictOldEntries(long nowMillis) {
+    entries
+        .values()
+        .removeIf(entry -> nowMillis - entry.sentAtMillis() > TOMBSTONE_RETENTION_MILLIS);
   }
 
   private static boolean isUsable(Entry entry, long nowMillis) {
--- a/src/main/java/org/curranthaven/internal/relay/Gateway.java
+++ b/src/main/java/org/curranthaven/internal/relay/Gateway.java
@@ -204,7 +204,8 @@
     switch (message.getPayloadCase()) {
       case SCHEDULER_VIEW -> link.received(from.getName(), message.getSchedulerView());
       case DISPATCH_ORDERS -> link.received(from.getName(), message.getDispatchOrders());
-      case KNOWN_HOSTS -> message.getKnownHosts().getControlAddressesList().forEach(network::learn);
+      case KNOWN_HOSTS ->
+          message.getKnownHosts().getControlAddressesList().forEach(network::addDiscoveredAddress);
       default -> {}
     }
   }
@@ -354,6 +355,6 @@
   }
 
   private List<String> connectedHosts() {
-    return network.connected().stream().map(HostRecord::getName).sorted().toList();
+    return network.connectedHosts().stream().map(HostRecord::getName).sorted().toList();
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -48,21 +48,21 @@
  * }</pre>
  */
 public final class ControlHost implements PeerListener {
-  private static final long GOSSIP_MILLIS = 1_000;
-  private static final long HANDOVER_MILLIS = 400;
-  private static final int GROUP = 0;
+  private static final long GOSSIP_INTERVAL_MILLIS = 1_000;
+  private static final long LEADERSHIP_TRANSFER_MILLIS = 400;
+  private static final int CONTROL_GROUP_ID = 0;
 
   private final RoutedSettings settings;
   private final WireProtocol protocol;
-  private final EventLoopGroup group;
-  private final EventLoop loop;
-  private final DataFolder folder;
+  private final EventLoopGroup eventLoopGroup;
+  private final EventLoop eventLoop;
+  private final DataFolder dataFolder;
   private final PeerNetwork network;
   private final ConsensusLoop consensus;
   private final LeadershipTracker leadership;
   private final Scheduler scheduler;
-  private final LeaderClient leader;
-  private final ControlServer server;
+  private final LeaderClient leaderClient;
+  private final ControlServer controlServer;
   private final long incarnation;
 
   /** Creates a host; it starts with {@link #start}. */
@@ -70,32 +70,34 @@
       RoutedSettings settings, WireProtocol protocol, DataFolder folder, Clock clock) {
     this.settings = settings;
     this.protocol = protocol;
-    this.folder = folder;
+    this.dataFolder = folder;
     this.incarnation = clock.epochMillis();
-    this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    this.loop = group.next();
+    this.eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    this.eventLoop = eventLoopGroup.next();
     RandomGenerator random = new SplittableRandom(folder.identity().hashCode() ^ System.nanoTime());
     List<String> contacts = settings.contactPeerAddresses();
-    this.network = new PeerNetwork(settings.peerAddress(), contacts, this::describe, this, group);
+    this.network =
+        new PeerNetwork(settings.peerAddress(), contacts, this::describeSelf, this, eventLoopGroup);
     this.consensus =
         new ConsensusLoop(
             new ConsensusLoop.Wiring(
                 folder,
-                GROUP + 1,
+                CONTROL_GROUP_ID + 1,
                 settings.firstStart() ? Set.copyOf(contacts) : Set.of(),
                 settings.votersWanted(),
                 groupId -> new FleetState(),
-                this::describe,
+                this::describeSelf,
                 this::connectedControlHosts,
                 (identity, batch) ->
                     network.sendToIdentity(identity, Envelope.newBuilder().setConsensus(batch)),
                 clock,
                 new SplittableRandom(random.nextLong())));
-    this.leadership = new LeadershipTracker(consensus, settings.votersWanted(), new Leading());
+    this.leadership =
+        new LeadershipTracker(consensus, settings.votersWanted(), new LeadershipListener());
     consensus.observe(leadership);
     this.scheduler =
         new Scheduler(
-            loop,
+            eventLoop,
             clock,
             random,
             new RetryLimits(
@@ -103,16 +105,20 @@
             settings.backendSilenceMillis(),
             this::connectedGateways,
             network::send);
-    this.leader = new LeaderClient(loop, clock, network, leadership::leaderHost);
-    this.server = new ControlServer(group, protocol, this::handle);
+    this.leaderClient = new LeaderClient(eventLoop, clock, network, leadership::leaderHost);
+    this.controlServer = new ControlServer(eventLoopGroup, protocol, this::handleControlRequest);
   }
 
   /** Starts to listen, to vote and to look for the other hosts. */
   public void start() throws InterruptedException {
     network.start();
     Thread.ofPlatform().daemon(true).name("consensus").start(this::runConsensus);
-    server.listen(Addresses.parse(String.valueOf(settings.controlAddress())));
-    loop.scheduleAtFixedRate(this::gossip, GOSSIP_MILLIS, GOSSIP_MILLIS, TimeUnit.MILLISECONDS);
+    controlServer.bind(Addresses.parse(String.valueOf(settings.controlAddress())));
+    eventLoop.scheduleAtFixedRate(
+        this::broadcastControlHosts,
+        GOSSIP_INTERVAL_MILLIS,
+        GOSSIP_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
     Logger.info("{} takes control calls at {}", settings.name(), settings.controlAddress());
   }
 
@@ -133,35 +139,35 @@
   public void drain() throws InterruptedException {
     Logger.info("{} hands over", settings.name());
     consensus.transferLeadership();
-    Thread.sleep(HANDOVER_MILLIS);
+    Thread.sleep(LEADERSHIP_TRANSFER_MILLIS);
   }
 
-  private HostRecord describe() {
+  private HostRecord describeSelf() {
     return HostRecord.newBuilder()
         .setName(settings.name())
         .setDataCentre(settings.dataCentre())
         .setPeerAddress(settings.peerAddress())
         .setIncarnation(incarnation)
         .setControl(true)
-        .setIdentity(folder.identity())
+        .setIdentity(dataFolder.identity())
         .setFormed(consensus.formed())
         .build();
   }
 
   private Collection<HostRecord> connectedControlHosts() {
-    return network.connected().stream().filter(HostRecord::getControl).toList();
+    return network.connectedHosts().stream().filter(HostRecord::getControl).toList();
   }
 
   private Collection<HostRecord> connectedGateways() {
-    return network.connected().stream().filter(host -> !host.getControl()).toList();
+    return network.connectedHosts().stream().filter(host -> !host.getControl()).toList();
   }
 
   /** Tells every host which control hosts there are. */
-  private void gossip() {
-    tellControlHosts(network.connected());
+  private void broadcastControlHosts() {
+    sendControlHosts(network.connectedHosts());
   }
 
-  private void tellControlHosts(Collection<HostRecord> hosts) {
+  private void sendControlHosts(Collection<HostRecord> hosts) {
     KnownHosts.Builder known = KnownHosts.newBuilder().addControlAddresses(settings.peerAddress());
     connectedControlHosts().forEach(control -> known.addControlAddresses(control.getPeerAddress()));
     KnownHosts built = known.build();
@@ -171,10 +177,10 @@
   }
 
   /** What the consensus thread tells, carried over to the event loop. */
-  private final class Leading implements LeadershipTracker.Listener {
+  private final class LeadershipListener implements LeadershipTracker.Listener {
     @Override
-    public void leads(long term) {
-      loop.execute(() -> scheduler.lead(term));
+    public void leadershipChanged(long term) {
+      eventLoop.execute(() -> scheduler.setTerm(term));
     }
 
     @Override
@@ -183,57 +189,62 @@
         case Outcome.Failed<Catalog> failed ->
             Logger.error("a catalog that was accepted cannot be read: {}", failed.failure());
         case Outcome.Success<Catalog> success ->
-            loop.execute(() -> scheduler.catalogApplied(success.value(), document));
+            eventLoop.execute(() -> scheduler.applyCatalog(success.value(), document));
       }
     }
   }
 
   // ---- control calls ----------------------------------------------------------------------------
 
-  private void handle(ControlRequest call, Consumer<ControlResponse> answer) {
+  private void handleControlRequest(ControlRequest call, Consumer<ControlResponse> answer) {
     switch (call) {
       case ControlRequest.Register register ->
-          leader.ask(
+          leaderClient.send(
               LeaderClient.REGISTER,
               register.backend().toByteString(),
-              LeaderClient.REGISTRATION_MILLIS,
+              LeaderClient.REGISTRATION_TIMEOUT_MILLIS,
               answer);
       case ControlRequest.Withdraw withdraw ->
-          leader.ask(
+          leaderClient.send(
               LeaderClient.WITHDRAW,
               ByteString.copyFromUtf8(withdraw.id()),
-              LeaderClient.REGISTRATION_MILLIS,
+              LeaderClient.REGISTRATION_TIMEOUT_MILLIS,
               answer);
-      case ControlRequest.ReplaceCatalog replace -> replace(replace, answer);
+      case ControlRequest.ReplaceCatalog replace -> replaceCatalog(replace, answer);
       case ControlRequest.ReadCatalog ignored ->
-          leader.ask(LeaderClient.READ_CATALOG, ByteString.EMPTY, LeaderClient.READ_MILLIS, answer);
+          leaderClient.send(
+              LeaderClient.READ_CATALOG,
+              ByteString.EMPTY,
+              LeaderClient.READ_TIMEOUT_MILLIS,
+              answer);
       case ControlRequest.Invalid invalid ->
-          answer.accept(ControlResponse.refused(invalid.status(), invalid.message()));
+          answer.accept(ControlResponse.error(invalid.status(), invalid.message()));
     }
   }
 
-  private void replace(ControlRequest.ReplaceCatalog replace, Consumer<ControlResponse> answer) {
+  private void replaceCatalog(
+      ControlRequest.ReplaceCatalog replace, Consumer<ControlResponse> answer) {
     switch (protocol.catalogs().decode(replace.document())) {
       case Outcome.Failed<Catalog> failed ->
-          answer.accept(ControlResponse.refused(400, failed.failure().sentence()));
+          answer.accept(ControlResponse.error(400, failed.failure().sentence()));
       case Outcome.Success<Catalog> success ->
-          leader.ask(
+          leaderClient.send(
               LeaderClient.REPLACE_CATALOG,
               Json.write(
                   new FleetCommand.ReplaceCatalog(success.value().revision(), replace.document())),
-              LeaderClient.CHANGE_MILLIS,
+              LeaderClient.CHANGE_TIMEOUT_MILLIS,
               answer);
     }
   }
 
   /** Answers what another control host, or this one, asks the leader. */
-  private void answerAsLeader(HostRecord from, AdminRequest request) {
+  private void handleAsLeader(HostRecord from, AdminRequest request) {
     Consumer<AdminReply.Builder> reply =
         built ->
             network.send(
                 from.getName(),
                 Envelope.newBuilder().setAdminReply(built.setRequestId(request.getRequestId())));
-    if (!scheduler.leads()) {
+    if (!scheduler.isLeading()) {
       reply.accept(AdminReply.newBuilder().setStatus(LeaderClient.NOT_LEADER));
       return;
     }
@@ -243,15 +254,15 @@
                 AdminReply.newBuilder()
                     .setStatus(accepted ? LeaderClient.OK : LeaderClient.NOT_LEADER));
     switch (request.getPath()) {
-      case LeaderClient.REGISTER -> register(request.getJson(), done);
+      case LeaderClient.REGISTER -> registerAsLeader(request.getJson(), done);
       case LeaderClient.WITHDRAW -> scheduler.withdraw(request.getJson().toStringUtf8(), done);
-      case LeaderClient.REPLACE_CATALOG -> replaceAsLeader(request.getJson(), done);
-      case LeaderClient.READ_CATALOG -> readAsLeader(reply);
-      default -> reply.accept(AdminReply.newBuilder().setStatus(LeaderClient.UNKNOWN));
+      case LeaderClient.REPLACE_CATALOG -> replaceCatalogAsLeader(request.getJson(), done);
+      case LeaderClient.READ_CATALOG -> readCatalogAsLeader(reply);
+      default -> reply.accept(AdminReply.newBuilder().setStatus(LeaderClient.UNKNOWN_PATH));
     }
   }
 
-  private void register(ByteString record, Consumer<Boolean> done) {
+  private void registerAsLeader(ByteString record, Consumer<Boolean> done) {
     try {
       scheduler.register(BackendRecord.parseFrom(record), done);
     } catch (InvalidProtocolBufferException e) {
@@ -260,21 +271,21 @@
     }
   }
 
-  private void replaceAsLeader(ByteString command, Consumer<Boolean> done) {
-    if (!leadership.isAtFullStrength()) {
+  private void replaceCatalogAsLeader(ByteString command, Consumer<Boolean> done) {
+    if (!leadership.canAcceptCatalogs()) {
       done.accept(false);
       return;
     }
     consensus.propose(
-        GROUP,
+        CONTROL_GROUP_ID,
         command,
         reply -> {
           boolean applied = reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED;
           long revision = applied ? Json.read(reply.getResult(), Long.class) : 0;
-          loop.execute(
+          eventLoop.execute(
               () -> {
                 if (applied) {
-                  scheduler.awaitCatalog(revision, done);
+                  scheduler.notifyWhenCatalogActive(revision, done);
                 } else {
                   done.accept(false);
                 }
@@ -282,17 +293,17 @@
         });
   }
 
-  private void readAsLeader(Consumer<AdminReply.Builder> answer) {
+  private void readCatalogAsLeader(Consumer<AdminReply.Builder> answer) {
     consensus.propose(
-        GROUP,
+        CONTROL_GROUP_ID,
         Json.write(new FleetCommand.ReadCatalog()),
         reply -> {
           boolean applied = reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED;
           AdminReply.Builder built = AdminReply.newBuilder().setStatus(LeaderClient.NOT_LEADER);
-          if (applied && consensus.machine(GROUP) instanceof FleetState state) {
+          if (applied && consensus.machine(CONTROL_GROUP_ID) instanceof FleetState state) {
             built.setStatus(LeaderClient.OK).setJson(state.catalog().document());
           }
-          loop.execute(() -> answer.accept(built));
+          eventLoop.execute(() -> answer.accept(built));
         });
   }
 
@@ -302,11 +313,12 @@
   public void received(HostRecord from, Envelope message) {
     switch (message.getPayloadCase()) {
       case CONSENSUS -> consensus.receive(message.getFromIdentity(), message.getConsensus());
-      case KNOWN_HOSTS -> message.getKnownHosts().getControlAddressesList().forEach(network::learn);
-      case GATEWAY_STATUS -> scheduler.received(from, message.getGatewayStatus());
-      case DISPATCH_REQUESTS -> scheduler.received(from, message.getDispatchRequests());
-      case ADMIN_REQUEST -> answerAsLeader(from, message.getAdminRequest());
-      case ADMIN_REPLY -> leader.received(message.getAdminReply());
+      case KNOWN_HOSTS ->
+          message.getKnownHosts().getControlAddressesList().forEach(network::addDiscoveredAddress);
+      case GATEWAY_STATUS -> scheduler.handleStatus(from, message.getGatewayStatus());
+      case DISPATCH_REQUESTS -> scheduler.handleRequests(from, message.getDispatchRequests());
+      case ADMIN_REQUEST -> handleAsLeader(from, message.getAdminRequest());
+      case ADMIN_REPLY -> leaderClient.handleReply(message.getAdminReply());
       default -> {}
     }
   }
@@ -315,11 +327,11 @@
   public void connected(HostRecord host) {
     Logger.info("connected to {}", host.getName());
     if (host.getControl()) {
-      loop.execute(this::gossip);
+      eventLoop.execute(this::broadcastControlHosts);
     } else {
-      loop.execute(
+      eventLoop.execute(
           () -> {
-            tellControlHosts(List.of(host));
+            sendControlHosts(List.of(host));
             scheduler.gatewayConnected(host);
           });
     }
@@ -329,7 +341,7 @@
   public void disconnected(HostRecord host) {
     Logger.info("the connection to {} is gone", host.getName());
     if (!host.getControl()) {
-      loop.execute(() -> scheduler.gatewayGone(host));
+      eventLoop.execute(() -> scheduler.gatewayDisconnected(host));
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlResponse.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlResponse.java
@@ -10,7 +10,7 @@
  */
 @SuppressWarnings("ArrayRecordComponent")
 record ControlResponse(int status, byte[] body) {
-  private record Message(String error) {}
+  private record ErrorBody(String error) {}
 
   /** Returns the answer to a call that was carried out. */
   static ControlResponse ok() {
@@ -18,7 +18,7 @@
   }
 
   /** Returns the answer to a call that was not carried out. */
-  static ControlResponse refused(int status, String message) {
-    return new ControlResponse(status, Json.write(new Message(message)).toByteArray());
+  static ControlResponse error(int status, String message) {
+    return new ControlResponse(status, Json.write(new ErrorBody(message)).toByteArray());
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlServer.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlServer.java
@@ -32,7 +32,7 @@
   private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
   private static final int READ_TIMEOUT_SECONDS = 30;
 
-  private final EventLoopGroup group;
+  private final EventLoopGroup eventLoopGroup;
   private final WireProtocol protocol;
   private final BiConsumer<ControlRequest, Consumer<ControlResponse>> handler;
 
@@ -40,14 +40,14 @@
       EventLoopGroup group,
       WireProtocol protocol,
       BiConsumer<ControlRequest, Consumer<ControlResponse>> handler) {
-    this.group = group;
+    this.eventLoopGroup = group;
     this.protocol = protocol;
     this.handler = handler;
   }
 
-  void listen(InetSocketAddress address) throws InterruptedException {
+  void bind(InetSocketAddress address) throws InterruptedException {
     new ServerBootstrap()
-        .group(group)
+        .group(eventLoopGroup)
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -60,7 +60,7 @@
                     .addLast(new ReadTimeoutHandler(READ_TIMEOUT_SECONDS))
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(MAX_BODY_BYTES, true))
-                    .addLast(new Calls());
+                    .addLast(new RequestHandler());
               }
             })
         .bind(address)
@@ -68,8 +68,8 @@
   }
 
   /** Answers the calls of one connection. */
-  private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
-    Calls() {
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    RequestHandler() {
       super(FullHttpRequest.class);
     }
 
@@ -78,9 +78,7 @@
       boolean keepAlive = HttpUtil.isKeepAlive(request);
       if (request.decoderResult().isFailure()) {
         write(
-            context,
-            ControlResponse.refused(400, "the request is not HTTP as it should be"),
-            false);
+            context, ControlResponse.error(400, "the request is not HTTP as it should be"), false);
         return;
       }
       handler.accept(
--- a/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
@@ -25,41 +25,42 @@
 
   static final int OK = 200;
   static final int NOT_LEADER = 421;
-  static final int UNKNOWN = 404;
+  static final int UNKNOWN_PATH = 404;
 
   /** Time for a registration: backend servers turn to another host after a second. */
-  static final long REGISTRATION_MILLIS = 850;
+  static final long REGISTRATION_TIMEOUT_MILLIS = 850;
 
-  static final long READ_MILLIS = 900;
-  static final long CHANGE_MILLIS = 3_000;
+  static final long READ_TIMEOUT_MILLIS = 900;
+  static final long CHANGE_TIMEOUT_MILLIS = 3_000;
 
-  private static final long RETRY_MILLIS = 60;
-  private static final long TRY_MILLIS = 700;
+  private static final long RETRY_DELAY_MILLIS = 60;
+  private static final long ATTEMPT_TIMEOUT_MILLIS = 700;
 
   private final EventLoop loop;
   private final Clock clock;
   private final PeerNetwork network;
   private final Supplier<String> leaderHost;
-  private final Map<Long, Pending> open = new HashMap<>();
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
   private long nextRequestId = 1;
 
   /** A call that waits for the leader's answer. */
-  private static final class Pending {
+  private static final class PendingRequest {
     final String path;
     final ByteString body;
-    final long endsAtMillis;
-    final Consumer<ControlResponse> answer;
+    final long deadlineMillis;
+    final Consumer<ControlResponse> callback;
 
-    Pending(String path, ByteString body, long endsAtMillis, Consumer<ControlResponse> answer) {
+    PendingRequest(
+        String path, ByteString body, long endsAtMillis, Consumer<ControlResponse> answer) {
       this.path = path;
       this.body = body;
-      this.endsAtMillis = endsAtMillis;
-      this.answer = answer;
+      this.deadlineMillis = endsAtMillis;
+      this.callback = answer;
     }
 
     /** Returns how long one sending waits: a change waits for every gateway. */
-    long tryMillis() {
-      return path.equals(REPLACE_CATALOG) ? CHANGE_MILLIS : TRY_MILLIS;
+    long attemptTimeoutMillis() {
+      return path.equals(REPLACE_CATALOG) ? CHANGE_TIMEOUT_MILLIS : ATTEMPT_TIMEOUT_MILLIS;
     }
   }
 
@@ -71,19 +72,19 @@
   }
 
   /** Asks the leader; the answer is 503 if none answered in time. */
-  void ask(String path, ByteString body, long timeoutMillis, Consumer<ControlResponse> answer) {
-    attempt(new Pending(path, body, clock.nowMillis() + timeoutMillis, answer));
+  void send(String path, ByteString body, long timeoutMillis, Consumer<ControlResponse> answer) {
+    sendAttempt(new PendingRequest(path, body, clock.nowMillis() + timeoutMillis, answer));
   }
 
-  private void attempt(Pending pending) {
+  private void sendAttempt(PendingRequest pending) {
     long nowMillis = clock.nowMillis();
-    if (nowMillis >= pending.endsAtMillis) {
-      pending.answer.accept(ControlResponse.refused(503, "no leader answered; send it again"));
+    if (nowMillis >= pending.deadlineMillis) {
+      pending.callback.accept(ControlResponse.error(503, "no leader answered; send it again"));
       return;
     }
     String leader = leaderHost.get();
     long requestId = nextRequestId++;
-    open.put(requestId, pending);
+    pendingRequests.put(requestId, pending);
     AdminRequest request =
         AdminRequest.newBuilder()
             .setRequestId(requestId)
@@ -93,36 +94,39 @@
     boolean sent =
         !leader.isEmpty() && network.send(leader, Envelope.newBuilder().setAdminRequest(request));
     long wait =
-        sent ? Math.min(pending.tryMillis(), pending.endsAtMillis - nowMillis) : RETRY_MILLIS;
-    loop.schedule(() -> timedOut(requestId), Math.max(1, wait), TimeUnit.MILLISECONDS);
+        sent
+            ? Math.min(pending.attemptTimeoutMillis(), pending.deadlineMillis - nowMillis)
+            : RETRY_DELAY_MILLIS;
+    loop.schedule(() -> attemptTimedOut(requestId), Math.max(1, wait), TimeUnit.MILLISECONDS);
   }
 
-  private void timedOut(long requestId) {
-    Pending pending = open.remove(requestId);
+  private void attemptTimedOut(long requestId) {
+    PendingRequest pending = pendingRequests.remove(requestId);
     if (pending != null) {
-      attempt(pending);
+      sendAttempt(pending);
     }
   }
 
   /** Takes in the leader's answer. */
-  void received(AdminReply reply) {
-    Pending pending = open.remove(reply.getRequestId());
+  void handleReply(AdminReply reply) {
+    PendingRequest pending = pendingRequests.remove(reply.getRequestId());
     if (pending == null) {
       return;
     }
     switch (reply.getStatus()) {
       case OK ->
-          pending.answer.accept(
+          pending.callback.accept(
               reply.getJson().isEmpty()
-                  ? empty(pending.path)
+                  ? emptyResponse(pending.path)
                   : new ControlResponse(OK, reply.getJson().toByteArray()));
-      default -> loop.schedule(() -> attempt(pending), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+      default ->
+          loop.schedule(() -> sendAttempt(pending), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private static ControlResponse empty(String path) {
+  private static ControlResponse emptyResponse(String path) {
     return path.equals(READ_CATALOG)
-        ? ControlResponse.refused(503, "there is no catalog yet")
+        ? ControlResponse.error(503, "there is no catalog yet")
         : ControlResponse.ok();
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
@@ -13,24 +13,24 @@
  * when the catalog changes.
  */
 final class LeadershipTracker implements GroupObserver {
-  private static final int GROUP = 0;
+  private static final int CONTROL_GROUP_ID = 0;
 
   /** Time after which a leader that finds no further control host accepts catalogs all the same. */
-  private static final long FULL_STRENGTH_WAIT_MILLIS = 8_000;
+  private static final long MISSING_VOTERS_GRACE_MILLIS = 8_000;
 
   private final ConsensusLoop consensus;
   private final int votersWanted;
   private final Listener listener;
   private volatile String leaderHost = "";
-  private volatile boolean atFullStrength;
+  private volatile boolean catalogsAccepted;
   private long leadingTerm;
   private long leadingSinceMillis;
-  private long announcedRevision;
+  private long publishedRevision;
 
   /** Is told on the consensus thread. */
   interface Listener {
     /** This host leads in the term; 0 when it does not. */
-    void leads(long term);
+    void leadershipChanged(long term);
 
     /** A catalog document was applied. */
     void catalogApplied(long revision, ByteString document);
@@ -48,44 +48,44 @@
   }
 
   /** Returns whether enough hosts vote to bear the tolerated losses. Thread-safe. */
-  boolean isAtFullStrength() {
-    return atFullStrength;
+  boolean canAcceptCatalogs() {
+    return catalogsAccepted;
   }
 
   @Override
   public void applied(int groupId, long index, long nowMillis) {
-    if (consensus.machine(GROUP) instanceof FleetState state
-        && state.catalog().revision() > announcedRevision) {
-      announcedRevision = state.catalog().revision();
-      listener.catalogApplied(announcedRevision, state.catalog().document());
+    if (consensus.machine(CONTROL_GROUP_ID) instanceof FleetState state
+        && state.catalog().revision() > publishedRevision) {
+      publishedRevision = state.catalog().revision();
+      listener.catalogApplied(publishedRevision, state.catalog().document());
     }
   }
 
   @Override
   public void roleChanged(int groupId, RaftDecision.RoleChanged change, long nowMillis) {
-    leaderHost = consensus.leaderHost(GROUP);
+    leaderHost = consensus.leaderHost(CONTROL_GROUP_ID);
     if (change.role() != RaftRole.LEADER) {
-      setLeading(0, nowMillis);
+      updateLeadership(0, nowMillis);
     }
   }
 
   @Override
   public void tick(long nowMillis) {
-    RaftCore core = consensus.core(GROUP);
+    RaftCore core = consensus.core(CONTROL_GROUP_ID);
     boolean leads = core != null && core.hasLease(nowMillis);
-    leaderHost = consensus.leaderHost(GROUP);
-    setLeading(core != null && leads ? core.term() : 0, nowMillis);
+    leaderHost = consensus.leaderHost(CONTROL_GROUP_ID);
+    updateLeadership(core != null && leads ? core.term() : 0, nowMillis);
     boolean enough =
         core != null && core.votersCommitted() && core.voters().getVotersCount() >= votersWanted;
-    atFullStrength =
-        leads && (enough || nowMillis - leadingSinceMillis > FULL_STRENGTH_WAIT_MILLIS);
+    catalogsAccepted =
+        leads && (enough || nowMillis - leadingSinceMillis > MISSING_VOTERS_GRACE_MILLIS);
   }
 
-  private void setLeading(long term, long nowMillis) {
+  private void updateLeadership(long term, long nowMillis) {
     if (term != leadingTerm) {
       leadingTerm = term;
       leadingSinceMillis = nowMillis;
-      listener.leads(term);
+      listener.leadershipChanged(term);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -41,11 +41,11 @@
  * scheduler rebuilds it from the gateways. Used on the event loop only.
  */
 final class Scheduler {
-  private static final long HEARTBEAT_MILLIS = 130;
-  private static final long WAITING_TICK_MILLIS = 40;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 130;
+  private static final long QUEUED_TICK_INTERVAL_MILLIS = 40;
 
   /** Longest time for which a new scheduler waits for the gateways to tell what they have open. */
-  private static final long REBUILD_MILLIS = 250;
+  private static final long MAX_REBUILD_MILLIS = 250;
 
   /** Shortest such time: gateways that lost their connection with the old scheduler come back. */
   static final long MIN_REBUILD_MILLIS = 100;
@@ -54,22 +54,22 @@
   private final Clock clock;
   private final RandomGenerator random;
   private final RetryLimits retryLimits;
-  private final long backendSilenceMillis;
+  private final long backendTimeoutMillis;
   private final Supplier<Collection<HostRecord>> gateways;
   private final BiConsumer<String, Envelope.Builder> sender;
-  private final Map<String, GatewayView> views = new HashMap<>();
-  private final List<Waiter> waiters = new ArrayList<>();
-  private final List<Runnable> held = new ArrayList<>();
+  private final Map<String, GatewayView> gatewayViews = new HashMap<>();
+  private final List<PendingAcknowledgement> pendingAcknowledgements = new ArrayList<>();
+  private final List<Runnable> deferredActions = new ArrayList<>();
   private Catalog catalog = Catalog.empty();
-  private ByteString document = ByteString.EMPTY;
+  private ByteString catalogDocument = ByteString.EMPTY;
   private DispatchCore core;
-  private BackendRegistry table = new BackendRegistry();
+  private BackendRegistry registry = new BackendRegistry();
   private long term;
-  private long version;
-  private long begunAtMillis;
+  private long viewVersion;
+  private long startedAtMillis;
   private boolean rebuilding;
   private long lastHeartbeatMillis;
-  private boolean ticking;
+  private boolean tickScheduled;
 
   /** What is known of a gateway. */
   private static final class GatewayView {
@@ -80,7 +80,8 @@
   }
 
   /** Something that is answered once every gateway has the news. */
-  private record Waiter(long version, long catalogRevision, Consumer<Boolean> answer) {}
+  private record PendingAcknowledgement(
+      long version, long catalogRevision, Consumer<Boolean> callback) {}
 
   Scheduler(
       EventLoop loop,
@@ -94,90 +95,90 @@
     this.clock = clock;
     this.random = random;
     this.retryLimits = retryLimits;
-    this.backendSilenceMillis = backendSilenceMillis;
+    this.backendTimeoutMillis = backendSilenceMillis;
     this.gateways = gateways;
     this.sender = sender;
     this.core = new DispatchCore(retryLimits, 1, random);
   }
 
-  boolean leads() {
+  boolean isLeading() {
     return term > 0;
   }
 
   // ---- leadership -------------------------------------------------------------------------------
 
   /** Begins to schedule in a term, or ceases to if it is 0. */
-  void lead(long newTerm) {
+  void setTerm(long newTerm) {
     if (term > 0) {
-      stop();
+      stopScheduling();
     }
     term = newTerm;
     if (term > 0) {
-      begin();
+      startScheduling();
     }
   }
 
-  private void begin() {
+  private void startScheduling() {
     Logger.info("scheduling in term {}", term);
     long nowMillis = clock.nowMillis();
     core = new DispatchCore(retryLimits, 1, random);
     core.setCatalog(catalog);
-    table = new BackendRegistry();
-    views.clear();
-    version = 1;
-    begunAtMillis = nowMillis;
+    registry = new BackendRegistry();
+    gatewayViews.clear();
+    viewVersion = 1;
+    startedAtMillis = nowMillis;
     rebuilding = true;
-    loop.schedule(this::endRebuildIfInformed, MIN_REBUILD_MILLIS, TimeUnit.MILLISECONDS);
-    loop.schedule(this::endRebuildIfInformed, REBUILD_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::endRebuildIfComplete, MIN_REBUILD_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::endRebuildIfComplete, MAX_REBUILD_MILLIS, TimeUnit.MILLISECONDS);
     heartbeat(nowMillis);
-    if (!ticking) {
-      ticking = true;
+    if (!tickScheduled) {
+      tickScheduled = true;
       tick();
     }
   }
 
-  private void stop() {
+  private void stopScheduling() {
     Logger.info("no longer scheduling in term {}", term);
     SchedulerView.Builder view = SchedulerView.newBuilder().setTerm(term).setResigned(true);
     for (HostRecord gateway : gateways.get()) {
       sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(view));
     }
-    List<Waiter> open = List.copyOf(waiters);
-    waiters.clear();
-    open.forEach(waiter -> waiter.answer().accept(false));
-    held.clear();
+    List<PendingAcknowledgement> open = List.copyOf(pendingAcknowledgements);
+    pendingAcknowledgements.clear();
+    open.forEach(waiter -> waiter.callback().accept(false));
+    deferredActions.clear();
     rebuilding = false;
   }
 
   /** Ends the rebuilding once every connected gateway has told its state, or its time is up. */
-  private void endRebuildIfInformed() {
-    long tookMillis = clock.nowMillis() - begunAtMillis;
+  private void endRebuildIfComplete() {
+    long tookMillis = clock.nowMillis() - startedAtMillis;
     Collection<HostRecord> connected = gateways.get();
     boolean informed =
         tookMillis >= MIN_REBUILD_MILLIS
             && !connected.isEmpty()
             && connected.stream().allMatch(gateway -> viewOf(gateway).synced);
-    if (rebuilding && (informed || tookMillis >= REBUILD_MILLIS)) {
+    if (rebuilding && (informed || tookMillis >= MAX_REBUILD_MILLIS)) {
       endRebuild();
     }
   }
 
   private void endRebuild() {
     rebuilding = false;
-    List<Runnable> ready = List.copyOf(held);
-    held.clear();
-    version++;
+    List<Runnable> ready = List.copyOf(deferredActions);
+    deferredActions.clear();
+    viewVersion++;
     ready.forEach(Runnable::run);
     for (HostRecord gateway : gateways.get()) {
-      sendFull(gateway);
+      sendFullView(gateway);
     }
-    flush();
+    sendDecisions();
   }
 
   /** Runs an action now, or once the state is rebuilt. */
-  private void whenRebuilt(Runnable action) {
+  private void runAfterRebuild(Runnable action) {
     if (rebuilding) {
-      held.add(action);
+      deferredActions.add(action);
     } else {
       action.run();
     }
@@ -187,91 +188,92 @@
 
   private void tick() {
     if (term == 0) {
-      ticking = false;
+      tickScheduled = false;
       return;
     }
     long nowMillis = clock.nowMillis();
-    if (nowMillis - lastHeartbeatMillis >= HEARTBEAT_MILLIS) {
+    if (nowMillis - lastHeartbeatMillis >= HEARTBEAT_INTERVAL_MILLIS) {
       heartbeat(nowMillis);
-      dropSilent(nowMillis);
+      removeUnresponsiveBackends(nowMillis);
     }
     core.tick(nowMillis);
-    flush();
-    checkWaiters();
-    long delay = core.queuedRequests() > 0 ? WAITING_TICK_MILLIS : HEARTBEAT_MILLIS;
+    sendDecisions();
+    completeAcknowledged();
+    long delay =
+        core.queuedRequests() > 0 ? QUEUED_TICK_INTERVAL_MILLIS : HEARTBEAT_INTERVAL_MILLIS;
     loop.schedule(this::tick, delay, TimeUnit.MILLISECONDS);
   }
 
   private void heartbeat(long nowMillis) {
     lastHeartbeatMillis = nowMillis;
-    gateways.get().forEach(this::tellView);
+    gateways.get().forEach(this::sendView);
   }
 
-  private void tellView(HostRecord gateway) {
+  private void sendView(HostRecord gateway) {
     GatewayView view = viewOf(gateway);
-    boolean behind = view.version < version && !rebuilding;
+    boolean behind = view.version < viewVersion && !rebuilding;
     if (behind && view.synced) {
-      sendFull(gateway);
+      sendFullView(gateway);
     } else {
-      sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(base(view)));
+      sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(newView(view)));
     }
   }
 
   /** Called when a connection to a gateway is up: it is told who schedules without waiting. */
   void gatewayConnected(HostRecord gateway) {
     if (term > 0) {
-      tellView(gateway);
+      sendView(gateway);
     }
   }
 
   private GatewayView viewOf(HostRecord gateway) {
-    GatewayView view = views.computeIfAbsent(gateway.getName(), name -> new GatewayView());
+    GatewayView view = gatewayViews.computeIfAbsent(gateway.getName(), name -> new GatewayView());
     if (view.incarnation != gateway.getIncarnation()) {
       view = new GatewayView();
       view.incarnation = gateway.getIncarnation();
-      views.put(gateway.getName(), view);
+      gatewayViews.put(gateway.getName(), view);
       core.removeGateway(gateway.getName(), clock.nowMillis());
     }
     return view;
   }
 
-  private SchedulerView.Builder base(GatewayView view) {
+  private SchedulerView.Builder newView(GatewayView view) {
     SchedulerView.Builder builder =
         SchedulerView.newBuilder()
             .setTerm(term)
             .setCatalogRevision(catalog.revision())
             .setGateways(Math.max(1, gateways.get().size()));
     if (view.catalogRevision < catalog.revision()) {
-      builder.setCatalog(document);
+      builder.setCatalog(catalogDocument);
     }
     return builder;
   }
 
-  private void sendFull(HostRecord gateway) {
+  private void sendFullView(HostRecord gateway) {
     SchedulerView.Builder builder =
-        base(viewOf(gateway))
-            .setVersion(version)
-            .addAllBackends(table.all())
-            .addAllGone(table.removedIds());
+        newView(viewOf(gateway))
+            .setVersion(viewVersion)
+            .addAllBackends(registry.all())
+            .addAllGone(registry.removedIds());
     sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(builder));
   }
 
-  private void dropSilent(long nowMillis) {
-    List<String> silent = table.removeExpired(backendSilenceMillis, nowMillis);
+  private void removeUnresponsiveBackends(long nowMillis) {
+    List<String> silent = registry.removeExpired(backendTimeoutMillis, nowMillis);
     if (silent.isEmpty()) {
       return;
     }
     Logger.info("backend servers {} are silent", silent);
     silent.forEach(id -> core.removeBackend(id, nowMillis));
-    version++;
-    gateways.get().forEach(this::sendFull);
-    flush();
+    viewVersion++;
+    gateways.get().forEach(this::sendFullView);
+    sendDecisions();
   }
 
   // ---- gateways ---------------------------------------------------------------------------------
 
   /** Takes in a gateway's status. */
-  void received(HostRecord from, GatewayStatus status) {
+  void handleStatus(HostRecord from, GatewayStatus status) {
     if (status.getTerm() != term || term == 0) {
       return;
     }
@@ -283,18 +285,18 @@
       restore(from, status, nowMillis);
       view.synced = true;
       if (rebuilding) {
-        endRebuildIfInformed();
+        endRebuildIfComplete();
       } else {
-        sendFull(from);
+        sendFullView(from);
       }
     }
-    checkWaiters();
+    completeAcknowledged();
   }
 
   private void restore(HostRecord from, GatewayStatus status, long nowMillis) {
-    status.getGoneList().forEach(id -> table.remove(id, nowMillis));
+    status.getGoneList().forEach(id -> registry.remove(id, nowMillis));
     for (BackendRecord record : status.getBackendsList()) {
-      BackendRecord changed = table.restore(record, nowMillis);
+      BackendRecord changed = registry.restore(record, nowMillis);
       if (changed != null) {
         core.updateBackend(changed, nowMillis);
       }
@@ -305,18 +307,18 @@
       RequestId key = new RequestId(from.getName(), open.getAsk().getId());
       core.restoreRunning(key, open.getAsk(), open.getBackend(), open.getOutputTokens(), nowMillis);
     }
-    flush();
+    sendDecisions();
   }
 
   /** Takes in calls to place, and what became of others. */
-  void received(HostRecord from, DispatchRequests requests) {
+  void handleRequests(HostRecord from, DispatchRequests requests) {
     if (requests.getTerm() != term || term == 0) {
       return;
     }
-    whenRebuilt(() -> handle(from.getName(), requests));
+    runAfterRebuild(() -> applyRequests(from.getName(), requests));
   }
 
-  private void handle(String gateway, DispatchRequests requests) {
+  private void applyRequests(String gateway, DispatchRequests requests) {
     long nowMillis = clock.nowMillis();
     for (DispatchEnd end : requests.getEndsList()) {
       core.requestEnded(
@@ -334,23 +336,23 @@
         waiting.addWaiting(ask.getId());
       }
     }
-    flush();
+    sendDecisions();
     if (waiting.getWaitingCount() > 0) {
       sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(waiting));
     }
   }
 
   /** Called when the connection to a gateway is gone. */
-  void gatewayGone(HostRecord gateway) {
+  void gatewayDisconnected(HostRecord gateway) {
     if (term > 0) {
-      views.remove(gateway.getName());
+      gatewayViews.remove(gateway.getName());
       core.removeGateway(gateway.getName(), clock.nowMillis());
-      flush();
-      checkWaiters();
+      sendDecisions();
+      completeAcknowledged();
     }
   }
 
-  private void flush() {
+  private void sendDecisions() {
     Map<String, DispatchOrders.Builder> orders = new LinkedHashMap<>();
     for (DispatchDecision decision : core.drainDecisions()) {
       DispatchOrders.Builder order =
@@ -390,10 +392,10 @@
       answer.accept(false);
       return;
     }
-    whenRebuilt(
+    runAfterRebuild(
         () -> {
           long nowMillis = clock.nowMillis();
-          BackendRecord changed = table.register(news, nowMillis);
+          BackendRecord changed = registry.register(news, nowMillis);
           if (changed != null) {
             Logger.info(
                 "backend server {} of {} {}",
@@ -401,10 +403,10 @@
                 changed.getService(),
                 changed.getLeaving() ? "leaves" : "registered");
             core.updateBackend(changed, nowMillis);
-            push(List.of(changed), List.of());
+            pushBackendChange(List.of(changed), List.of());
           }
           if (news.getLeaving()) {
-            await(version, 0, answer);
+            notifyWhenAcknowledged(viewVersion, 0, answer);
           } else {
             answer.accept(true);
           }
@@ -417,68 +419,68 @@
       answer.accept(false);
       return;
     }
-    whenRebuilt(
+    runAfterRebuild(
         () -> {
           long nowMillis = clock.nowMillis();
-          if (table.remove(id, nowMillis)) {
+          if (registry.remove(id, nowMillis)) {
             Logger.info("backend server {} is gone", id);
             core.removeBackend(id, nowMillis);
-            push(List.of(), List.of(id));
+            pushBackendChange(List.of(), List.of(id));
           }
-          await(version, 0, answer);
+          notifyWhenAcknowledged(viewVersion, 0, answer);
         });
   }
 
-  private void push(List<BackendRecord> changed, List<String> gone) {
-    long before = version;
-    version++;
+  private void pushBackendChange(List<BackendRecord> changed, List<String> gone) {
+    long before = viewVersion;
+    viewVersion++;
     for (HostRecord gateway : gateways.get()) {
       GatewayView view = viewOf(gateway);
       SchedulerView.Builder builder =
-          base(view)
-              .setVersion(version)
+          newView(view)
+              .setVersion(viewVersion)
               .setBaseVersion(before)
               .addAllBackends(changed)
               .addAllGone(gone);
       sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(builder));
     }
-    flush();
+    sendDecisions();
   }
 
   // ---- catalog ----------------------------------------------------------------------------------
 
   /** Puts a committed catalog into force and tells the gateways. */
-  void catalogApplied(Catalog newer, ByteString newDocument) {
+  void applyCatalog(Catalog newer, ByteString newDocument) {
     if (newer.revision() <= catalog.revision()) {
       return;
     }
     catalog = newer;
-    document = newDocument;
+    catalogDocument = newDocument;
     core.setCatalog(newer);
     if (term > 0) {
       for (HostRecord gateway : gateways.get()) {
         sender.accept(
-            gateway.getName(), Envelope.newBuilder().setSchedulerView(base(viewOf(gateway))));
+            gateway.getName(), Envelope.newBuilder().setSchedulerView(newView(viewOf(gateway))));
       }
     }
   }
 
   /** Answers once every gateway has the revision in force. */
-  void awaitCatalog(long revision, Consumer<Boolean> answer) {
+  void notifyWhenCatalogActive(long revision, Consumer<Boolean> answer) {
     if (term == 0) {
       answer.accept(false);
     } else {
-      await(0, revision, answer);
+      notifyWhenAcknowledged(0, revision, answer);
     }
   }
 
-  private void await(long wantedVersion, long revision, Consumer<Boolean> answer) {
-    waiters.add(new Waiter(wantedVersion, revision, answer));
-    checkWaiters();
+  private void notifyWhenAcknowledged(long wantedVersion, long revision, Consumer<Boolean> answer) {
+    pendingAcknowledgements.add(new PendingAcknowledgement(wantedVersion, revision, answer));
+    completeAcknowledged();
   }
 
-  private void checkWaiters() {
-    if (waiters.isEmpty()) {
+  private void completeAcknowledged() {
+    if (pendingAcknowledgements.isEmpty()) {
       return;
     }
     long leastVersion = Long.MAX_VALUE;
@@ -488,10 +490,10 @@
       leastVersion = Math.min(leastVersion, view.version);
       leastRevision = Math.min(leastRevision, view.catalogRevision);
     }
-    for (Waiter waiter : List.copyOf(waiters)) {
+    for (PendingAcknowledgement waiter : List.copyOf(pendingAcknowledgements)) {
       if (waiter.version() <= leastVersion && waiter.catalogRevision() <= leastRevision) {
-        waiters.remove(waiter);
-        waiter.answer().accept(true);
+        pendingAcknowledgements.remove(waiter);
+        waiter.callback().accept(true);
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
+++ b/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
@@ -11,36 +11,38 @@
  *
  * <pre>{@code
  * int timeout = times.timeoutMillis("10.0.0.1:7000");
- * times.failed("10.0.0.1:7000");
+ * times.recordTimeout("10.0.0.1:7000");
  * }</pre>
  */
 final class ConnectTimeouts {
   /** Time for a host a few milliseconds away that is busy starting, in milliseconds. */
-  static final int FIRST_MILLIS = 200;
+  static final int SHORT_TIMEOUT_MILLIS = 200;
 
   /** Time for the farthest host, in milliseconds. */
-  static final int MOST_MILLIS = 1_000;
+  static final int LONG_TIMEOUT_MILLIS = 1_000;
 
   /** Dials that are given up soon: together longer than a host takes to come back. */
-  static final int SHORT_DIALS = 12;
+  static final int SHORT_TIMEOUT_ATTEMPTS = 12;
 
-  private final Map<String, Integer> failures = new ConcurrentHashMap<>();
+  private final Map<String, Integer> timeoutsByAddress = new ConcurrentHashMap<>();
 
   /** Returns the time for the next dial of the address, in milliseconds. */
   int timeoutMillis(String address) {
-    return failures.getOrDefault(address, 0) < SHORT_DIALS ? FIRST_MILLIS : MOST_MILLIS;
+    return timeoutsByAddress.getOrDefault(address, 0) < SHORT_TIMEOUT_ATTEMPTS
+        ? SHORT_TIMEOUT_MILLIS
+        : LONG_TIMEOUT_MILLIS;
   }
 
-  void failed(String address) {
-    failures.merge(address, 1, Integer::sum);
+  void recordTimeout(String address) {
+    timeoutsByAddress.merge(address, 1, Integer::sum);
   }
 
-  void succeeded(String address) {
-    failures.remove(address);
+  void recordSuccess(String address) {
+    timeoutsByAddress.remove(address);
   }
 
   /** Forgets what is not dialled any more. */
-  void keepOnly(Collection<String> addresses) {
-    failures.keySet().retainAll(addresses);
+  void retainAddresses(Collection<String> addresses) {
+    timeoutsByAddress.keySet().retainAll(addresses);
   }
 }
--- a/src/main/java/org/curranthaven/internal/transport/ControlClient.java
+++ b/src/main/java/org/curranthaven/internal/transport/ControlClient.java
@@ -22,13 +22,14 @@
  * answer was lost is sent again. Thread-safe; callers block.
  */
 public final class ControlClient {
-  private static final long TRY_MILLIS = 500;
-  private static final long PAUSE_MILLIS = 40;
+  private static final long ATTEMPT_TIMEOUT_MILLIS = 500;
+  private static final long RETRY_DELAY_MILLIS = 40;
 
   private final PeerNetwork network;
   private final Clock clock;
   private final Map<Integer, String> leaderByGroup = new ConcurrentHashMap<>();
-  private final Map<Long, CompletableFuture<CommandReply>> open = new ConcurrentHashMap<>();
+  private final Map<Long, CompletableFuture<CommandReply>> pendingReplies =
+      new ConcurrentHashMap<>();
   private final AtomicLong nextRequestId = new AtomicLong(1);
 
   /** Creates a client over the host's connections. */
@@ -38,8 +39,8 @@
   }
 
   /** Takes in the answer to a command. */
-  public void received(CommandReply reply) {
-    CompletableFuture<CommandReply> future = open.remove(reply.getRequestId());
+  public void handleReply(CommandReply reply) {
+    CompletableFuture<CommandReply> future = pendingReplies.remove(reply.getRequestId());
     if (future != null) {
       future.complete(reply);
     }
@@ -51,32 +52,32 @@
    * @return the reply of the leader that applied it, or a reply with status {@code UNKNOWN} if it
    *     may have been taken, {@code UNAVAILABLE} if it cannot have been
    */
-  public CommandReply call(int groupId, ByteString command, long timeoutMillis)
+  public CommandReply execute(int groupId, ByteString command, long timeoutMillis)
       throws InterruptedException {
     long deadline = clock.nowMillis() + timeoutMillis;
     boolean mayBeTaken = false;
     int turn = 0;
     while (clock.nowMillis() < deadline) {
-      String target = target(groupId, turn++);
+      String target = chooseTarget(groupId, turn++);
       if (target.isEmpty()) {
-        Thread.sleep(PAUSE_MILLIS);
+        Thread.sleep(RETRY_DELAY_MILLIS);
         continue;
       }
-      CommandReply reply = tryOnce(groupId, target, command, deadline);
+      CommandReply reply = sendOnce(groupId, target, command, deadline);
       switch (reply.getStatus()) {
         case COMMAND_STATUS_APPLIED -> {
           leaderByGroup.put(groupId, target);
           return reply;
         }
         case COMMAND_STATUS_NOT_LEADER, COMMAND_STATUS_UNAVAILABLE ->
-            forget(groupId, target, reply.getLeaderHost());
+            updateLeader(groupId, target, reply.getLeaderHost());
         default -> {
           mayBeTaken = true;
-          forget(groupId, target, "");
+          updateLeader(groupId, target, "");
         }
       }
       if (reply.getLeaderHost().isEmpty()) {
-        Thread.sleep(PAUSE_MILLIS);
+        Thread.sleep(RETRY_DELAY_MILLIS);
       }
     }
     return reply(
@@ -85,7 +86,7 @@
             : CommandStatus.COMMAND_STATUS_UNAVAILABLE);
   }
 
-  private void forget(int groupId, String target, String betterTarget) {
+  private void updateLeader(int groupId, String target, String betterTarget) {
     if (betterTarget.isEmpty()) {
       leaderByGroup.remove(groupId, target);
     } else {
@@ -93,11 +94,11 @@
     }
   }
 
-  private CommandReply tryOnce(int groupId, String target, ByteString command, long deadlineMillis)
+  private CommandReply sendOnce(int groupId, String target, ByteString command, long deadlineMillis)
       throws InterruptedException {
     long requestId = nextRequestId.getAndIncrement();
     CompletableFuture<CommandReply> future = new CompletableFuture<>();
-    open.put(requestId, future);
+    pendingReplies.put(requestId, future);
     CommandRequest request =
         CommandRequest.newBuilder()
             .setRequestId(requestId)
@@ -108,28 +109,28 @@
       if (!network.send(target, Envelope.newBuilder().setCommandRequest(request))) {
         return reply(CommandStatus.COMMAND_STATUS_UNAVAILABLE);
       }
-      long wait = Math.min(TRY_MILLIS, deadlineMillis - clock.nowMillis());
+      long wait = Math.min(ATTEMPT_TIMEOUT_MILLIS, deadlineMillis - clock.nowMillis());
       return future.get(Math.max(1, wait), TimeUnit.MILLISECONDS);
     } catch (TimeoutException | ExecutionException e) {
       return reply(CommandStatus.COMMAND_STATUS_UNKNOWN);
     } finally {
-      open.remove(requestId);
+      pendingReplies.remove(requestId);
     }
   }
 
-  private String target(int groupId, int turn) {
+  private String chooseTarget(int groupId, int turn) {
     String leader = leaderByGroup.get(groupId);
     if (leader != null) {
       return leader;
     }
-    List<String> control = controlHosts();
+    List<String> control = reachableControlHosts();
     return control.isEmpty() ? "" : control.get(turn % control.size());
   }
 
   /** Returns the names of the control hosts that can be reached, this one included. */
-  public List<String> controlHosts() {
+  public List<String> reachableControlHosts() {
     List<String> names = new ArrayList<>();
-    for (HostRecord host : network.connected()) {
+    for (HostRecord host : network.connectedHosts()) {
       if (host.getControl()) {
         names.add(host.getName());
       }
--- a/src/main/java/org/curranthaven/internal/transport/PeerConnection.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerConnection.java
@@ -19,7 +19,7 @@
   private final String dialledAddress;
   private volatile @Nullable Channel channel;
   private volatile @Nullable HostRecord remote;
-  private volatile @Nullable ScheduledFuture<?> pings;
+  private volatile @Nullable ScheduledFuture<?> pingTask;
   private long nonce;
 
   /** Creates the handler; {@code dialledAddress} is empty for an accepted connection. */
@@ -29,7 +29,7 @@
     this.dialledAddress = dialledAddress;
   }
 
-  boolean dialled() {
+  boolean isDialled() {
     return !dialledAddress.isEmpty();
   }
 
@@ -72,18 +72,18 @@
   @Override
   public void channelActive(ChannelHandlerContext context) {
     channel = context.channel();
-    greet();
-    pings =
+    sendHello();
+    pingTask =
         context
             .executor()
             .scheduleAtFixedRate(
-                this::ping,
-                PeerNetwork.PING_MILLIS,
-                PeerNetwork.PING_MILLIS,
+                this::sendPing,
+                PeerNetwork.PING_INTERVAL_MILLIS,
+                PeerNetwork.PING_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
   }
 
-  private void greet() {
+  private void sendHello() {
     HostRecord own = network.self();
     write(
         Envelope.newBuilder()
@@ -93,7 +93,7 @@
             .build());
   }
 
-  private void ping() {
+  private void sendPing() {
     if (isActive()) {
       write(Envelope.newBuilder().setPing(Ping.newBuilder().setNonce(++nonce)).build());
     }
@@ -120,7 +120,7 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    ScheduledFuture<?> running = pings;
+    ScheduledFuture<?> running = pingTask;
     if (running != null) {
       running.cancel(false);
     }
--- a/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
@@ -38,42 +38,42 @@
 
 /**
  * Connections of one host to the others. Each pair of hosts keeps one; a connection on which
- * nothing arrived for {@link #SILENCE_MILLIS} is dropped and dialled again.
+ * nothing arrived for {@link #READ_TIMEOUT_MILLIS} is dropped and dialled again.
  *
  * <p>A message that cannot be sent at once, because there is no connection or its buffer is full,
  * is dropped: every sender repeats what matters. Thread-safe.
  */
 public final class PeerNetwork implements Child {
   /** Silence after which a connection is dropped, in milliseconds. */
-  public static final long SILENCE_MILLIS = 1_500;
+  public static final long READ_TIMEOUT_MILLIS = 1_500;
 
   /** Time between two pings on a connection, in milliseconds. */
-  static final long PING_MILLIS = 500;
+  static final long PING_INTERVAL_MILLIS = 500;
 
-  private static final long DIAL_MILLIS = 200;
+  private static final long DIAL_INTERVAL_MILLIS = 200;
 
   /** Time after which a host that was heard of once is not dialled any more, in milliseconds. */
-  private static final long FORGET_MILLIS = 20_000;
+  private static final long DISCOVERED_ADDRESS_TTL_MILLIS = 20_000;
 
   /** Bytes kept for a connection that takes none for the moment: a large configuration fits. */
   private static final WriteBufferWaterMark WRITE_BUFFER =
       new WriteBufferWaterMark(4 * 1024 * 1024, 16 * 1024 * 1024);
 
   /** Longest wait for the listener to close, in milliseconds; below the supervisor's own wait. */
-  private static final long STOP_MILLIS = 2_000;
+  private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
   private final String listenAddress;
   private final Supplier<HostRecord> self;
   private final PeerListener listener;
-  private final @Nullable EventLoopGroup sharedGroup;
-  private final Set<String> fixedContacts;
-  private final Map<String, Long> learntAtMillis = new ConcurrentHashMap<>();
-  private final Map<String, PeerConnection> byHost = new ConcurrentHashMap<>();
-  private final Set<String> dialling = ConcurrentHashMap.newKeySet();
+  private final @Nullable EventLoopGroup sharedEventLoopGroup;
+  private final Set<String> configuredAddresses;
+  private final Map<String, Long> discoveredAtMillis = new ConcurrentHashMap<>();
+  private final Map<String, PeerConnection> connectionsByHost = new ConcurrentHashMap<>();
+  private final Set<String> diallingAddresses = ConcurrentHashMap.newKeySet();
   private final ConnectTimeouts connectTimeouts = new ConnectTimeouts();
-  private final Semaphore newlyLearnt = new Semaphore(0);
+  private final Semaphore newAddressSignal = new Semaphore(0);
   private final Map<String, String> hostByAddress = new ConcurrentHashMap<>();
-  private final Set<String> blocked = ConcurrentHashMap.newKeySet();
+  private final Set<String> blockedHosts = ConcurrentHashMap.newKeySet();
   private final LongAdder bytesSent = new LongAdder();
   private final LongAdder messagesSent = new LongAdder();
 
@@ -106,14 +106,14 @@
     this.listenAddress = listenAddress;
     this.self = self;
     this.listener = listener;
-    this.sharedGroup = sharedGroup;
-    this.fixedContacts = Set.copyOf(contacts);
+    this.sharedEventLoopGroup = sharedGroup;
+    this.configuredAddresses = Set.copyOf(contacts);
   }
 
   /** Adds a host that was heard of; one not heard of again is forgotten after a while. */
-  public void learn(String peerAddress) {
-    if (learntAtMillis.put(peerAddress, Clock.system().nowMillis()) == null) {
-      newlyLearnt.release();
+  public void addDiscoveredAddress(String peerAddress) {
+    if (discoveredAtMillis.put(peerAddress, Clock.system().nowMillis()) == null) {
+      newAddressSignal.release();
     }
   }
 
@@ -123,8 +123,8 @@
   }
 
   /** Returns the hosts that are connected now. */
-  public List<HostRecord> connected() {
-    return byHost.values().stream().map(PeerConnection::remote).toList();
+  public List<HostRecord> connectedHosts() {
+    return connectionsByHost.values().stream().map(PeerConnection::remote).toList();
   }
 
   /**
@@ -134,27 +134,27 @@
   public boolean send(String host, Envelope.Builder message) {
     HostRecord own = self.get();
     if (host.equals(own.getName())) {
-      listener.received(own, sealed(message, own));
+      listener.received(own, withSender(message, own));
       return true;
     }
-    PeerConnection connection = byHost.get(host);
-    if (connection == null || blocked.contains(host) || !connection.isWritable()) {
+    PeerConnection connection = connectionsByHost.get(host);
+    if (connection == null || blockedHosts.contains(host) || !connection.isWritable()) {
       return false;
     }
-    Envelope envelope = sealed(message, own);
+    Envelope envelope = withSender(message, own);
     messagesSent.increment();
     bytesSent.add(envelope.getSerializedSize());
     connection.write(envelope);
     return true;
   }
 
-  private static Envelope sealed(Envelope.Builder message, HostRecord own) {
+  private static Envelope withSender(Envelope.Builder message, HostRecord own) {
     return message.setFromHost(own.getName()).setFromIdentity(own.getIdentity()).build();
   }
 
   /** Sends a message to the host whose data folder has the identity. */
   public boolean sendToIdentity(String identity, Envelope.Builder message) {
-    for (PeerConnection connection : byHost.values()) {
+    for (PeerConnection connection : connectionsByHost.values()) {
       if (connection.remote().getIdentity().equals(identity)) {
         return send(connection.remote().getName(), message);
       }
@@ -176,9 +176,9 @@
    * Cuts this host off from the named hosts in silence, or ends that. Used by failure tests and the
    * demo to bring about a partition without touching the machine's network.
    */
-  public void setBlocked(Collection<String> hosts) {
-    blocked.clear();
-    blocked.addAll(hosts);
+  public void setBlockedHosts(Collection<String> hosts) {
+    blockedHosts.clear();
+    blockedHosts.addAll(hosts);
   }
 
   /** Runs on a thread of its own, which is returned; it ends when it is interrupted. */
@@ -199,17 +199,17 @@
   @Override
   public void run() throws InterruptedException {
     EventLoopGroup group =
-        sharedGroup == null
+        sharedEventLoopGroup == null
             ? new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
-            : sharedGroup;
+            : sharedEventLoopGroup;
     ChannelFuture listening = listen(group);
     try {
       listening.sync();
       while (true) {
         dialMissing(group);
         // A host that was just heard of is dialled at once.
-        newlyLearnt.tryAcquire(DIAL_MILLIS, TimeUnit.MILLISECONDS);
-        newlyLearnt.drainPermits();
+        newAddressSignal.tryAcquire(DIAL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        newAddressSignal.drainPermits();
       }
     } finally {
       stop(listening.channel(), group);
@@ -229,26 +229,28 @@
 
   /** Gives the address back before it returns, since the next run of this host binds it at once. */
   private void stop(Channel server, EventLoopGroup group) {
-    server.close().awaitUninterruptibly(STOP_MILLIS);
-    byHost.values().forEach(PeerConnection::close);
-    byHost.clear();
-    dialling.clear();
-    if (sharedGroup == null) {
-      group.shutdownGracefully(0, STOP_MILLIS, TimeUnit.MILLISECONDS);
+    server.close().awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
+    connectionsByHost.values().forEach(PeerConnection::close);
+    connectionsByHost.clear();
+    diallingAddresses.clear();
+    if (sharedEventLoopGroup == null) {
+      group.shutdownGracefully(0, STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void dialMissing(EventLoopGroup group) {
     long nowMillis = Clock.system().nowMillis();
-    learntAtMillis.values().removeIf(learnt -> nowMillis - learnt > FORGET_MILLIS);
-    Set<String> contacts = new HashSet<>(fixedContacts);
-    contacts.addAll(learntAtMillis.keySet());
-    connectTimeouts.keepOnly(contacts);
+    discoveredAtMillis
+        .values()
+        .removeIf(learnt -> nowMillis - learnt > DISCOVERED_ADDRESS_TTL_MILLIS);
+    Set<String> contacts = new HashSet<>(configuredAddresses);
+    contacts.addAll(discoveredAtMillis.keySet());
+    connectTimeouts.retainAddresses(contacts);
     for (String address : contacts) {
       String host = hostByAddress.get(address);
-      boolean connected = host != null && byHost.containsKey(host);
+      boolean connected = host != null && connectionsByHost.containsKey(host);
       boolean own = address.equals(self.get().getPeerAddress());
-      if (!connected && !own && dialling.add(address)) {
+      if (!connected && !own && diallingAddresses.add(address)) {
         dial(group, address);
       }
     }
@@ -266,12 +268,12 @@
         .addListener(
             future -> {
               if (future.isSuccess()) {
-                connectTimeouts.succeeded(address);
+                connectTimeouts.recordSuccess(address);
               } else {
                 if (future.cause() instanceof ConnectTimeoutException) {
-                  connectTimeouts.failed(address);
+                  connectTimeouts.recordTimeout(address);
                 }
-                dialling.remove(address);
+                diallingAddresses.remove(address);
               }
             });
   }
@@ -282,7 +284,7 @@
       protected void initChannel(SocketChannel channel) {
         channel
             .pipeline()
-            .addLast(new ReadTimeoutHandler(SILENCE_MILLIS, TimeUnit.MILLISECONDS))
+            .addLast(new ReadTimeoutHandler(READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
             .addLast(new ProtobufVarint32FrameDecoder())
             .addLast(new ProtobufDecoder(Envelope.getDefaultInstance()))
             .addLast(new ProtobufVarint32LengthFieldPrepender())
@@ -301,16 +303,16 @@
   /** Keeps the connection, unless another one to the host is to be kept; returns whether it is. */
   synchronized boolean register(PeerConnection connection) {
     HostRecord remote = connection.remote();
-    if (connection.dialled()) {
+    if (connection.isDialled()) {
       hostByAddress.put(connection.dialledAddress(), remote.getName());
     }
-    learn(remote.getPeerAddress());
+    addDiscoveredAddress(remote.getPeerAddress());
     hostByAddress.put(remote.getPeerAddress(), remote.getName());
-    PeerConnection known = byHost.get(remote.getName());
-    if (known != null && isSameProcess(known, remote) && !preferred(connection)) {
+    PeerConnection known = connectionsByHost.get(remote.getName());
+    if (known != null && isSameProcess(known, remote) && !isPreferred(connection)) {
       return false;
     }
-    byHost.put(remote.getName(), connection);
+    connectionsByHost.put(remote.getName(), connection);
     if (known != null) {
       known.close();
     }
@@ -323,23 +325,23 @@
   }
 
   /** Of two connections between a pair, the one dialled by the host with the lower name is kept. */
-  private boolean preferred(PeerConnection connection) {
+  private boolean isPreferred(PeerConnection connection) {
     String own = self.get().getName();
     boolean lower = own.compareTo(connection.remote().getName()) < 0;
-    return connection.dialled() == lower;
+    return connection.isDialled() == lower;
   }
 
   synchronized void unregister(PeerConnection connection) {
-    dialling.remove(connection.dialledAddress());
+    diallingAddresses.remove(connection.dialledAddress());
     HostRecord remote = connection.remoteOrNull();
-    if (remote != null && byHost.remove(remote.getName(), connection)) {
+    if (remote != null && connectionsByHost.remove(remote.getName(), connection)) {
       listener.disconnected(remote);
     }
   }
 
   void received(PeerConnection connection, Envelope message) {
     HostRecord remote = connection.remoteOrNull();
-    if (remote != null && !blocked.contains(remote.getName())) {
+    if (remote != null && !blockedHosts.contains(remote.getName())) {
       listener.received(remote, message);
     }
   }
--- a/src/test/java/org/curranthaven/internal/membership/BackendViewTest.java
+++ b/src/test/java/org/curranthaven/internal/membership/BackendViewTest.java
@@ -32,7 +32,7 @@
 
   @Test
   void a_server_is_used_while_its_lease_lasts() {
-    view.announced(engine(1, 1, BackendAnnouncement.State.READY), 0, 1_000);
+    view.update(engine(1, 1, BackendAnnouncement.State.READY), 0, 1_000);
 
     assertThat(view.usable("story-1", 3_999)).isNotNull();
     assertThat(view.usable("story-1", 4_000)).isNull();
@@ -40,7 +40,7 @@
 
   @Test
   void the_time_spent_on_the_way_shortens_the_lease() {
-    view.announced(engine(1, 1, BackendAnnouncement.State.READY), 2_500, 1_000);
+    view.update(engine(1, 1, BackendAnnouncement.State.READY), 2_500, 1_000);
 
     assertThat(view.usable("story-1", 1_499)).isNotNull();
     assertThat(view.usable("story-1", 1_500)).isNull();
@@ -48,8 +48,8 @@
 
   @Test
   void a_leaving_server_gets_nothing_new_but_is_alive() {
-    view.announced(engine(1, 1, BackendAnnouncement.State.READY), 0, 0);
-    view.announced(engine(1, 2, BackendAnnouncement.State.LEAVING), 0, 10);
+    view.update(engine(1, 1, BackendAnnouncement.State.READY), 0, 0);
+    view.update(engine(1, 2, BackendAnnouncement.State.LEAVING), 0, 10);
 
     assertThat(view.usable("story-1", 20)).isNull();
     assertThat(view.alive("story-1", 20)).isNotNull();
@@ -57,26 +57,26 @@
 
   @Test
   void a_late_announcement_does_not_bring_a_leaving_server_back() {
-    view.announced(engine(1, 2, BackendAnnouncement.State.LEAVING), 0, 0);
+    view.update(engine(1, 2, BackendAnnouncement.State.LEAVING), 0, 0);
 
-    assertThat(view.announced(engine(1, 1, BackendAnnouncement.State.READY), 0, 10)).isFalse();
+    assertThat(view.update(engine(1, 1, BackendAnnouncement.State.READY), 0, 10)).isFalse();
     assertThat(view.usable("story-1", 20)).isNull();
   }
 
   @Test
   void a_late_announcement_does_not_bring_back_a_server_that_has_gone() {
-    view.announced(engine(2, 5, BackendAnnouncement.State.READY), 0, 0);
+    view.update(engine(2, 5, BackendAnnouncement.State.READY), 0, 0);
 
-    view.announced(engine(1, 9, BackendAnnouncement.State.READY), 0, 10_000);
+    view.update(engine(1, 9, BackendAnnouncement.State.READY), 0, 10_000);
 
     assertThat(view.usable("story-1", 10_001)).isNull();
   }
 
   @Test
   void a_restarted_server_is_taken_back() {
-    view.announced(engine(1, 9, BackendAnnouncement.State.LEAVING), 0, 0);
+    view.update(engine(1, 9, BackendAnnouncement.State.LEAVING), 0, 0);
 
-    view.announced(engine(2, 1, BackendAnnouncement.State.READY), 0, 100);
+    view.update(engine(2, 1, BackendAnnouncement.State.READY), 0, 100);
 
     assertThat(view.usable("story-1", 200)).isNotNull();
   }
--- a/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
+++ b/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
@@ -52,7 +52,7 @@
   }
 
   private void status(String gateway, long version, long revision, boolean full) {
-    scheduler.received(
+    scheduler.handleStatus(
         host(gateway),
         GatewayStatus.newBuilder()
             .setTerm(5)
@@ -63,7 +63,7 @@
   }
 
   private void lead() {
-    scheduler.lead(5);
+    scheduler.setTerm(5);
     status("g1", 0, 0, true);
     status("g2", 0, 0, true);
     time.pass(REBUILT_MILLIS);
@@ -109,7 +109,7 @@
     assertThat(answer.value).isNull();
 
     gateways.removeLast();
-    scheduler.gatewayGone(host("g2"));
+    scheduler.gatewayDisconnected(host("g2"));
 
     assertThat(answer.value).isTrue();
   }
@@ -118,10 +118,10 @@
   void a_catalog_is_accepted_once_it_is_in_force_at_every_gateway() {
     lead();
     Catalog catalog = new Catalog(8, List.of(), List.of(), RequestLimits.standard(), null);
-    scheduler.catalogApplied(catalog, ByteString.copyFromUtf8("document"));
+    scheduler.applyCatalog(catalog, ByteString.copyFromUtf8("document"));
     Answer answer = new Answer();
 
-    scheduler.awaitCatalog(8, answer::accept);
+    scheduler.notifyWhenCatalogActive(8, answer::accept);
     status("g1", 0, 8, false);
     assertThat(answer.value).isNull();
     status("g2", 0, 8, false);
@@ -152,7 +152,8 @@
               .setTargetLeftMillis(500)
               .setDeadlineLeftMillis(3_000)
               .build();
-      scheduler.received(host("g1"), DispatchRequests.newBuilder().setTerm(5).addAsks(ask).build());
+      scheduler.handleRequests(
+          host("g1"), DispatchRequests.newBuilder().setTerm(5).addAsks(ask).build());
     }
 
     assertThat(sent.getLast().getValue().getDispatchOrders().getWaitingList()).containsExactly(4L);
@@ -160,7 +161,7 @@
 
   @Test
   void a_new_scheduler_goes_on_as_soon_as_every_gateway_has_told_its_state() {
-    scheduler.lead(5);
+    scheduler.setTerm(5);
     status("g1", 0, 0, true);
     Answer answer = new Answer();
     scheduler.register(backend(1, false), answer::accept);
@@ -174,8 +175,8 @@
 
   @Test
   void a_new_scheduler_places_nothing_before_it_knows_what_runs() {
-    scheduler.lead(5);
-    scheduler.received(
+    scheduler.setTerm(5);
+    scheduler.handleStatus(
         host("g1"),
         GatewayStatus.newBuilder()
             .setTerm(5)
@@ -187,7 +188,7 @@
             .build());
     DispatchRequests ask = DispatchRequests.newBuilder().setTerm(5).addAsks(call(9)).build();
 
-    scheduler.received(host("g2"), ask);
+    scheduler.handleRequests(host("g2"), ask);
     assertThat(sent).noneMatch(message -> message.getValue().hasDispatchOrders());
     time.pass(REBUILT_MILLIS);
 
@@ -219,7 +220,7 @@
     Answer answer = new Answer();
     scheduler.register(backend(2, true), answer::accept);
 
-    scheduler.lead(0);
+    scheduler.setTerm(0);
 
     assertThat(answer.value).isFalse();
     assertThat(sent.getLast().getValue().getSchedulerView().getResigned()).isTrue();
--- a/src/test/java/org/curranthaven/internal/transport/ConnectTimeoutsTest.java
+++ b/src/test/java/org/curranthaven/internal/transport/ConnectTimeoutsTest.java
@@ -16,39 +16,40 @@
     while (elapsedMillis < 2_000) {
       assertThat(times.timeoutMillis(HOST)).isLessThanOrEqualTo(250);
       elapsedMillis += times.timeoutMillis(HOST);
-      times.failed(HOST);
+      times.recordTimeout(HOST);
     }
   }
 
   @Test
   void a_host_that_never_answers_in_time_is_given_longer() {
-    for (int i = 0; i < ConnectTimeouts.SHORT_DIALS; i++) {
-      times.failed(HOST);
+    for (int i = 0; i < ConnectTimeouts.SHORT_TIMEOUT_ATTEMPTS; i++) {
+      times.recordTimeout(HOST);
     }
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.MOST_MILLIS);
-    assertThat(times.timeoutMillis("10.0.0.2:7000")).isEqualTo(ConnectTimeouts.FIRST_MILLIS);
+    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.LONG_TIMEOUT_MILLIS);
+    assertThat(times.timeoutMillis("10.0.0.2:7000"))
+        .isEqualTo(ConnectTimeouts.SHORT_TIMEOUT_MILLIS);
   }
 
   @Test
   void a_host_that_answered_is_given_up_soon_again() {
-    for (int i = 0; i < ConnectTimeouts.SHORT_DIALS; i++) {
-      times.failed(HOST);
+    for (int i = 0; i < ConnectTimeouts.SHORT_TIMEOUT_ATTEMPTS; i++) {
+      times.recordTimeout(HOST);
     }
 
-    times.succeeded(HOST);
+    times.recordSuccess(HOST);
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.FIRST_MILLIS);
+    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.SHORT_TIMEOUT_MILLIS);
   }
 
   @Test
   void a_host_that_is_not_dialled_any_more_is_forgotten() {
-    for (int i = 0; i < ConnectTimeouts.SHORT_DIALS; i++) {
-      times.failed(HOST);
+    for (int i = 0; i < ConnectTimeouts.SHORT_TIMEOUT_ATTEMPTS; i++) {
+      times.recordTimeout(HOST);
     }
 
-    times.keepOnly(List.of());
+    times.retainAddresses(List.of());
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.FIRST_MILLIS);
+    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.SHORT_TIMEOUT_MILLIS);
   }
 }
