--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -38,8 +38,8 @@
 import org.tinylog.Logger;
 
 /**
- * A host that keeps the durable state, takes registrations and operators' calls, and schedules
- * while it leads.
+ * A control host: stores the replicated state, serves control requests from backend servers and
+ * operators, and schedules requests while it is the leader.
  *
  * <pre>{@code
  * ControlHost host = new ControlHost(settings, protocol, folder, Clock.system());
@@ -65,7 +65,7 @@
   private final ControlServer controlServer;
   private final long incarnation;
 
-  /** Creates a host; it starts with {@link #start}. */
+  /** Creates a host that does nothing until {@link #start} is called. */
   public ControlHost(
       RoutedSettings settings, WireProtocol protocol, DataFolder folder, Clock clock) {
     this.settings = settings;
@@ -109,7 +109,7 @@
     this.controlServer = new ControlServer(eventLoopGroup, protocol, this::handleControlRequest);
   }
 
-  /** Starts to listen, to vote and to look for the other hosts. */
+  /** Opens the peer and control addresses, joins consensus and connects to the other hosts. */
   public void start() throws InterruptedException {
     network.start();
     Thread.ofPlatform().daemon(true).name("consensus").start(this::runConsensus);
@@ -119,7 +119,10 @@
         GOSSIP_INTERVAL_MILLIS,
         GOSSIP_INTERVAL_MILLIS,
         TimeUnit.MILLISECONDS);
-    Logger.info("{} takes control calls at {}", settings.name(), settings.controlAddress());
+    Logger.info(
+        "control host {} listening for control requests at {}",
+        settings.name(),
+        settings.controlAddress());
   }
 
   private void runConsensus() {
@@ -130,14 +133,17 @@
         Thread.currentThread().interrupt();
         return;
       } catch (Exception e) {
-        Logger.error(e, "the consensus thread failed and starts again");
+        Logger.error(e, "consensus loop of control host {} failed, restarting it", settings.name());
       }
     }
   }
 
-  /** Carries out a planned stop: hands over what this host leads. */
+  /** Prepares a planned stop: transfers leadership of every group that this host leads. */
   public void drain() throws InterruptedException {
-    Logger.info("{} hands over", settings.name());
+    Logger.info(
+        "control host {} draining: transferring leadership, waiting {} ms",
+        settings.name(),
+        LEADERSHIP_TRANSFER_MILLIS);
     consensus.transferLeadership();
     Thread.sleep(LEADERSHIP_TRANSFER_MILLIS);
   }
@@ -162,7 +168,7 @@
     return network.connectedHosts().stream().filter(host -> !host.getControl()).toList();
   }
 
-  /** Tells every host which control hosts there are. */
+  /** Sends the addresses of the known control hosts to every connected host. */
   private void broadcastControlHosts() {
     sendControlHosts(network.connectedHosts());
   }
@@ -170,13 +176,13 @@
   private void sendControlHosts(Collection<HostRecord> hosts) {
     KnownHosts.Builder known = KnownHosts.newBuilder().addControlAddresses(settings.peerAddress());
     connectedControlHosts().forEach(control -> known.addControlAddresses(control.getPeerAddress()));
-    KnownHosts built = known.build();
+    KnownHosts knownHosts = known.build();
     for (HostRecord host : hosts) {
-      network.send(host.getName(), Envelope.newBuilder().setKnownHosts(built));
+      network.send(host.getName(), Envelope.newBuilder().setKnownHosts(knownHosts));
     }
   }
 
-  /** What the consensus thread tells, carried over to the event loop. */
+  /** Passes leadership and catalog changes from the consensus thread to the event loop. */
   private final class LeadershipListener implements LeadershipTracker.Listener {
     @Override
     public void leadershipChanged(long term) {
@@ -187,63 +193,65 @@
     public void catalogApplied(long revision, ByteString document) {
       switch (protocol.catalogs().decode(document.toByteArray())) {
         case Outcome.Failed<Catalog> failed ->
-            Logger.error("a catalog that was accepted cannot be read: {}", failed.failure());
+            Logger.error(
+                "committed catalog revision {} cannot be decoded: {}", revision, failed.failure());
         case Outcome.Success<Catalog> success ->
             eventLoop.execute(() -> scheduler.applyCatalog(success.value(), document));
       }
     }
   }
 
-  // ---- control calls ----------------------------------------------------------------------------
+  // ---- control requests -------------------------------------------------------------------------
 
-  private void handleControlRequest(ControlRequest call, Consumer<ControlResponse> answer) {
-    switch (call) {
+  private void handleControlRequest(ControlRequest request, Consumer<ControlResponse> callback) {
+    switch (request) {
       case ControlRequest.Register register ->
           leaderClient.send(
               LeaderClient.REGISTER,
               register.backend().toByteString(),
               LeaderClient.REGISTRATION_TIMEOUT_MILLIS,
-              answer);
+              callback);
       case ControlRequest.Withdraw withdraw ->
           leaderClient.send(
               LeaderClient.WITHDRAW,
               ByteString.copyFromUtf8(withdraw.id()),
               LeaderClient.REGISTRATION_TIMEOUT_MILLIS,
-              answer);
-      case ControlRequest.ReplaceCatalog replace -> replaceCatalog(replace, answer);
+              callback);
+      case ControlRequest.ReplaceCatalog replace -> replaceCatalog(replace, callback);
       case ControlRequest.ReadCatalog ignored ->
           leaderClient.send(
               LeaderClient.READ_CATALOG,
               ByteString.EMPTY,
               LeaderClient.READ_TIMEOUT_MILLIS,
-              answer);
+              callback);
       case ControlRequest.Invalid invalid ->
-          answer.accept(ControlResponse.error(invalid.status(), invalid.message()));
+          callback.accept(ControlResponse.error(invalid.status(), invalid.message()));
     }
   }
 
   private void replaceCatalog(
-      ControlRequest.ReplaceCatalog replace, Consumer<ControlResponse> answer) {
+      ControlRequest.ReplaceCatalog replace, Consumer<ControlResponse> callback) {
     switch (protocol.catalogs().decode(replace.document())) {
       case Outcome.Failed<Catalog> failed ->
-          answer.accept(ControlResponse.error(400, failed.failure().sentence()));
+          callback.accept(ControlResponse.error(400, failed.failure().sentence()));
       case Outcome.Success<Catalog> success ->
           leaderClient.send(
               LeaderClient.REPLACE_CATALOG,
               Json.write(
                   new FleetCommand.ReplaceCatalog(success.value().revision(), replace.document())),
               LeaderClient.CHANGE_TIMEOUT_MILLIS,
-              answer);
+              callback);
     }
   }
 
-  /** Answers what another control host, or this one, asks the leader. */
+  /** Handles a request that a control host, possibly this one, forwarded to the leader. */
   private void handleAsLeader(HostRecord from, AdminRequest request) {
     Consumer<AdminReply.Builder> reply =
-        built ->
+        adminReply ->
             network.send(
                 from.getName(),
-                Envelope.newBuilder().setAdminReply(built.setRequestId(request.getRequestId())));
+                Envelope.newBuilder()
+                    .setAdminReply(adminReply.setRequestId(request.getRequestId())));
     if (!scheduler.isLeading()) {
       reply.accept(AdminReply.newBuilder().setStatus(LeaderClient.NOT_LEADER));
       return;
@@ -254,7 +262,7 @@
                 AdminReply.newBuilder()
                     .setStatus(accepted ? LeaderClient.OK : LeaderClient.NOT_LEADER));
     switch (request.getPath()) {
-      case LeaderClient.REGISTER -> registerAsLeader(request.getJson(), done);
+      case LeaderClient.REGISTER -> registerAsLeader(from, request.getJson(), done);
       case LeaderClient.WITHDRAW -> scheduler.withdraw(request.getJson().toStringUtf8(), done);
       case LeaderClient.REPLACE_CATALOG -> replaceCatalogAsLeader(request.getJson(), done);
       case LeaderClient.READ_CATALOG -> readCatalogAsLeader(reply);
@@ -262,11 +270,14 @@
     }
   }
 
-  private void registerAsLeader(ByteString record, Consumer<Boolean> done) {
+  private void registerAsLeader(HostRecord from, ByteString record, Consumer<Boolean> done) {
     try {
       scheduler.register(BackendRecord.parseFrom(record), done);
     } catch (InvalidProtocolBufferException e) {
-      Logger.error("a registration from another host cannot be read: {}", e.getMessage());
+      Logger.error(
+          "registration forwarded by control host {} cannot be decoded: {}",
+          from.getName(),
+          e.getMessage());
       done.accept(false);
     }
   }
@@ -293,21 +304,22 @@
         });
   }
 
-  private void readCatalogAsLeader(Consumer<AdminReply.Builder> answer) {
+  private void readCatalogAsLeader(Consumer<AdminReply.Builder> callback) {
     consensus.propose(
         CONTROL_GROUP_ID,
         Json.write(new FleetCommand.ReadCatalog()),
         reply -> {
           boolean applied = reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED;
-          AdminReply.Builder built = AdminReply.newBuilder().setStatus(LeaderClient.NOT_LEADER);
+          AdminReply.Builder adminReply =
+              AdminReply.newBuilder().setStatus(LeaderClient.NOT_LEADER);
           if (applied && consensus.machine(CONTROL_GROUP_ID) instanceof FleetState state) {
-            built.setStatus(LeaderClient.OK).setJson(state.catalog().document());
+            adminReply.setStatus(LeaderClient.OK).setJson(state.catalog().document());
           }
-          eventLoop.execute(() -> answer.accept(built));
+          eventLoop.execute(() -> callback.accept(adminReply));
         });
   }
 
-  // ---- other hosts ------------------------------------------------------------------------------
+  // ---- connections to other hosts ---------------------------------------------------------------
 
   @Override
   public void received(HostRecord from, Envelope message) {
@@ -325,7 +337,7 @@
 
   @Override
   public void connected(HostRecord host) {
-    Logger.info("connected to {}", host.getName());
+    Logger.info("connected to host {}", host.getName());
     if (host.getControl()) {
       eventLoop.execute(this::broadcastControlHosts);
     } else {
@@ -339,7 +351,7 @@
 
   @Override
   public void disconnected(HostRecord host) {
-    Logger.info("the connection to {} is gone", host.getName());
+    Logger.info("disconnected from host {}", host.getName());
     if (!host.getControl()) {
       eventLoop.execute(() -> scheduler.gatewayDisconnected(host));
     }
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlServer.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlServer.java
@@ -27,7 +27,7 @@
 import org.curranthaven.internal.relay.ControlRequest;
 import org.curranthaven.internal.relay.WireProtocol;
 
-/** Listens for backend servers and operators. */
+/** HTTP server for control requests from backend servers and operators. */
 final class ControlServer {
   private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
   private static final int READ_TIMEOUT_SECONDS = 30;
@@ -67,7 +67,7 @@
         .sync();
   }
 
-  /** Answers the calls of one connection. */
+  /** Handles the requests of one connection. */
   private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     RequestHandler() {
       super(FullHttpRequest.class);
@@ -78,27 +78,30 @@
       boolean keepAlive = HttpUtil.isKeepAlive(request);
       if (request.decoderResult().isFailure()) {
         write(
-            context, ControlResponse.error(400, "the request is not HTTP as it should be"), false);
+            context,
+            ControlResponse.error(
+                400, "malformed HTTP request; correct the request and send it again"),
+            false);
         return;
       }
       handler.accept(
-          protocol.readControlRequest(request), reply -> write(context, reply, keepAlive));
+          protocol.readControlRequest(request), response -> write(context, response, keepAlive));
     }
 
     private static void write(
-        ChannelHandlerContext context, ControlResponse reply, boolean keepAlive) {
-      FullHttpResponse response =
+        ChannelHandlerContext context, ControlResponse response, boolean keepAlive) {
+      FullHttpResponse httpResponse =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
-              HttpResponseStatus.valueOf(reply.status()),
-              Unpooled.wrappedBuffer(reply.body()));
-      response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-      HttpUtil.setContentLength(response, reply.body().length);
+              HttpResponseStatus.valueOf(response.status()),
+              Unpooled.wrappedBuffer(response.body()));
+      httpResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+      HttpUtil.setContentLength(httpResponse, response.body().length);
       if (keepAlive) {
-        context.writeAndFlush(response);
+        context.writeAndFlush(httpResponse);
       } else {
-        response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+        httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        context.writeAndFlush(httpResponse).addListener(ChannelFutureListener.CLOSE);
       }
     }
 
--- a/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
@@ -14,8 +14,9 @@
 import org.curranthaven.internal.transport.wire.Envelope;
 
 /**
- * Brings control calls to the leader of group 0, from any control host, until they are answered or
- * their time is up. Every call may be sent again. Used on the event loop only.
+ * Forwards control requests from any control host to the leader of group 0, and retries until the
+ * leader accepts them or their deadline expires. Every request is safe to repeat. Confined to the
+ * event loop.
  */
 final class LeaderClient {
   static final String REGISTER = "register";
@@ -27,7 +28,7 @@
   static final int NOT_LEADER = 421;
   static final int UNKNOWN_PATH = 404;
 
-  /** Time for a registration: backend servers turn to another host after a second. */
+  /** Timeout of a registration: backend servers switch to another host after one second. */
   static final long REGISTRATION_TIMEOUT_MILLIS = 850;
 
   static final long READ_TIMEOUT_MILLIS = 900;
@@ -43,7 +44,7 @@
   private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
   private long nextRequestId = 1;
 
-  /** A call that waits for the leader's answer. */
+  /** A request that awaits the leader's reply. */
   private static final class PendingRequest {
     final String path;
     final ByteString body;
@@ -51,14 +52,17 @@
     final Consumer<ControlResponse> callback;
 
     PendingRequest(
-        String path, ByteString body, long endsAtMillis, Consumer<ControlResponse> answer) {
+        String path, ByteString body, long deadlineMillis, Consumer<ControlResponse> callback) {
       this.path = path;
       this.body = body;
-      this.deadlineMillis = endsAtMillis;
-      this.callback = answer;
+      this.deadlineMillis = deadlineMillis;
+      this.callback = callback;
     }
 
-    /** Returns how long one sending waits: a change waits for every gateway. */
+    /**
+     * Returns the timeout of one attempt. A catalog change has a longer one, since it completes
+     * only when every gateway has activated the catalog.
+     */
     long attemptTimeoutMillis() {
       return path.equals(REPLACE_CATALOG) ? CHANGE_TIMEOUT_MILLIS : ATTEMPT_TIMEOUT_MILLIS;
     }
@@ -71,15 +75,20 @@
     this.leaderHost = leaderHost;
   }
 
-  /** Asks the leader; the answer is 503 if none answered in time. */
-  void send(String path, ByteString body, long timeoutMillis, Consumer<ControlResponse> answer) {
-    sendAttempt(new PendingRequest(path, body, clock.nowMillis() + timeoutMillis, answer));
+  /** Sends a request to the leader; the response is 503 if none accepts it before the deadline. */
+  void send(String path, ByteString body, long timeoutMillis, Consumer<ControlResponse> callback) {
+    sendAttempt(new PendingRequest(path, body, clock.nowMillis() + timeoutMillis, callback));
   }
 
   private void sendAttempt(PendingRequest pending) {
     long nowMillis = clock.nowMillis();
     if (nowMillis >= pending.deadlineMillis) {
-      pending.callback.accept(ControlResponse.error(503, "no leader answered; send it again"));
+      pending.callback.accept(
+          ControlResponse.error(
+              503,
+              "no leader accepted the "
+                  + pending.path
+                  + " request before its deadline; send the request again"));
       return;
     }
     String leader = leaderHost.get();
@@ -93,11 +102,14 @@
             .build();
     boolean sent =
         !leader.isEmpty() && network.send(leader, Envelope.newBuilder().setAdminRequest(request));
-    long wait =
+    long nextAttemptDelayMillis =
         sent
             ? Math.min(pending.attemptTimeoutMillis(), pending.deadlineMillis - nowMillis)
             : RETRY_DELAY_MILLIS;
-    loop.schedule(() -> attemptTimedOut(requestId), Math.max(1, wait), TimeUnit.MILLISECONDS);
+    loop.schedule(
+        () -> attemptTimedOut(requestId),
+        Math.max(1, nextAttemptDelayMillis),
+        TimeUnit.MILLISECONDS);
   }
 
   private void attemptTimedOut(long requestId) {
@@ -107,7 +119,7 @@
     }
   }
 
-  /** Takes in the leader's answer. */
+  /** Handles the leader's reply: completes the request, or retries it unless the status is OK. */
   void handleReply(AdminReply reply) {
     PendingRequest pending = pendingRequests.remove(reply.getRequestId());
     if (pending == null) {
@@ -126,7 +138,8 @@
 
   private static ControlResponse emptyResponse(String path) {
     return path.equals(READ_CATALOG)
-        ? ControlResponse.error(503, "there is no catalog yet")
+        ? ControlResponse.error(
+            503, "no catalog has been published yet; replace the catalog, then read it again")
         : ControlResponse.ok();
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
@@ -9,13 +9,17 @@
 import org.curranthaven.internal.consensus.RaftRole;
 
 /**
- * Watches group 0 on the consensus thread and tells when this host begins or ceases to lead, and
- * when the catalog changes.
+ * Observes consensus group 0 and notifies a listener when this host gains or loses leadership and
+ * when a new catalog revision is applied. Confined to the consensus thread, except for the methods
+ * marked as thread-safe.
  */
 final class LeadershipTracker implements GroupObserver {
   private static final int CONTROL_GROUP_ID = 0;
 
-  /** Time after which a leader that finds no further control host accepts catalogs all the same. */
+  /**
+   * Time after which a leader accepts catalogs with fewer voters than wanted, when no further
+   * control host has joined.
+   */
   private static final long MISSING_VOTERS_GRACE_MILLIS = 8_000;
 
   private final ConsensusLoop consensus;
@@ -27,12 +31,12 @@
   private long leadingSinceMillis;
   private long publishedRevision;
 
-  /** Is told on the consensus thread. */
+  /** Receives leadership and catalog changes. Called on the consensus thread. */
   interface Listener {
-    /** This host leads in the term; 0 when it does not. */
+    /** Called when this host becomes the leader in the given term, or 0 when it stops leading. */
     void leadershipChanged(long term);
 
-    /** A catalog document was applied. */
+    /** Called when a catalog document has been applied. */
     void catalogApplied(long revision, ByteString document);
   }
 
@@ -42,12 +46,15 @@
     this.listener = listener;
   }
 
-  /** Returns the host that leads, or an empty text. Thread-safe. */
+  /** Returns the name of the leader's host, or an empty string if unknown. Thread-safe. */
   String leaderHost() {
     return leaderHost;
   }
 
-  /** Returns whether enough hosts vote to bear the tolerated losses. Thread-safe. */
+  /**
+   * Returns whether this host, as the leader, accepts new catalogs: either enough hosts vote to
+   * survive the tolerated losses, or {@link #MISSING_VOTERS_GRACE_MILLIS} has passed. Thread-safe.
+   */
   boolean canAcceptCatalogs() {
     return catalogsAccepted;
   }
@@ -72,13 +79,13 @@
   @Override
   public void tick(long nowMillis) {
     RaftCore core = consensus.core(CONTROL_GROUP_ID);
-    boolean leads = core != null && core.hasLease(nowMillis);
+    boolean hasLease = core != null && core.hasLease(nowMillis);
     leaderHost = consensus.leaderHost(CONTROL_GROUP_ID);
-    updateLeadership(core != null && leads ? core.term() : 0, nowMillis);
-    boolean enough =
+    updateLeadership(core != null && hasLease ? core.term() : 0, nowMillis);
+    boolean enoughVoters =
         core != null && core.votersCommitted() && core.voters().getVotersCount() >= votersWanted;
     catalogsAccepted =
-        leads && (enough || nowMillis - leadingSinceMillis > MISSING_VOTERS_GRACE_MILLIS);
+        hasLease && (enoughVoters || nowMillis - leadingSinceMillis > MISSING_VOTERS_GRACE_MILLIS);
   }
 
   private void updateLeadership(long term, long nowMillis) {
--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -37,17 +37,17 @@
 import org.tinylog.Logger;
 
 /**
- * Schedules the calls of all gateways while its host leads group 0. Its state is soft: a new
- * scheduler rebuilds it from the gateways. Used on the event loop only.
+ * Schedules the requests of all gateways while its host leads group 0. Its state is soft: a new
+ * leader rebuilds it from what the gateways report. Confined to the event loop.
  */
 final class Scheduler {
   private static final long HEARTBEAT_INTERVAL_MILLIS = 130;
   private static final long QUEUED_TICK_INTERVAL_MILLIS = 40;
 
-  /** Longest time for which a new scheduler waits for the gateways to tell what they have open. */
+  /** Longest time for which a new leader waits for the gateways to report their open requests. */
   private static final long MAX_REBUILD_MILLIS = 250;
 
-  /** Shortest such time: gateways that lost their connection with the old scheduler come back. */
+  /** Shortest such time: lets gateways reconnect that were disconnected with the old leader. */
   static final long MIN_REBUILD_MILLIS = 100;
 
   private final EventLoop loop;
@@ -71,7 +71,7 @@
   private long lastHeartbeatMillis;
   private boolean tickScheduled;
 
-  /** What is known of a gateway. */
+  /** The state that a gateway has acknowledged. */
   private static final class GatewayView {
     long version;
     long catalogRevision;
@@ -79,7 +79,10 @@
     long incarnation;
   }
 
-  /** Something that is answered once every gateway has the news. */
+  /**
+   * A callback to run once every connected gateway has acknowledged the view version and activated
+   * the catalog revision; 0 stands for no requirement.
+   */
   private record PendingAcknowledgement(
       long version, long catalogRevision, Consumer<Boolean> callback) {}
 
@@ -88,14 +91,14 @@
       Clock clock,
       RandomGenerator random,
       RetryLimits retryLimits,
-      long backendSilenceMillis,
+      long backendTimeoutMillis,
       Supplier<Collection<HostRecord>> gateways,
       BiConsumer<String, Envelope.Builder> sender) {
     this.loop = loop;
     this.clock = clock;
     this.random = random;
     this.retryLimits = retryLimits;
-    this.backendTimeoutMillis = backendSilenceMillis;
+    this.backendTimeoutMillis = backendTimeoutMillis;
     this.gateways = gateways;
     this.sender = sender;
     this.core = new DispatchCore(retryLimits, 1, random);
@@ -107,7 +110,7 @@
 
   // ---- leadership -------------------------------------------------------------------------------
 
-  /** Begins to schedule in a term, or ceases to if it is 0. */
+  /** Starts scheduling in the given term, or stops scheduling if it is 0. */
   void setTerm(long newTerm) {
     if (term > 0) {
       stopScheduling();
@@ -119,7 +122,10 @@
   }
 
   private void startScheduling() {
-    Logger.info("scheduling in term {}", term);
+    Logger.info(
+        "started scheduling in term {}, rebuilding state for at most {} ms",
+        term,
+        MAX_REBUILD_MILLIS);
     long nowMillis = clock.nowMillis();
     core = new DispatchCore(retryLimits, 1, random);
     core.setCatalog(catalog);
@@ -138,44 +144,47 @@
   }
 
   private void stopScheduling() {
-    Logger.info("no longer scheduling in term {}", term);
+    Logger.info("stopped scheduling in term {}", term);
     SchedulerView.Builder view = SchedulerView.newBuilder().setTerm(term).setResigned(true);
     for (HostRecord gateway : gateways.get()) {
       sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(view));
     }
-    List<PendingAcknowledgement> open = List.copyOf(pendingAcknowledgements);
+    List<PendingAcknowledgement> unacknowledged = List.copyOf(pendingAcknowledgements);
     pendingAcknowledgements.clear();
-    open.forEach(waiter -> waiter.callback().accept(false));
+    unacknowledged.forEach(pending -> pending.callback().accept(false));
     deferredActions.clear();
     rebuilding = false;
   }
 
-  /** Ends the rebuilding once every connected gateway has told its state, or its time is up. */
+  /**
+   * Ends the rebuild once every connected gateway has reported its state, but not before {@link
+   * #MIN_REBUILD_MILLIS}; ends it in any case after {@link #MAX_REBUILD_MILLIS}.
+   */
   private void endRebuildIfComplete() {
-    long tookMillis = clock.nowMillis() - startedAtMillis;
+    long elapsedMillis = clock.nowMillis() - startedAtMillis;
     Collection<HostRecord> connected = gateways.get();
-    boolean informed =
-        tookMillis >= MIN_REBUILD_MILLIS
+    boolean complete =
+        elapsedMillis >= MIN_REBUILD_MILLIS
             && !connected.isEmpty()
             && connected.stream().allMatch(gateway -> viewOf(gateway).synced);
-    if (rebuilding && (informed || tookMillis >= MAX_REBUILD_MILLIS)) {
+    if (rebuilding && (complete || elapsedMillis >= MAX_REBUILD_MILLIS)) {
       endRebuild();
     }
   }
 
   private void endRebuild() {
     rebuilding = false;
-    List<Runnable> ready = List.copyOf(deferredActions);
+    List<Runnable> actions = List.copyOf(deferredActions);
     deferredActions.clear();
     viewVersion++;
-    ready.forEach(Runnable::run);
+    actions.forEach(Runnable::run);
     for (HostRecord gateway : gateways.get()) {
       sendFullView(gateway);
     }
     sendDecisions();
   }
 
-  /** Runs an action now, or once the state is rebuilt. */
+  /** Runs an action now, or defers it until the state is rebuilt. */
   private void runAfterRebuild(Runnable action) {
     if (rebuilding) {
       deferredActions.add(action);
@@ -184,7 +193,7 @@
     }
   }
 
-  // ---- time -------------------------------------------------------------------------------------
+  // ---- periodic work ----------------------------------------------------------------------------
 
   private void tick() {
     if (term == 0) {
@@ -199,9 +208,9 @@
     core.tick(nowMillis);
     sendDecisions();
     completeAcknowledged();
-    long delay =
+    long delayMillis =
         core.queuedRequests() > 0 ? QUEUED_TICK_INTERVAL_MILLIS : HEARTBEAT_INTERVAL_MILLIS;
-    loop.schedule(this::tick, delay, TimeUnit.MILLISECONDS);
+    loop.schedule(this::tick, delayMillis, TimeUnit.MILLISECONDS);
   }
 
   private void heartbeat(long nowMillis) {
@@ -211,15 +220,15 @@
 
   private void sendView(HostRecord gateway) {
     GatewayView view = viewOf(gateway);
-    boolean behind = view.version < viewVersion && !rebuilding;
-    if (behind && view.synced) {
+    boolean outdated = view.version < viewVersion && !rebuilding;
+    if (outdated && view.synced) {
       sendFullView(gateway);
     } else {
       sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(newView(view)));
     }
   }
 
-  /** Called when a connection to a gateway is up: it is told who schedules without waiting. */
+  /** Handles a new connection to a gateway: announces the scheduler to it without delay. */
   void gatewayConnected(HostRecord gateway) {
     if (term > 0) {
       sendView(gateway);
@@ -259,12 +268,15 @@
   }
 
   private void removeUnresponsiveBackends(long nowMillis) {
-    List<String> silent = registry.removeExpired(backendTimeoutMillis, nowMillis);
-    if (silent.isEmpty()) {
+    List<String> removedIds = registry.removeExpired(backendTimeoutMillis, nowMillis);
+    if (removedIds.isEmpty()) {
       return;
     }
-    Logger.info("backend servers {} are silent", silent);
-    silent.forEach(id -> core.removeBackend(id, nowMillis));
+    Logger.info(
+        "backend servers {} removed: no registration received for more than {} ms",
+        removedIds,
+        backendTimeoutMillis);
+    removedIds.forEach(id -> core.removeBackend(id, nowMillis));
     viewVersion++;
     gateways.get().forEach(this::sendFullView);
     sendDecisions();
@@ -272,7 +284,7 @@
 
   // ---- gateways ---------------------------------------------------------------------------------
 
-  /** Takes in a gateway's status. */
+  /** Handles a gateway's status: acknowledged versions and, if it is full, its open requests. */
   void handleStatus(HostRecord from, GatewayStatus status) {
     if (status.getTerm() != term || term == 0) {
       return;
@@ -296,9 +308,9 @@
   private void restore(HostRecord from, GatewayStatus status, long nowMillis) {
     status.getGoneList().forEach(id -> registry.remove(id, nowMillis));
     for (BackendRecord record : status.getBackendsList()) {
-      BackendRecord changed = registry.restore(record, nowMillis);
-      if (changed != null) {
-        core.updateBackend(changed, nowMillis);
+      BackendRecord changedBackend = registry.restore(record, nowMillis);
+      if (changedBackend != null) {
+        core.updateBackend(changedBackend, nowMillis);
       }
     }
     status.getGoneList().forEach(id -> core.removeBackend(id, nowMillis));
@@ -310,7 +322,7 @@
     sendDecisions();
   }
 
-  /** Takes in calls to place, and what became of others. */
+  /** Handles a gateway's placement requests, progress reports and ended requests. */
   void handleRequests(HostRecord from, DispatchRequests requests) {
     if (requests.getTerm() != term || term == 0) {
       return;
@@ -328,21 +340,21 @@
       core.outputProgressed(
           new RequestId(gateway, progress.getId()), progress.getOutputTokens(), nowMillis);
     }
-    DispatchOrders.Builder waiting = DispatchOrders.newBuilder().setTerm(term);
-    for (PlacementRequest ask : requests.getAsksList()) {
-      RequestId key = new RequestId(gateway, ask.getId());
-      core.submit(key, ask, nowMillis);
+    DispatchOrders.Builder queuedOrders = DispatchOrders.newBuilder().setTerm(term);
+    for (PlacementRequest placementRequest : requests.getAsksList()) {
+      RequestId key = new RequestId(gateway, placementRequest.getId());
+      core.submit(key, placementRequest, nowMillis);
       if (core.isQueued(key)) {
-        waiting.addWaiting(ask.getId());
+        queuedOrders.addWaiting(placementRequest.getId());
       }
     }
     sendDecisions();
-    if (waiting.getWaitingCount() > 0) {
-      sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(waiting));
+    if (queuedOrders.getWaitingCount() > 0) {
+      sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(queuedOrders));
     }
   }
 
-  /** Called when the connection to a gateway is gone. */
+  /** Handles the loss of the connection to a gateway: discards its requests. */
   void gatewayDisconnected(HostRecord gateway) {
     if (term > 0) {
       gatewayViews.remove(gateway.getName());
@@ -353,95 +365,99 @@
   }
 
   private void sendDecisions() {
-    Map<String, DispatchOrders.Builder> orders = new LinkedHashMap<>();
+    Map<String, DispatchOrders.Builder> ordersByGateway = new LinkedHashMap<>();
     for (DispatchDecision decision : core.drainDecisions()) {
-      DispatchOrders.Builder order =
-          orders.computeIfAbsent(
+      DispatchOrders.Builder orders =
+          ordersByGateway.computeIfAbsent(
               decision.key().gateway(), name -> DispatchOrders.newBuilder().setTerm(term));
       switch (decision) {
-        case DispatchDecision.Place place ->
-            order.addPlacements(
+        case DispatchDecision.Place placement ->
+            orders.addPlacements(
                 Placement.newBuilder()
-                    .setId(place.key().id())
-                    .setBackend(place.backend())
-                    .setUrgency(place.urgency())
-                    .setBackup(place.backup()));
-        case DispatchDecision.Reject refuse ->
-            order.addRefusals(
+                    .setId(placement.key().id())
+                    .setBackend(placement.backend())
+                    .setUrgency(placement.urgency())
+                    .setBackup(placement.backup()));
+        case DispatchDecision.Reject rejection ->
+            orders.addRefusals(
                 Refusal.newBuilder()
-                    .setId(refuse.key().id())
-                    .setRetryAfterMillis(refuse.retryAfterMillis())
-                    .setReason(refuse.reason().name()));
-        case DispatchDecision.Migrate move ->
-            order.addMoves(
+                    .setId(rejection.key().id())
+                    .setRetryAfterMillis(rejection.retryAfterMillis())
+                    .setReason(rejection.reason().name()));
+        case DispatchDecision.Migrate migration ->
+            orders.addMoves(
                 Move.newBuilder()
-                    .setId(move.key().id())
-                    .setTarget(move.target())
-                    .setBackup(move.backup()));
+                    .setId(migration.key().id())
+                    .setTarget(migration.target())
+                    .setBackup(migration.backup()));
       }
     }
-    orders.forEach(
-        (gateway, order) -> sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(order)));
+    ordersByGateway.forEach(
+        (gateway, orders) ->
+            sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(orders)));
   }
 
   // ---- backend servers --------------------------------------------------------------------------
 
-  /** Takes in a registration; the answer comes once it may be acknowledged. */
-  void register(BackendRecord news, Consumer<Boolean> answer) {
+  /**
+   * Handles a registration. The callback runs once the registration may be acknowledged: for a
+   * leaving backend server, when every gateway has the change, else at once.
+   */
+  void register(BackendRecord registration, Consumer<Boolean> callback) {
     if (term == 0) {
-      answer.accept(false);
+      callback.accept(false);
       return;
     }
     runAfterRebuild(
         () -> {
           long nowMillis = clock.nowMillis();
-          BackendRecord changed = registry.register(news, nowMillis);
+          BackendRecord changed = registry.register(registration, nowMillis);
           if (changed != null) {
             Logger.info(
-                "backend server {} of {} {}",
+                "backend server {} of service {} {}",
                 changed.getId(),
                 changed.getService(),
-                changed.getLeaving() ? "leaves" : "registered");
+                changed.getLeaving() ? "is leaving" : "registered");
             core.updateBackend(changed, nowMillis);
             pushBackendChange(List.of(changed), List.of());
           }
-          if (news.getLeaving()) {
-            notifyWhenAcknowledged(viewVersion, 0, answer);
+          if (registration.getLeaving()) {
+            notifyWhenAcknowledged(viewVersion, 0, callback);
           } else {
-            answer.accept(true);
+            callback.accept(true);
           }
         });
   }
 
-  /** Notes that a backend server is gone; the answer comes once every gateway knows. */
-  void withdraw(String id, Consumer<Boolean> answer) {
+  /** Deregisters a backend server; the callback runs once every gateway has the change. */
+  void withdraw(String id, Consumer<Boolean> callback) {
     if (term == 0) {
-      answer.accept(false);
+      callback.accept(false);
       return;
     }
     runAfterRebuild(
         () -> {
           long nowMillis = clock.nowMillis();
           if (registry.remove(id, nowMillis)) {
-            Logger.info("backend server {} is gone", id);
+            Logger.info("backend server {} deregistered", id);
             core.removeBackend(id, nowMillis);
             pushBackendChange(List.of(), List.of(id));
           }
-          notifyWhenAcknowledged(viewVersion, 0, answer);
+          notifyWhenAcknowledged(viewVersion, 0, callback);
         });
   }
 
-  private void pushBackendChange(List<BackendRecord> changed, List<String> gone) {
-    long before = viewVersion;
+  private void pushBackendChange(List<BackendRecord> changed, List<String> removedIds) {
+    long previousVersion = viewVersion;
     viewVersion++;
     for (HostRecord gateway : gateways.get()) {
       GatewayView view = viewOf(gateway);
       SchedulerView.Builder builder =
           newView(view)
               .setVersion(viewVersion)
-              .setBaseVersion(before)
+              .setBaseVersion(previousVersion)
               .addAllBackends(changed)
-              .addAllGone(gone);
+              .addAllGone(removedIds);
       sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(builder));
     }
     sendDecisions();
@@ -449,7 +465,7 @@
 
   // ---- catalog ----------------------------------------------------------------------------------
 
-  /** Puts a committed catalog into force and tells the gateways. */
+  /** Activates a committed catalog here and sends it to the gateways. */
   void applyCatalog(Catalog newer, ByteString newDocument) {
     if (newer.revision() <= catalog.revision()) {
       return;
@@ -465,17 +481,19 @@
     }
   }
 
-  /** Answers once every gateway has the revision in force. */
-  void notifyWhenCatalogActive(long revision, Consumer<Boolean> answer) {
+  /** Runs the callback once every gateway has activated the catalog revision. */
+  void notifyWhenCatalogActive(long revision, Consumer<Boolean> callback) {
     if (term == 0) {
-      answer.accept(false);
+      callback.accept(false);
     } else {
-      notifyWhenAcknowledged(0, revision, answer);
+      notifyWhenAcknowledged(0, revision, callback);
     }
   }
 
-  private void notifyWhenAcknowledged(long wantedVersion, long revision, Consumer<Boolean> answer) {
-    pendingAcknowledgements.add(new PendingAcknowledgement(wantedVersion, revision, answer));
+  private void notifyWhenAcknowledged(
+      long requiredVersion, long requiredRevision, Consumer<Boolean> callback) {
+    pendingAcknowledgements.add(
+        new PendingAcknowledgement(requiredVersion, requiredRevision, callback));
     completeAcknowledged();
   }
 
@@ -490,10 +508,10 @@
       leastVersion = Math.min(leastVersion, view.version);
       leastRevision = Math.min(leastRevision, view.catalogRevision);
     }
-    for (PendingAcknowledgement waiter : List.copyOf(pendingAcknowledgements)) {
-      if (waiter.version() <= leastVersion && waiter.catalogRevision() <= leastRevision) {
-        pendingAcknowledgements.remove(waiter);
-        waiter.callback().accept(true);
+    for (PendingAcknowledgement pending : List.copyOf(pendingAcknowledgements)) {
+      if (pending.version() <= leastVersion && pending.catalogRevision() <= leastRevision) {
+        pendingAcknowledgements.remove(pending);
+        pending.callback().accept(true);
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/scheduler/package-info.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/package-info.java
@@ -1,3 +1,3 @@
-/** The control host's side of routed calls: the scheduler, registrations and the catalog. */
+/** Control host: request scheduling, backend server registration and the catalog. */
 @org.jspecify.annotations.NullMarked
 package org.curranthaven.internal.scheduler;
