--- a/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
+++ b/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
@@ -51,7 +51,7 @@
         .build();
   }
 
-  private void status(String gateway, long version, long revision, boolean full) {
+  private void receiveStatus(String gateway, long version, long revision, boolean full) {
     scheduler.handleStatus(
         host(gateway),
         GatewayStatus.newBuilder()
@@ -62,10 +62,10 @@
             .build());
   }
 
-  private void lead() {
+  private void startLeading() {
     scheduler.setTerm(5);
-    status("g1", 0, 0, true);
-    status("g2", 0, 0, true);
+    receiveStatus("g1", 0, 0, true);
+    receiveStatus("g2", 0, 0, true);
     time.pass(REBUILT_MILLIS);
   }
 
@@ -77,7 +77,7 @@
         .orElse(0);
   }
 
-  private static final class Answer {
+  private static final class RecordedResult {
     private @org.jspecify.annotations.Nullable Boolean value;
 
     void accept(boolean accepted) {
@@ -86,52 +86,52 @@
   }
 
   @Test
-  void a_leave_is_acknowledged_only_once_every_gateway_has_it() {
-    lead();
-    scheduler.register(backend(1, false), new Answer()::accept);
-    Answer answer = new Answer();
+  void a_leaving_backend_server_is_acknowledged_only_when_every_gateway_has_the_change() {
+    startLeading();
+    scheduler.register(backend(1, false), new RecordedResult()::accept);
+    RecordedResult result = new RecordedResult();
 
-    scheduler.register(backend(2, true), answer::accept);
-    status("g1", lastVersion(), 0, false);
-    assertThat(answer.value).isNull();
-    status("g2", lastVersion(), 0, false);
+    scheduler.register(backend(2, true), result::accept);
+    receiveStatus("g1", lastVersion(), 0, false);
+    assertThat(result.value).isNull();
+    receiveStatus("g2", lastVersion(), 0, false);
 
-    assertThat(answer.value).isTrue();
+    assertThat(result.value).isTrue();
   }
 
   @Test
-  void a_gateway_whose_connection_is_gone_is_not_waited_for() {
-    lead();
-    scheduler.register(backend(1, false), new Answer()::accept);
-    Answer answer = new Answer();
-    scheduler.withdraw("i-1", answer::accept);
-    status("g1", lastVersion(), 0, false);
-    assertThat(answer.value).isNull();
+  void a_deregistration_does_not_wait_for_a_disconnected_gateway() {
+    startLeading();
+    scheduler.register(backend(1, false), new RecordedResult()::accept);
+    RecordedResult result = new RecordedResult();
+    scheduler.withdraw("i-1", result::accept);
+    receiveStatus("g1", lastVersion(), 0, false);
+    assertThat(result.value).isNull();
 
     gateways.removeLast();
     scheduler.gatewayDisconnected(host("g2"));
 
-    assertThat(answer.value).isTrue();
+    assertThat(result.value).isTrue();
   }
 
   @Test
-  void a_catalog_is_accepted_once_it_is_in_force_at_every_gateway() {
-    lead();
+  void a_catalog_is_accepted_once_every_gateway_has_activated_it() {
+    startLeading();
     Catalog catalog = new Catalog(8, List.of(), List.of(), RequestLimits.standard(), null);
     scheduler.applyCatalog(catalog, ByteString.copyFromUtf8("document"));
-    Answer answer = new Answer();
+    RecordedResult result = new RecordedResult();
 
-    scheduler.notifyWhenCatalogActive(8, answer::accept);
-    status("g1", 0, 8, false);
-    assertThat(answer.value).isNull();
-    status("g2", 0, 8, false);
+    scheduler.notifyWhenCatalogActive(8, result::accept);
+    receiveStatus("g1", 0, 8, false);
+    assertThat(result.value).isNull();
+    receiveStatus("g2", 0, 8, false);
 
-    assertThat(answer.value).isTrue();
+    assertThat(result.value).isTrue();
   }
 
   @Test
-  void a_gateway_that_connects_is_told_at_once_who_schedules() {
-    lead();
+  void a_gateway_that_connects_is_sent_the_scheduler_term_at_once() {
+    startLeading();
     gateways.add(host("g3"));
 
     scheduler.gatewayConnected(host("g3"));
@@ -141,11 +141,11 @@
   }
 
   @Test
-  void a_gateway_is_told_that_its_call_waits() {
-    lead();
-    scheduler.register(backend(1, false), new Answer()::accept);
+  void a_gateway_is_notified_that_its_request_is_queued() {
+    startLeading();
+    scheduler.register(backend(1, false), new RecordedResult()::accept);
     for (long id = 1; id <= 4; id++) {
-      PlacementRequest ask =
+      PlacementRequest placementRequest =
           PlacementRequest.newBuilder()
               .setId(id)
               .setService("plain")
@@ -153,28 +153,28 @@
               .setDeadlineLeftMillis(3_000)
               .build();
       scheduler.handleRequests(
-          host("g1"), DispatchRequests.newBuilder().setTerm(5).addAsks(ask).build());
+          host("g1"), DispatchRequests.newBuilder().setTerm(5).addAsks(placementRequest).build());
     }
 
     assertThat(sent.getLast().getValue().getDispatchOrders().getWaitingList()).containsExactly(4L);
   }
 
   @Test
-  void a_new_scheduler_goes_on_as_soon_as_every_gateway_has_told_its_state() {
+  void a_new_leader_ends_its_rebuild_as_soon_as_every_gateway_has_reported_its_state() {
     scheduler.setTerm(5);
-    status("g1", 0, 0, true);
-    Answer answer = new Answer();
-    scheduler.register(backend(1, false), answer::accept);
+    receiveStatus("g1", 0, 0, true);
+    RecordedResult result = new RecordedResult();
+    scheduler.register(backend(1, false), result::accept);
     time.pass(Scheduler.MIN_REBUILD_MILLIS + 20);
-    assertThat(answer.value).isNull();
+    assertThat(result.value).isNull();
 
-    status("g2", 0, 0, true);
+    receiveStatus("g2", 0, 0, true);
 
-    assertThat(answer.value).isTrue();
+    assertThat(result.value).isTrue();
   }
 
   @Test
-  void a_new_scheduler_places_nothing_before_it_knows_what_runs() {
+  void a_new_leader_places_nothing_on_slots_that_running_requests_occupy() {
     scheduler.setTerm(5);
     scheduler.handleStatus(
         host("g1"),
@@ -182,17 +182,18 @@
             .setTerm(5)
             .setFull(true)
             .addBackends(backend(1, false))
-            .addOpen(open(1))
-            .addOpen(open(2))
-            .addOpen(open(3))
+            .addOpen(openDispatch(1))
+            .addOpen(openDispatch(2))
+            .addOpen(openDispatch(3))
             .build());
-    DispatchRequests ask = DispatchRequests.newBuilder().setTerm(5).addAsks(call(9)).build();
+    DispatchRequests requests =
+        DispatchRequests.newBuilder().setTerm(5).addAsks(placementRequest(9)).build();
 
-    scheduler.handleRequests(host("g2"), ask);
+    scheduler.handleRequests(host("g2"), requests);
     assertThat(sent).noneMatch(message -> message.getValue().hasDispatchOrders());
     time.pass(REBUILT_MILLIS);
 
-    // Two slots carry three calls at most: the ninth waits.
+    // The two slots already run three requests, their limit: request 9 is queued.
     assertThat(sent)
         .noneMatch(
             message ->
@@ -200,7 +201,7 @@
                     && message.getValue().getDispatchOrders().getPlacementsCount() > 0);
   }
 
-  private static PlacementRequest call(long id) {
+  private static PlacementRequest placementRequest(long id) {
     return PlacementRequest.newBuilder()
         .setId(id)
         .setService("plain")
@@ -209,20 +210,20 @@
         .build();
   }
 
-  private static OpenDispatch open(long id) {
-    return OpenDispatch.newBuilder().setAsk(call(id)).setBackend("i-1").build();
+  private static OpenDispatch openDispatch(long id) {
+    return OpenDispatch.newBuilder().setAsk(placementRequest(id)).setBackend("i-1").build();
   }
 
   @Test
-  void when_it_ceases_to_lead_nothing_that_waits_is_acknowledged() {
-    lead();
-    scheduler.register(backend(1, false), new Answer()::accept);
-    Answer answer = new Answer();
-    scheduler.register(backend(2, true), answer::accept);
+  void pending_registrations_are_not_acknowledged_when_the_host_stops_leading() {
+    startLeading();
+    scheduler.register(backend(1, false), new RecordedResult()::accept);
+    RecordedResult result = new RecordedResult();
+    scheduler.register(backend(2, true), result::accept);
 
     scheduler.setTerm(0);
 
-    assertThat(answer.value).isFalse();
+    assertThat(result.value).isFalse();
     assertThat(sent.getLast().getValue().getSchedulerView().getResigned()).isTrue();
   }
 }
