--- a/src/main/java/org/curranthaven/internal/membership/BackendAnnouncement.java
+++ b/src/main/java/org/curranthaven/internal/membership/BackendAnnouncement.java
@@ -5,25 +5,25 @@
 import org.curranthaven.api.Names;
 
 /**
- * What a backend server says of itself.
+ * Announcement in which a backend server describes itself and its current load.
  *
- * @param name name of the server
+ * @param name name of the backend server
  * @param incarnation start time of its process; a later one replaces an earlier one
- * @param sequence number of the announcement within the incarnation
- * @param address IP address and port for calls
- * @param dataCentre data centre it stands in
+ * @param sequence sequence number of the announcement within the incarnation
+ * @param address IP address and port that takes requests
+ * @param dataCentre data centre of the backend server
  * @param models models and adapters it serves
  * @param service plain service it serves; empty for an engine
  * @param role role of an engine, such as {@code general} or {@code prefill}
- * @param blocksTotal memory blocks in all; 0 for a plain service
- * @param blocksFree memory blocks free
- * @param running requests being served
- * @param waiting requests waiting inside
- * @param maxBatch most requests served at once; 0 when it does not say
- * @param honoursPriority whether it serves lower priorities first
- * @param resume which generations it can resume
- * @param checksFencing whether it refuses orders with an old fencing number
- * @param state whether it takes new work
+ * @param blocksTotal total number of memory blocks; 0 for a plain service
+ * @param blocksFree number of free memory blocks
+ * @param running number of requests being served
+ * @param waiting number of requests in the backend server's own queue
+ * @param maxBatch maximum number of requests served at once; 0 if not announced
+ * @param honoursPriority whether requests with a lower priority number are served first
+ * @param resume which generations the backend server can resume
+ * @param checksFencing whether commands with an outdated fencing number are rejected
+ * @param state whether the backend server takes new requests
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record BackendAnnouncement(
@@ -45,36 +45,48 @@
     boolean checksFencing,
     State state) {
 
-  /** Which generations a server can resume. */
+  /** Which generations a backend server can resume. */
   public enum Resume {
     /** None. */
     NONE,
-    /** Those that it runs itself. */
+    /** Its own generations. */
     OWN,
-    /** Also those of another server, as the same generation, from the tokens so far. */
+    /**
+     * Also those of another backend server: the same generation continues from its tokens so far.
+     */
     TAKEOVER
   }
 
-  /** Whether a server takes new work. */
+  /** Whether a backend server takes new requests. */
   public enum State {
-    /** It does. */
+    /** Takes new requests. */
     READY,
-    /** It finishes what it has. */
+    /** Takes no new requests and finishes the running ones. */
     LEAVING,
-    /** It is taken away soon; streams should move. */
+    /** About to be removed: running generations should migrate to other engines. */
     RECLAIMED
   }
 
   public BackendAnnouncement {
     Names.requireName("backend server", name);
     if (address == null || !address.matches("[0-9a-fA-F.:\\[\\]]+:[0-9]{1,5}")) {
-      throw new IllegalArgumentException("address must be IP:PORT, but is '" + address + "'");
+      throw new IllegalArgumentException(
+          "address of backend server " + name + " must be IP:PORT, but is '" + address + "'");
     }
     if (blocksTotal < 0 || blocksFree < 0 || blocksFree > blocksTotal) {
-      throw new IllegalArgumentException("blocksFree must lie between 0 and blocksTotal");
+      throw new IllegalArgumentException(
+          "blocksFree of backend server "
+              + name
+              + " must be between 0 and blocksTotal ("
+              + blocksTotal
+              + "), but is "
+              + blocksFree);
     }
     if (running < 0 || waiting < 0 || maxBatch < 0 || sequence < 0 || incarnation < 0) {
-      throw new IllegalArgumentException("counts and numbers must not be negative");
+      throw new IllegalArgumentException(
+          "running, waiting, maxBatch, sequence and incarnation of backend server "
+              + name
+              + " must not be negative");
     }
     dataCentre = dataCentre == null ? "" : dataCentre;
     models = models == null ? List.of() : List.copyOf(models);
@@ -84,7 +96,7 @@
     state = state == null ? State.READY : state;
   }
 
-  /** Returns whether this was sent after {@code other} by the same server. */
+  /** Returns whether the same backend server sent this announcement after {@code other}. */
   public boolean isNewerThan(BackendAnnouncement other) {
     return incarnation != other.incarnation
         ? incarnation > other.incarnation
--- a/src/main/java/org/curranthaven/internal/membership/BackendView.java
+++ b/src/main/java/org/curranthaven/internal/membership/BackendView.java
@@ -8,21 +8,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Backend servers as one host knows them, each for as long as its announcement's lease lasts.
+ * The backend servers that one host knows, each valid while the lease of its latest announcement
+ * lasts.
  *
- * <p>The lease is counted from when the server sent the announcement: each host on the way adds the
- * time that the announcement spent there, so that no two wall clocks are compared. Announcements
- * are ordered by incarnation and sequence, and the order is remembered after a server has gone, so
- * that a late one never brings it back. Not thread-safe.
+ * <p>A lease starts when the backend server sends the announcement. Each host that forwards the
+ * announcement adds the time spent there to its age, so that wall clocks of different hosts are
+ * never compared. Announcements are ordered by incarnation and sequence. The order is kept after a
+ * lease has expired, so that a delayed announcement never restores a removed backend server. Not
+ * thread-safe.
  */
 public final class BackendView {
-  /** Length of the lease that an announcement gives, in milliseconds. */
+  /** Duration of the lease that an announcement grants, in milliseconds. */
   public static final long LEASE_MILLIS = 3_000;
 
-  /** How long the last announcement of a server that has gone is remembered, in milliseconds. */
+  /** How long the last announcement of a removed backend server is kept, in milliseconds. */
   static final long TOMBSTONE_RETENTION_MILLIS = 3_600_000;
 
-  /** Allowance for the time on the wire, added at each hop, in milliseconds. */
+  /** Network latency assumed for each hop and added to the age there, in milliseconds. */
   public static final long HOP_ALLOWANCE_MILLIS = 5;
 
   private final Map<String, Entry> entries = new HashMap<>();
@@ -30,30 +32,30 @@
   private record Entry(BackendAnnouncement announcement, long sentAtMillis) {}
 
   /**
-   * A server with the age of what is known of it.
+   * The latest announcement of a backend server, with its age.
    *
-   * @param ageMillis time since the server sent the announcement
+   * @param ageMillis time since the backend server sent the announcement
    */
   public record AgedAnnouncement(BackendAnnouncement announcement, long ageMillis) {}
 
-  /** Takes in an announcement that is {@code ageMillis} old; returns whether it is news. */
+  /** Stores an announcement unless a newer one is known; returns whether it was stored. */
   public boolean update(BackendAnnouncement announcement, long ageMillis, long nowMillis) {
     Entry known = entries.get(announcement.name());
     if (known != null && !announcement.isNewerThan(known.announcement())) {
       return false;
     }
-    long sentAt = nowMillis - Math.max(0, ageMillis);
-    entries.put(announcement.name(), new Entry(announcement, sentAt));
+    long sentAtMillis = nowMillis - Math.max(0, ageMillis);
+    entries.put(announcement.name(), new Entry(announcement, sentAtMillis));
     return true;
   }
 
-  /** Returns the server if it may be given new work now. */
+  /** Returns the backend server if it may be sent new requests now, or null. */
   public @Nullable BackendAnnouncement usable(String name, long nowMillis) {
     Entry entry = entries.get(name);
     return entry != null && isUsable(entry, nowMillis) ? entry.announcement() : null;
   }
 
-  /** Returns the latest announcement of the server if its lease has not ended, in any state. */
+  /** Returns the backend server in any state if its lease has not expired, or null. */
   public @Nullable BackendAnnouncement alive(String name, long nowMillis) {
     Entry entry = entries.get(name);
     return entry != null && nowMillis < entry.sentAtMillis() + LEASE_MILLIS
@@ -61,7 +63,7 @@
         : null;
   }
 
-  /** Returns all servers that may be given new work now. */
+  /** Returns all backend servers that may be sent new requests now. */
   public List<BackendAnnouncement> allUsable(long nowMillis) {
     return entries.values().stream()
         .filter(entry -> isUsable(entry, nowMillis))
@@ -69,13 +71,16 @@
         .toList();
   }
 
-  /** Returns when the server sent its latest announcement, on this host's clock. */
+  /**
+   * Returns when the backend server sent its latest announcement, on this host's clock, or {@link
+   * Long#MIN_VALUE} if none is known.
+   */
   public long sentAtMillis(String name) {
     Entry entry = entries.get(name);
     return entry == null ? Long.MIN_VALUE : entry.sentAtMillis();
   }
 
-  /** Returns the named servers' latest announcements, aged to now, to pass on to other hosts. */
+  /** Returns the latest announcements of the named backend servers, to forward to other hosts. */
   public List<AgedAnnouncement> agedAnnouncements(Collection<String> names, long nowMillis) {
     List<AgedAnnouncement> result = new ArrayList<>();
     for (String name : names) {
@@ -87,12 +92,12 @@
     return result;
   }
 
-  /** Returns the names of all servers that are remembered. */
+  /** Returns the names of all known backend servers, including those with an expired lease. */
   public Collection<String> names() {
     return List.copyOf(entries.keySet());
   }
 
-  /** Forgets servers that have been gone for {@link #TOMBSTONE_RETENTION_MILLIS}. */
+  /** Evicts backend servers that sent nothing for {@link #TOMBSTONE_RETENTION_MILLIS}. */
   public void evictOldEntries(long nowMillis) {
     entries
         .values()
--- a/src/main/java/org/curranthaven/internal/membership/package-info.java
+++ b/src/main/java/org/curranthaven/internal/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Hosts and backend servers as leased soft state. */
+/** Backend servers known to a host, as soft state that expires with a lease. */
 @NullMarked
 package org.curranthaven.internal.membership;
 
--- a/src/test/java/org/curranthaven/internal/membership/BackendViewTest.java
+++ b/src/test/java/org/curranthaven/internal/membership/BackendViewTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void a_server_is_used_while_its_lease_lasts() {
+  void a_backend_server_is_usable_until_its_lease_expires() {
     view.update(engine(1, 1, BackendAnnouncement.State.READY), 0, 1_000);
 
     assertThat(view.usable("story-1", 3_999)).isNotNull();
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void the_time_spent_on_the_way_shortens_the_lease() {
+  void the_age_of_an_announcement_shortens_the_lease() {
     view.update(engine(1, 1, BackendAnnouncement.State.READY), 2_500, 1_000);
 
     assertThat(view.usable("story-1", 1_499)).isNotNull();
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void a_leaving_server_gets_nothing_new_but_is_alive() {
+  void a_leaving_backend_server_is_alive_but_not_usable() {
     view.update(engine(1, 1, BackendAnnouncement.State.READY), 0, 0);
     view.update(engine(1, 2, BackendAnnouncement.State.LEAVING), 0, 10);
 
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void a_late_announcement_does_not_bring_a_leaving_server_back() {
+  void a_delayed_announcement_does_not_make_a_leaving_backend_server_usable() {
     view.update(engine(1, 2, BackendAnnouncement.State.LEAVING), 0, 0);
 
     assertThat(view.update(engine(1, 1, BackendAnnouncement.State.READY), 0, 10)).isFalse();
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void a_late_announcement_does_not_bring_back_a_server_that_has_gone() {
+  void a_delayed_announcement_does_not_restore_an_expired_backend_server() {
     view.update(engine(2, 5, BackendAnnouncement.State.READY), 0, 0);
 
     view.update(engine(1, 9, BackendAnnouncement.State.READY), 0, 10_000);
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void a_restarted_server_is_taken_back() {
+  void a_restarted_backend_server_is_usable_again() {
     view.update(engine(1, 9, BackendAnnouncement.State.LEAVING), 0, 0);
 
     view.update(engine(2, 1, BackendAnnouncement.State.READY), 0, 100);
