--- a/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
+++ b/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
@@ -5,28 +5,28 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * How long a dialled host may take to answer. A host that has no power yet swallows what is sent to
- * it, so the first dials are given up soon and made again; one that never answers in time may be
- * far away, so later ones wait longer. Thread-safe.
+ * Chooses the connect timeout of each dialled address. A host that is powered off drops packets
+ * without a reply, so the first attempts time out soon and are repeated; a host that never replies
+ * in time may be far away, so later attempts have a longer timeout. Thread-safe.
  *
  * <pre>{@code
- * int timeout = times.timeoutMillis("10.0.0.1:7000");
- * times.recordTimeout("10.0.0.1:7000");
+ * int timeoutMillis = timeouts.timeoutMillis("10.0.0.1:7000");
+ * timeouts.recordTimeout("10.0.0.1:7000");
  * }</pre>
  */
 final class ConnectTimeouts {
-  /** Time for a host a few milliseconds away that is busy starting, in milliseconds. */
+  /** Timeout that suffices for a host a few milliseconds away that is still starting. */
   static final int SHORT_TIMEOUT_MILLIS = 200;
 
-  /** Time for the farthest host, in milliseconds. */
+  /** Timeout that suffices for the most distant host. */
   static final int LONG_TIMEOUT_MILLIS = 1_000;
 
-  /** Dials that are given up soon: together longer than a host takes to come back. */
+  /** Attempts with the short timeout: together they last longer than a host takes to restart. */
   static final int SHORT_TIMEOUT_ATTEMPTS = 12;
 
   private final Map<String, Integer> timeoutsByAddress = new ConcurrentHashMap<>();
 
-  /** Returns the time for the next dial of the address, in milliseconds. */
+  /** Returns the timeout of the next connection attempt to the address. */
   int timeoutMillis(String address) {
     return timeoutsByAddress.getOrDefault(address, 0) < SHORT_TIMEOUT_ATTEMPTS
         ? SHORT_TIMEOUT_MILLIS
@@ -41,7 +41,7 @@
     timeoutsByAddress.remove(address);
   }
 
-  /** Forgets what is not dialled any more. */
+  /** Discards the addresses that are no longer dialled. */
   void retainAddresses(Collection<String> addresses) {
     timeoutsByAddress.keySet().retainAll(addresses);
   }
--- a/src/main/java/org/curranthaven/internal/transport/ControlClient.java
+++ b/src/main/java/org/curranthaven/internal/transport/ControlClient.java
@@ -18,8 +18,8 @@
 import org.curranthaven.internal.transport.wire.HostRecord;
 
 /**
- * Sends commands to the leaders of groups from any host. Commands are idempotent, so that one whose
- * answer was lost is sent again. Thread-safe; callers block.
+ * Sends commands to the leaders of consensus groups from any host. Commands are idempotent, so a
+ * command whose reply was lost is sent again. Thread-safe; callers block.
  */
 public final class ControlClient {
   private static final long ATTEMPT_TIMEOUT_MILLIS = 500;
@@ -38,7 +38,7 @@
     this.clock = clock;
   }
 
-  /** Takes in the answer to a command. */
+  /** Handles the reply to a command; discards it if the attempt has timed out. */
   public void handleReply(CommandReply reply) {
     CompletableFuture<CommandReply> future = pendingReplies.remove(reply.getRequestId());
     if (future != null) {
@@ -47,23 +47,23 @@
   }
 
   /**
-   * Sends a command until it is applied or the time is up.
+   * Sends a command repeatedly until it is applied or the timeout expires.
    *
-   * @return the reply of the leader that applied it, or a reply with status {@code UNKNOWN} if it
-   *     may have been taken, {@code UNAVAILABLE} if it cannot have been
+   * @return the reply of the leader that applied the command, or a reply with status {@code
+   *     UNKNOWN} if the command may have been accepted, {@code UNAVAILABLE} if it cannot have been
    */
   public CommandReply execute(int groupId, ByteString command, long timeoutMillis)
       throws InterruptedException {
-    long deadline = clock.nowMillis() + timeoutMillis;
-    boolean mayBeTaken = false;
-    int turn = 0;
-    while (clock.nowMillis() < deadline) {
-      String target = chooseTarget(groupId, turn++);
+    long deadlineMillis = clock.nowMillis() + timeoutMillis;
+    boolean mayBeAccepted = false;
+    int attempt = 0;
+    while (clock.nowMillis() < deadlineMillis) {
+      String target = chooseTarget(groupId, attempt++);
       if (target.isEmpty()) {
         Thread.sleep(RETRY_DELAY_MILLIS);
         continue;
       }
-      CommandReply reply = sendOnce(groupId, target, command, deadline);
+      CommandReply reply = sendOnce(groupId, target, command, deadlineMillis);
       switch (reply.getStatus()) {
         case COMMAND_STATUS_APPLIED -> {
           leaderByGroup.put(groupId, target);
@@ -72,7 +72,7 @@
         case COMMAND_STATUS_NOT_LEADER, COMMAND_STATUS_UNAVAILABLE ->
             updateLeader(groupId, target, reply.getLeaderHost());
         default -> {
-          mayBeTaken = true;
+          mayBeAccepted = true;
           updateLeader(groupId, target, "");
         }
       }
@@ -81,16 +81,16 @@
       }
     }
     return reply(
-        mayBeTaken
+        mayBeAccepted
             ? CommandStatus.COMMAND_STATUS_UNKNOWN
             : CommandStatus.COMMAND_STATUS_UNAVAILABLE);
   }
 
-  private void updateLeader(int groupId, String target, String betterTarget) {
-    if (betterTarget.isEmpty()) {
+  private void updateLeader(int groupId, String target, String newLeader) {
+    if (newLeader.isEmpty()) {
       leaderByGroup.remove(groupId, target);
     } else {
-      leaderByGroup.put(groupId, betterTarget);
+      leaderByGroup.put(groupId, newLeader);
     }
   }
 
@@ -109,8 +109,8 @@
       if (!network.send(target, Envelope.newBuilder().setCommandRequest(request))) {
         return reply(CommandStatus.COMMAND_STATUS_UNAVAILABLE);
       }
-      long wait = Math.min(ATTEMPT_TIMEOUT_MILLIS, deadlineMillis - clock.nowMillis());
-      return future.get(Math.max(1, wait), TimeUnit.MILLISECONDS);
+      long timeoutMillis = Math.min(ATTEMPT_TIMEOUT_MILLIS, deadlineMillis - clock.nowMillis());
+      return future.get(Math.max(1, timeoutMillis), TimeUnit.MILLISECONDS);
     } catch (TimeoutException | ExecutionException e) {
       return reply(CommandStatus.COMMAND_STATUS_UNKNOWN);
     } finally {
@@ -118,16 +118,16 @@
     }
   }
 
-  private String chooseTarget(int groupId, int turn) {
+  private String chooseTarget(int groupId, int attempt) {
     String leader = leaderByGroup.get(groupId);
     if (leader != null) {
       return leader;
     }
-    List<String> control = reachableControlHosts();
-    return control.isEmpty() ? "" : control.get(turn % control.size());
+    List<String> controlHosts = reachableControlHosts();
+    return controlHosts.isEmpty() ? "" : controlHosts.get(attempt % controlHosts.size());
   }
 
-  /** Returns the names of the control hosts that can be reached, this one included. */
+  /** Returns the sorted names of the reachable control hosts, including this host if it is one. */
   public List<String> reachableControlHosts() {
     List<String> names = new ArrayList<>();
     for (HostRecord host : network.connectedHosts()) {
--- a/src/main/java/org/curranthaven/internal/transport/PeerConnection.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerConnection.java
@@ -13,7 +13,10 @@
 import org.curranthaven.internal.transport.wire.Pong;
 import org.jspecify.annotations.Nullable;
 
-/** One connection to another host: greets, pings and passes messages on. */
+/**
+ * Channel handler of one connection to another host: sends the hello and the pings, and forwards
+ * messages to the {@link PeerNetwork}.
+ */
 final class PeerConnection extends SimpleChannelInboundHandler<Envelope> {
   private final PeerNetwork network;
   private final String dialledAddress;
@@ -120,9 +123,9 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    ScheduledFuture<?> running = pingTask;
-    if (running != null) {
-      running.cancel(false);
+    ScheduledFuture<?> currentPingTask = pingTask;
+    if (currentPingTask != null) {
+      currentPingTask.cancel(false);
     }
     network.unregister(this);
   }
--- a/src/main/java/org/curranthaven/internal/transport/PeerListener.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerListener.java
@@ -3,14 +3,17 @@
 import org.curranthaven.internal.transport.wire.Envelope;
 import org.curranthaven.internal.transport.wire.HostRecord;
 
-/** Receives what other hosts send. Called on network threads; must not block. */
+/**
+ * Receives messages and connection events of other hosts. Called on network threads; must not
+ * block.
+ */
 public interface PeerListener {
-  /** A message arrived from a host. */
+  /** Called when a message from a host arrives. */
   void received(HostRecord from, Envelope message);
 
-  /** A connection to the host is up. */
+  /** Called when a connection to the host is established. */
   void connected(HostRecord host);
 
-  /** The last connection to the host is gone. */
+  /** Called when the last connection to the host is lost. */
   void disconnected(HostRecord host);
 }
--- a/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
@@ -37,29 +37,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Connections of one host to the others. Each pair of hosts keeps one; a connection on which
- * nothing arrived for {@link #READ_TIMEOUT_MILLIS} is dropped and dialled again.
+ * The connections of one host to the other hosts. Each pair of hosts keeps one connection; a
+ * connection on which nothing arrives for {@link #READ_TIMEOUT_MILLIS} is closed and dialled again.
  *
  * <p>A message that cannot be sent at once, because there is no connection or its buffer is full,
- * is dropped: every sender repeats what matters. Thread-safe.
+ * is dropped: senders repeat every message that matters. Thread-safe.
  */
 public final class PeerNetwork implements Child {
-  /** Silence after which a connection is dropped, in milliseconds. */
+  /** Time without an incoming message after which a connection is closed, in milliseconds. */
   public static final long READ_TIMEOUT_MILLIS = 1_500;
 
-  /** Time between two pings on a connection, in milliseconds. */
+  /** Interval between two pings on a connection, in milliseconds. */
   static final long PING_INTERVAL_MILLIS = 500;
 
   private static final long DIAL_INTERVAL_MILLIS = 200;
 
-  /** Time after which a host that was heard of once is not dialled any more, in milliseconds. */
+  /** Time after which a discovered address that is not discovered again is no longer dialled. */
   private static final long DISCOVERED_ADDRESS_TTL_MILLIS = 20_000;
 
-  /** Bytes kept for a connection that takes none for the moment: a large configuration fits. */
+  /**
+   * Limits of the bytes buffered while a connection is not writable: a large configuration fits.
+   */
   private static final WriteBufferWaterMark WRITE_BUFFER =
       new WriteBufferWaterMark(4 * 1024 * 1024, 16 * 1024 * 1024);
 
-  /** Longest wait for the listener to close, in milliseconds; below the supervisor's own wait. */
+  /** Timeout for closing the listening socket; shorter than the supervisor's own timeout. */
   private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
   private final String listenAddress;
@@ -78,11 +80,11 @@
   private final LongAdder messagesSent = new LongAdder();
 
   /**
-   * Creates the network of a host.
+   * Creates the network of a host, with an event loop of its own.
    *
    * @param listenAddress address to listen on, as IP:PORT
-   * @param contacts addresses of hosts to dial first
-   * @param self describes this host at the time of the call
+   * @param contacts addresses of hosts that are always dialled
+   * @param self returns the current description of this host
    */
   public PeerNetwork(
       String listenAddress,
@@ -93,24 +95,24 @@
   }
 
   /**
-   * Creates the network of a host whose other parts run on the same event loop.
+   * Creates the network of a host whose other components run on the same event loop.
    *
-   * @param sharedGroup event loop to run on; null for one of its own
+   * @param sharedEventLoopGroup event loops to run on; null to create its own
    */
   public PeerNetwork(
       String listenAddress,
       Collection<String> contacts,
       Supplier<HostRecord> self,
       PeerListener listener,
-      @Nullable EventLoopGroup sharedGroup) {
+      @Nullable EventLoopGroup sharedEventLoopGroup) {
     this.listenAddress = listenAddress;
     this.self = self;
     this.listener = listener;
-    this.sharedEventLoopGroup = sharedGroup;
+    this.sharedEventLoopGroup = sharedEventLoopGroup;
     this.configuredAddresses = Set.copyOf(contacts);
   }
 
-  /** Adds a host that was heard of; one not heard of again is forgotten after a while. */
+  /** Adds or renews the address of a discovered host; it expires unless it is renewed. */
   public void addDiscoveredAddress(String peerAddress) {
     if (discoveredAtMillis.put(peerAddress, Clock.system().nowMillis()) == null) {
       newAddressSignal.release();
@@ -122,14 +124,14 @@
     return self.get().getName();
   }
 
-  /** Returns the hosts that are connected now. */
+  /** Returns the hosts to which a connection is established. */
   public List<HostRecord> connectedHosts() {
     return connectionsByHost.values().stream().map(PeerConnection::remote).toList();
   }
 
   /**
-   * Sends a message to the named host; returns false if it was dropped. A message to this host
-   * itself is delivered at once.
+   * Sends a message to the named host; returns whether it was handed to a connection rather than
+   * dropped. A message to this host itself is delivered to the listener at once.
    */
   public boolean send(String host, Envelope.Builder message) {
     HostRecord own = self.get();
@@ -152,7 +154,7 @@
     return message.setFromHost(own.getName()).setFromIdentity(own.getIdentity()).build();
   }
 
-  /** Sends a message to the host whose data folder has the identity. */
+  /** Sends a message to the host whose data folder has the identity; returns false if dropped. */
   public boolean sendToIdentity(String identity, Envelope.Builder message) {
     for (PeerConnection connection : connectionsByHost.values()) {
       if (connection.remote().getIdentity().equals(identity)) {
@@ -162,7 +164,7 @@
     return false;
   }
 
-  /** Returns the bytes of all messages sent. */
+  /** Returns the total size of all messages sent, in bytes. */
   public long bytesSent() {
     return bytesSent.sum();
   }
@@ -173,15 +175,16 @@
   }
 
   /**
-   * Cuts this host off from the named hosts in silence, or ends that. Used by failure tests and the
-   * demo to bring about a partition without touching the machine's network.
+   * Replaces the set of blocked hosts; messages to and from a blocked host are dropped without a
+   * notice. Simulates a network partition for failure tests and demos, without a change to the
+   * machine's network.
    */
   public void setBlockedHosts(Collection<String> hosts) {
     blockedHosts.clear();
     blockedHosts.addAll(hosts);
   }
 
-  /** Runs on a thread of its own, which is returned; it ends when it is interrupted. */
+  /** Starts {@link #run} on a new daemon thread, which ends when it is interrupted. */
   public Thread start() {
     return Thread.ofPlatform()
         .daemon(true)
@@ -202,17 +205,17 @@
         sharedEventLoopGroup == null
             ? new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
             : sharedEventLoopGroup;
-    ChannelFuture listening = listen(group);
+    ChannelFuture bindFuture = listen(group);
     try {
-      listening.sync();
+      bindFuture.sync();
       while (true) {
         dialMissing(group);
-        // A host that was just heard of is dialled at once.
+        // A newly discovered address ends the wait, so that it is dialled at once.
         newAddressSignal.tryAcquire(DIAL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         newAddressSignal.drainPermits();
       }
     } finally {
-      stop(listening.channel(), group);
+      stop(bindFuture.channel(), group);
     }
   }
 
@@ -227,7 +230,7 @@
         .bind(Addresses.parse(listenAddress));
   }
 
-  /** Gives the address back before it returns, since the next run of this host binds it at once. */
+  /** Closes the listening socket before it returns, since a restarted host binds it at once. */
   private void stop(Channel server, EventLoopGroup group) {
     server.close().awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
     connectionsByHost.values().forEach(PeerConnection::close);
@@ -242,15 +245,15 @@
     long nowMillis = Clock.system().nowMillis();
     discoveredAtMillis
         .values()
-        .removeIf(learnt -> nowMillis - learnt > DISCOVERED_ADDRESS_TTL_MILLIS);
-    Set<String> contacts = new HashSet<>(configuredAddresses);
-    contacts.addAll(discoveredAtMillis.keySet());
-    connectTimeouts.retainAddresses(contacts);
-    for (String address : contacts) {
+        .removeIf(discovered -> nowMillis - discovered > DISCOVERED_ADDRESS_TTL_MILLIS);
+    Set<String> addresses = new HashSet<>(configuredAddresses);
+    addresses.addAll(discoveredAtMillis.keySet());
+    connectTimeouts.retainAddresses(addresses);
+    for (String address : addresses) {
       String host = hostByAddress.get(address);
       boolean connected = host != null && connectionsByHost.containsKey(host);
-      boolean own = address.equals(self.get().getPeerAddress());
-      if (!connected && !own && diallingAddresses.add(address)) {
+      boolean isOwnAddress = address.equals(self.get().getPeerAddress());
+      if (!connected && !isOwnAddress && diallingAddresses.add(address)) {
         dial(group, address);
       }
     }
@@ -300,7 +303,10 @@
     return self.get();
   }
 
-  /** Keeps the connection, unless another one to the host is to be kept; returns whether it is. */
+  /**
+   * Registers the connection, unless an existing connection to the host is preferred; returns
+   * whether it was registered.
+   */
   synchronized boolean register(PeerConnection connection) {
     HostRecord remote = connection.remote();
     if (connection.isDialled()) {
@@ -308,27 +314,29 @@
     }
     addDiscoveredAddress(remote.getPeerAddress());
     hostByAddress.put(remote.getPeerAddress(), remote.getName());
-    PeerConnection known = connectionsByHost.get(remote.getName());
-    if (known != null && isSameProcess(known, remote) && !isPreferred(connection)) {
+    PeerConnection existing = connectionsByHost.get(remote.getName());
+    if (existing != null && isSameProcess(existing, remote) && !isPreferred(connection)) {
       return false;
     }
     connectionsByHost.put(remote.getName(), connection);
-    if (known != null) {
-      known.close();
+    if (existing != null) {
+      existing.close();
     }
     listener.connected(remote);
     return true;
   }
 
-  private static boolean isSameProcess(PeerConnection known, HostRecord remote) {
-    return known.isActive() && known.remote().getIncarnation() == remote.getIncarnation();
+  private static boolean isSameProcess(PeerConnection existing, HostRecord remote) {
+    return existing.isActive() && existing.remote().getIncarnation() == remote.getIncarnation();
   }
 
-  /** Of two connections between a pair, the one dialled by the host with the lower name is kept. */
+  /**
+   * Prefers, of two connections between a pair, the one dialled by the host with the lower name.
+   */
   private boolean isPreferred(PeerConnection connection) {
     String own = self.get().getName();
-    boolean lower = own.compareTo(connection.remote().getName()) < 0;
-    return connection.isDialled() == lower;
+    boolean ownNameIsLower = own.compareTo(connection.remote().getName()) < 0;
+    return connection.isDialled() == ownNameIsLower;
   }
 
   synchronized void unregister(PeerConnection connection) {
--- a/src/main/java/org/curranthaven/internal/transport/package-info.java
+++ b/src/main/java/org/curranthaven/internal/transport/package-info.java
@@ -1,4 +1,4 @@
-/** Connections between hosts: one Netty connection a pair, carrying protobuf messages. */
+/** Peer connections: one Netty connection for each pair of hosts, carrying protobuf messages. */
 @NullMarked
 package org.curranthaven.internal.transport;
 
--- a/src/test/java/org/curranthaven/internal/transport/ConnectTimeoutsTest.java
+++ b/src/test/java/org/curranthaven/internal/transport/ConnectTimeoutsTest.java
@@ -6,50 +6,50 @@
 import org.junit.jupiter.api.Test;
 
 class ConnectTimeoutsTest {
-  private static final String HOST = "10.0.0.1:7000";
+  private static final String ADDRESS = "10.0.0.1:7000";
 
-  private final ConnectTimeouts times = new ConnectTimeouts();
+  private final ConnectTimeouts timeouts = new ConnectTimeouts();
 
   @Test
-  void a_host_that_comes_back_within_two_seconds_is_dialled_again_a_moment_later() {
+  void a_host_that_restarts_within_two_seconds_is_dialled_again_within_250_ms() {
     int elapsedMillis = 0;
     while (elapsedMillis < 2_000) {
-      assertThat(times.timeoutMillis(HOST)).isLessThanOrEqualTo(250);
-      elapsedMillis += times.timeoutMillis(HOST);
-      times.recordTimeout(HOST);
+      assertThat(timeouts.timeoutMillis(ADDRESS)).isLessThanOrEqualTo(250);
+      elapsedMillis += timeouts.timeoutMillis(ADDRESS);
+      timeouts.recordTimeout(ADDRESS);
     }
   }
 
   @Test
-  void a_host_that_never_answers_in_time_is_given_longer() {
+  void an_address_with_many_timeouts_gets_the_long_timeout() {
     for (int i = 0; i < ConnectTimeouts.SHORT_TIMEOUT_ATTEMPTS; i++) {
-      times.recordTimeout(HOST);
+      timeouts.recordTimeout(ADDRESS);
     }
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.LONG_TIMEOUT_MILLIS);
-    assertThat(times.timeoutMillis("10.0.0.2:7000"))
+    assertThat(timeouts.timeoutMillis(ADDRESS)).isEqualTo(ConnectTimeouts.LONG_TIMEOUT_MILLIS);
+    assertThat(timeouts.timeoutMillis("10.0.0.2:7000"))
         .isEqualTo(ConnectTimeouts.SHORT_TIMEOUT_MILLIS);
   }
 
   @Test
-  void a_host_that_answered_is_given_up_soon_again() {
+  void a_successful_connection_restores_the_short_timeout() {
     for (int i = 0; i < ConnectTimeouts.SHORT_TIMEOUT_ATTEMPTS; i++) {
-      times.recordTimeout(HOST);
+      timeouts.recordTimeout(ADDRESS);
     }
 
-    times.recordSuccess(HOST);
+    timeouts.recordSuccess(ADDRESS);
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.SHORT_TIMEOUT_MILLIS);
+    assertThat(timeouts.timeoutMillis(ADDRESS)).isEqualTo(ConnectTimeouts.SHORT_TIMEOUT_MILLIS);
   }
 
   @Test
-  void a_host_that_is_not_dialled_any_more_is_forgotten() {
+  void an_address_that_is_no_longer_dialled_is_discarded() {
     for (int i = 0; i < ConnectTimeouts.SHORT_TIMEOUT_ATTEMPTS; i++) {
-      times.recordTimeout(HOST);
+      timeouts.recordTimeout(ADDRESS);
     }
 
-    times.retainAddresses(List.of());
+    timeouts.retainAddresses(List.of());
 
-    assertThat(times.timeoutMillis(HOST)).isEqualTo(ConnectTimeouts.SHORT_TIMEOUT_MILLIS);
+    assertThat(timeouts.timeoutMillis(ADDRESS)).isEqualTo(ConnectTimeouts.SHORT_TIMEOUT_MILLIS);
   }
 }
--- a/src/test/java/org/curranthaven/internal/transport/PeerNetworkTest.java
+++ b/src/test/java/org/curranthaven/internal/transport/PeerNetworkTest.java
@@ -14,14 +14,16 @@
 import org.junit.jupiter.api.Test;
 
 class PeerNetworkTest {
-  private static final long PATIENCE_MILLIS = 60_000;
+  private static final long TIMEOUT_MILLIS = 60_000;
 
-  /** Long enough for a network that does not wait for its listener to end, in milliseconds. */
-  private static final long EARLY_END_MILLIS = 500;
+  /** Within this time, a network that does not wait for its listening socket to close has ended. */
+  private static final long UNBLOCKED_STOP_MILLIS = 500;
 
-  /** Keeps its network thread busy from the first connection on until it is told to go on. */
-  private static final class BusyListener implements PeerListener {
-    private final CountDownLatch busy = new CountDownLatch(1);
+  /**
+   * Blocks its network thread from the first connection on until {@code release} is counted down.
+   */
+  private static final class BlockingListener implements PeerListener {
+    private final CountDownLatch connected = new CountDownLatch(1);
     private final CountDownLatch release = new CountDownLatch(1);
 
     @Override
@@ -29,9 +31,9 @@
 
     @Override
     public void connected(HostRecord host) {
-      busy.countDown();
+      connected.countDown();
       try {
-        assertThat(release.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+        assertThat(release.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -41,7 +43,7 @@
     public void disconnected(HostRecord host) {}
   }
 
-  private static final class QuietListener implements PeerListener {
+  private static final class NoOpListener implements PeerListener {
     @Override
     public void received(HostRecord from, Envelope message) {}
 
@@ -52,34 +54,35 @@
     public void disconnected(HostRecord host) {}
   }
 
-  private static PeerNetwork network(String name, String address, String other, PeerListener to) {
+  private static PeerNetwork network(
+      String name, String address, String otherAddress, PeerListener listener) {
     HostRecord self = HostRecord.newBuilder().setName(name).setPeerAddress(address).build();
-    return new PeerNetwork(address, List.of(other), () -> self, to);
+    return new PeerNetwork(address, List.of(otherAddress), () -> self, listener);
   }
 
   @Test
-  void a_network_that_has_ended_has_given_its_address_back()
+  void a_network_that_has_ended_has_released_its_address()
       throws IOException, InterruptedException {
     List<String> addresses = LocalFleet.freeAddresses(2);
-    BusyListener listener = new BusyListener();
+    BlockingListener listener = new BlockingListener();
     Thread running = network("one", addresses.get(0), addresses.get(1), listener).start();
-    Thread other = network("two", addresses.get(1), addresses.get(0), new QuietListener()).start();
-    assertThat(listener.busy.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+    Thread other = network("two", addresses.get(1), addresses.get(0), new NoOpListener()).start();
+    assertThat(listener.connected.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
 
     running.interrupt();
-    running.join(EARLY_END_MILLIS);
+    running.join(UNBLOCKED_STOP_MILLIS);
     if (running.isAlive()) {
       listener.release.countDown();
-      running.join(PATIENCE_MILLIS);
+      running.join(TIMEOUT_MILLIS);
     }
 
     assertThat(running.isAlive()).isFalse();
-    assertThat(bindable(addresses.get(0))).isTrue();
+    assertThat(isBindable(addresses.get(0))).isTrue();
     listener.release.countDown();
     other.interrupt();
   }
 
-  private static boolean bindable(String address) {
+  private static boolean isBindable(String address) {
     int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
     try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
       return socket.isBound();
