--- a/src/main/java/org/curranthaven/internal/relay/Gateway.java
+++ b/src/main/java/org/curranthaven/internal/relay/Gateway.java
@@ -218,7 +218,8 @@
     switch (message.getPayloadCase()) {
       case SCHEDULER_VIEW -> link.handle(from.getName(), message.getSchedulerView());
       case DISPATCH_ORDERS -> link.handle(from.getName(), message.getDispatchOrders());
-      case KNOWN_HOSTS -> message.getKnownHosts().getControlAddressesList().forEach(network::learn);
+      case KNOWN_HOSTS ->
+          message.getKnownHosts().getControlAddressesList().forEach(network::addDiscoveredAddress);
       default -> {}
     }
   }
@@ -368,6 +369,6 @@
   }
 
   private List<String> connectedHosts() {
-    return network.connected().stream().map(HostRecord::getName).sorted().toList();
+    return network.connectedHosts().stream().map(HostRecord::getName).sorted().toList();
   }
 }
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlServer.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlServer.java
@@ -27,12 +27,12 @@
 import org.curranthaven.internal.relay.ControlRequest;
 import org.curranthaven.internal.relay.WireProtocol;
 
-/** Listens for backend servers and operators. */
+/** HTTP server for control requests from backend servers and operators. */
 final class ControlServer {
   private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
   private static final int READ_TIMEOUT_SECONDS = 30;
 
-  private final EventLoopGroup group;
+  private final EventLoopGroup eventLoopGroup;
   private final WireProtocol protocol;
   private final BiConsumer<ControlRequest, Consumer<ControlResponse>> handler;
 
@@ -40,14 +40,14 @@
       EventLoopGroup group,
       WireProtocol protocol,
       BiConsumer<ControlRequest, Consumer<ControlResponse>> handler) {
-    this.group = group;
+    this.eventLoopGroup = group;
     this.protocol = protocol;
     this.handler = handler;
   }
 
-  void listen(InetSocketAddress address) throws InterruptedException {
+  void bind(InetSocketAddress address) throws InterruptedException {
     new ServerBootstrap()
-        .group(group)
+        .group(eventLoopGroup)
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -60,16 +60,16 @@
                     .addLast(new ReadTimeoutHandler(READ_TIMEOUT_SECONDS))
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(MAX_BODY_BYTES, true))
-                    .addLast(new Calls());
+                    .addLast(new RequestHandler());
               }
             })
         .bind(address)
         .sync();
   }
 
-  /** Answers the calls of one connection. */
-  private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
-    Calls() {
+  /** Handles the requests of one connection. */
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    RequestHandler() {
       super(FullHttpRequest.class);
     }
 
@@ -79,28 +79,29 @@
       if (request.decoderResult().isFailure()) {
         write(
             context,
-            ControlResponse.refused(400, "the request is not HTTP as it should be"),
+            ControlResponse.error(
+                400, "malformed HTTP request; correct the request and send it again"),
             false);
         return;
       }
       handler.accept(
-          protocol.readControlRequest(request), reply -> write(context, reply, keepAlive));
+          protocol.readControlRequest(request), response -> write(context, response, keepAlive));
     }
 
     private static void write(
-        ChannelHandlerContext context, ControlResponse reply, boolean keepAlive) {
-      FullHttpResponse response =
+        ChannelHandlerContext context, ControlResponse response, boolean keepAlive) {
+      FullHttpResponse httpResponse =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
-              HttpResponseStatus.valueOf(reply.status()),
-              Unpooled.wrappedBuffer(reply.body()));
-      response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-      HttpUtil.setContentLength(response, reply.body().length);
+              HttpResponseStatus.valueOf(response.status()),
+              Unpooled.wrappedBuffer(response.body()));
+      httpResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+      HttpUtil.setContentLength(httpResponse, response.body().length);
       if (keepAlive) {
-        context.writeAndFlush(response);
+        context.writeAndFlush(httpResponse);
       } else {
-        response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+        httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        context.writeAndFlush(httpResponse).addListener(ChannelFutureListener.CLOSE);
       }
     }
 
--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -37,41 +37,41 @@
 import org.tinylog.Logger;
 
 /**
- * Schedules the calls of all gateways while its host leads group 0. Its state is soft: a new
- * scheduler rebuilds it from the gateways. Used on the event loop only.
+ * Schedules the requests of all gateways while its host leads group 0. Its state is soft: a new
+ * leader rebuilds it from what the gateways report. Confined to the event loop.
  */
 final class Scheduler {
-  private static final long HEARTBEAT_MILLIS = 130;
-  private static final long WAITING_TICK_MILLIS = 40;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 130;
+  private static final long QUEUED_TICK_INTERVAL_MILLIS = 40;
 
-  /** Longest time for which a new scheduler waits for the gateways to tell what they have open. */
-  private static final long REBUILD_MILLIS = 250;
+  /** Longest time for which a new leader waits for the gateways to report their open requests. */
+  private static final long MAX_REBUILD_MILLIS = 250;
 
-  /** Shortest such time: gateways that lost their connection with the old scheduler come back. */
+  /** Shortest such time: lets gateways reconnect that were disconnected with the old leader. */
   static final long MIN_REBUILD_MILLIS = 100;
 
   private final EventLoop loop;
   private final Clock clock;
   private final RandomGenerator random;
   private final RetryLimits retryLimits;
-  private final long backendSilenceMillis;
+  private final long backendTimeoutMillis;
   private final Supplier<Collection<HostRecord>> gateways;
   private final BiConsumer<String, Envelope.Builder> sender;
-  private final Map<String, GatewayView> views = new HashMap<>();
-  private final List<Waiter> waiters = new ArrayList<>();
-  private final List<Runnable> held = new ArrayList<>();
+  private final Map<String, GatewayView> gatewayViews = new HashMap<>();
+  private final List<PendingAcknowledgement> pendingAcknowledgements = new ArrayList<>();
+  private final List<Runnable> deferredActions = new ArrayList<>();
   private Catalog catalog = Catalog.empty();
-  private ByteString document = ByteString.EMPTY;
+  private ByteString catalogDocument = ByteString.EMPTY;
   private DispatchCore core;
-  private BackendRegistry table = new BackendRegistry();
+  private BackendRegistry registry = new BackendRegistry();
   private long term;
-  private long version;
-  private long begunAtMillis;
+  private long viewVersion;
+  private long startedAtMillis;
   private boolean rebuilding;
   private long lastHeartbeatMillis;
-  private boolean ticking;
+  private boolean tickScheduled;
 
-  /** What is known of a gateway. */
+  /** The state that a gateway has acknowledged. */
   private static final class GatewayView {
     long version;
     long catalogRevision;
@@ -79,199 +79,213 @@
     long incarnation;
   }
 
-  /** Something that is answered once every gateway has the news. */
-  private record Waiter(long version, long catalogRevision, Consumer<Boolean> answer) {}
+  /**
+   * A callback to run once every connected gateway has acknowledged the view version and activated
+   * the catalog revision; 0 stands for no requirement.
+   */
+  private record PendingAcknowledgement(
+      long version, long catalogRevision, Consumer<Boolean> callback) {}
 
   Scheduler(
       EventLoop loop,
       Clock clock,
       RandomGenerator random,
       RetryLimits retryLimits,
-      long backendSilenceMillis,
+      long backendTimeoutMillis,
       Supplier<Collection<HostRecord>> gateways,
       BiConsumer<String, Envelope.Builder> sender) {
     this.loop = loop;
     this.clock = clock;
     this.random = random;
     this.retryLimits = retryLimits;
-    this.backendSilenceMillis = backendSilenceMillis;
+    this.backendTimeoutMillis = backendTimeoutMillis;
     this.gateways = gateways;
     this.sender = sender;
     this.core = new DispatchCore(retryLimits, 1, random);
   }
 
-  boolean leads() {
+  boolean isLeading() {
     return term > 0;
   }
 
   // ---- leadership -------------------------------------------------------------------------------
 
-  /** Begins to schedule in a term, or ceases to if it is 0. */
-  void lead(long newTerm) {
+  /** Starts scheduling in the given term, or stops scheduling if it is 0. */
+  void setTerm(long newTerm) {
     if (term > 0) {
-      stop();
+      stopScheduling();
     }
     term = newTerm;
     if (term > 0) {
-      begin();
+      startScheduling();
     }
   }
 
-  private void begin() {
-    Logger.info("scheduling in term {}", term);
+  private void startScheduling() {
+    Logger.info(
+        "started scheduling in term {}, rebuilding state for at most {} ms",
+        term,
+        MAX_REBUILD_MILLIS);
     long nowMillis = clock.nowMillis();
     core = new DispatchCore(retryLimits, 1, random);
     core.setCatalog(catalog);
-    table = new BackendRegistry();
-    views.clear();
-    version = 1;
-    begunAtMillis = nowMillis;
+    registry = new BackendRegistry();
+    gatewayViews.clear();
+    viewVersion = 1;
+    startedAtMillis = nowMillis;
     rebuilding = true;
-    loop.schedule(this::endRebuildIfInformed, MIN_REBUILD_MILLIS, TimeUnit.MILLISECONDS);
-    loop.schedule(this::endRebuildIfInformed, REBUILD_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::endRebuildIfComplete, MIN_REBUILD_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::endRebuildIfComplete, MAX_REBUILD_MILLIS, TimeUnit.MILLISECONDS);
     heartbeat(nowMillis);
-    if (!ticking) {
-      ticking = true;
+    if (!tickScheduled) {
+      tickScheduled = true;
       tick();
     }
   }
 
-  private void stop() {
-    Logger.info("no longer scheduling in term {}", term);
+  private void stopScheduling() {
+    Logger.info("stopped scheduling in term {}", term);
     SchedulerView.Builder view = SchedulerView.newBuilder().setTerm(term).setResigned(true);
     for (HostRecord gateway : gateways.get()) {
       sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(view));
     }
-    List<Waiter> open = List.copyOf(waiters);
-    waiters.clear();
-    open.forEach(waiter -> waiter.answer().accept(false));
-    held.clear();
+    List<PendingAcknowledgement> unacknowledged = List.copyOf(pendingAcknowledgements);
+    pendingAcknowledgements.clear();
+    unacknowledged.forEach(pending -> pending.callback().accept(false));
+    deferredActions.clear();
     rebuilding = false;
   }
 
-  /** Ends the rebuilding once every connected gateway has told its state, or its time is up. */
-  private void endRebuildIfInformed() {
-    long tookMillis = clock.nowMillis() - begunAtMillis;
+  /**
+   * Ends the rebuild once every connected gateway has reported its state, but not before {@link
+   * #MIN_REBUILD_MILLIS}; ends it in any case after {@link #MAX_REBUILD_MILLIS}.
+   */
+  private void endRebuildIfComplete() {
+    long elapsedMillis = clock.nowMillis() - startedAtMillis;
     Collection<HostRecord> connected = gateways.get();
-    boolean informed =
-        tookMillis >= MIN_REBUILD_MILLIS
+    boolean complete =
+        elapsedMillis >= MIN_REBUILD_MILLIS
             && !connected.isEmpty()
             && connected.stream().allMatch(gateway -> viewOf(gateway).synced);
-    if (rebuilding && (informed || tookMillis >= REBUILD_MILLIS)) {
+    if (rebuilding && (complete || elapsedMillis >= MAX_REBUILD_MILLIS)) {
       endRebuild();
     }
   }
 
   private void endRebuild() {
     rebuilding = false;
-    List<Runnable> ready = List.copyOf(held);
-    held.clear();
-    version++;
-    ready.forEach(Runnable::run);
+    List<Runnable> actions = List.copyOf(deferredActions);
+    deferredActions.clear();
+    viewVersion++;
+    actions.forEach(Runnable::run);
     for (HostRecord gateway : gateways.get()) {
-      sendFull(gateway);
+      sendFullView(gateway);
     }
-    flush();
+    sendDecisions();
   }
 
-  /** Runs an action now, or once the state is rebuilt. */
-  private void whenRebuilt(Runnable action) {
+  /** Runs an action now, or defers it until the state is rebuilt. */
+  private void runAfterRebuild(Runnable action) {
     if (rebuilding) {
-      held.add(action);
+      deferredActions.add(action);
     } else {
       action.run();
     }
   }
 
-  // ---- time -------------------------------------------------------------------------------------
+  // ---- periodic work ----------------------------------------------------------------------------
 
   private void tick() {
     if (term == 0) {
-      ticking = false;
+      tickScheduled = false;
       return;
     }
     long nowMillis = clock.nowMillis();
-    if (nowMillis - lastHeartbeatMillis >= HEARTBEAT_MILLIS) {
+    if (nowMillis - lastHeartbeatMillis >= HEARTBEAT_INTERVAL_MILLIS) {
       heartbeat(nowMillis);
-      dropSilent(nowMillis);
+      removeUnresponsiveBackends(nowMillis);
     }
     core.tick(nowMillis);
-    flush();
-    checkWaiters();
-    long delay = core.queuedRequests() > 0 ? WAITING_TICK_MILLIS : HEARTBEAT_MILLIS;
-    loop.schedule(this::tick, delay, TimeUnit.MILLISECONDS);
+    sendDecisions();
+    completeAcknowledged();
+    long delayMillis =
+        core.queuedRequests() > 0 ? QUEUED_TICK_INTERVAL_MILLIS : HEARTBEAT_INTERVAL_MILLIS;
+    loop.schedule(this::tick, delayMillis, TimeUnit.MILLISECONDS);
   }
 
   private void heartbeat(long nowMillis) {
     lastHeartbeatMillis = nowMillis;
-    gateways.get().forEach(this::tellView);
+    gateways.get().forEach(this::sendView);
   }
 
-  private void tellView(HostRecord gateway) {
+  private void sendView(HostRecord gateway) {
     GatewayView view = viewOf(gateway);
-    boolean behind = view.version < version && !rebuilding;
-    if (behind && view.synced) {
-      sendFull(gateway);
+    boolean outdated = view.version < viewVersion && !rebuilding;
+    if (outdated && view.synced) {
+      sendFullView(gateway);
     } else {
-      sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(base(view)));
+      sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(newView(view)));
     }
   }
 
-  /** Called when a connection to a gateway is up: it is told who schedules without waiting. */
+  /** Handles a new connection to a gateway: announces the scheduler to it without delay. */
   void gatewayConnected(HostRecord gateway) {
     if (term > 0) {
-      tellView(gateway);
+      sendView(gateway);
     }
   }
 
   private GatewayView viewOf(HostRecord gateway) {
-    GatewayView view = views.computeIfAbsent(gateway.getName(), name -> new GatewayView());
+    GatewayView view = gatewayViews.computeIfAbsent(gateway.getName(), name -> new GatewayView());
     if (view.incarnation != gateway.getIncarnation()) {
       view = new GatewayView();
       view.incarnation = gateway.getIncarnation();
-      views.put(gateway.getName(), view);
+      gatewayViews.put(gateway.getName(), view);
       core.removeGateway(gateway.getName(), clock.nowMillis());
     }
     return view;
   }
 
-  private SchedulerView.Builder base(GatewayView view) {
+  private SchedulerView.Builder newView(GatewayView view) {
     SchedulerView.Builder builder =
         SchedulerView.newBuilder()
             .setTerm(term)
             .setCatalogRevision(catalog.revision())
             .setGateways(Math.max(1, gateways.get().size()));
     if (view.catalogRevision < catalog.revision()) {
-      builder.setCatalog(document);
+      builder.setCatalog(catalogDocument);
     }
     return builder;
   }
 
-  private void sendFull(HostRecord gateway) {
+  private void sendFullView(HostRecord gateway) {
     SchedulerView.Builder builder =
-        base(viewOf(gateway))
-            .setVersion(version)
-            .addAllBackends(table.all())
-            .addAllGone(table.removedIds());
+        newView(viewOf(gateway))
+            .setVersion(viewVersion)
+            .addAllBackends(registry.all())
+            .addAllGone(registry.removedIds());
     sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(builder));
   }
 
-  private void dropSilent(long nowMillis) {
-    List<String> silent = table.removeExpired(backendSilenceMillis, nowMillis);
-    if (silent.isEmpty()) {
+  private void removeUnresponsiveBackends(long nowMillis) {
+    List<String> removedIds = registry.removeExpired(backendTimeoutMillis, nowMillis);
+    if (removedIds.isEmpty()) {
       return;
     }
-    Logger.info("backend servers {} are silent", silent);
-    silent.forEach(id -> core.removeBackend(id, nowMillis));
-    version++;
-    gateways.get().forEach(this::sendFull);
-    flush();
+    Logger.info(
+        "backend servers {} removed: no registration received for more than {} ms",
+        removedIds,
+        backendTimeoutMillis);
+    removedIds.forEach(id -> core.removeBackend(id, nowMillis));
+    viewVersion++;
+    gateways.get().forEach(this::sendFullView);
+    sendDecisions();
   }
 
   // ---- gateways ---------------------------------------------------------------------------------
 
-  /** Takes in a gateway's status. */
-  void received(HostRecord from, GatewayStatus status) {
+  /** Handles a gateway's status: acknowledged versions and, if it is full, its open requests. */
+  void handleStatus(HostRecord from, GatewayStatus status) {
     if (status.getTerm() != term || term == 0) {
       return;
     }
@@ -283,20 +297,20 @@
       restore(from, status, nowMillis);
       view.synced = true;
       if (rebuilding) {
-        endRebuildIfInformed();
+        endRebuildIfComplete();
       } else {
-        sendFull(from);
+        sendFullView(from);
       }
     }
-    checkWaiters();
+    completeAcknowledged();
   }
 
   private void restore(HostRecord from, GatewayStatus status, long nowMillis) {
-    status.getGoneList().forEach(id -> table.remove(id, nowMillis));
+    status.getGoneList().forEach(id -> registry.remove(id, nowMillis));
     for (BackendRecord record : status.getBackendsList()) {
-      BackendRecord changed = table.restore(record, nowMillis);
-      if (changed != null) {
-        core.updateBackend(changed, nowMillis);
+      BackendRecord changedBackend = registry.restore(record, nowMillis);
+      if (changedBackend != null) {
+        core.updateBackend(changedBackend, nowMillis);
       }
     }
     status.getGoneList().forEach(id -> core.removeBackend(id, nowMillis));
@@ -305,18 +319,18 @@
       RequestId key = new RequestId(from.getName(), open.getAsk().getId());
       core.restoreRunning(key, open.getAsk(), open.getBackend(), open.getOutputTokens(), nowMillis);
     }
-    flush();
+    sendDecisions();
   }
 
-  /** Takes in calls to place, and what became of others. */
-  void received(HostRecord from, DispatchRequests requests) {
+  /** Handles a gateway's placement requests, progress reports and ended requests. */
+  void handleRequests(HostRecord from, DispatchRequests requests) {
     if (requests.getTerm() != term || term == 0) {
       return;
     }
-    whenRebuilt(() -> handle(from.getName(), requests));
+    runAfterRebuild(() -> applyRequests(from.getName(), requests));
   }
 
-  private void handle(String gateway, DispatchRequests requests) {
+  private void applyRequests(String gateway, DispatchRequests requests) {
     long nowMillis = clock.nowMillis();
     for (DispatchEnd end : requests.getEndsList()) {
       core.requestEnded(
@@ -326,159 +340,165 @@
       core.outputProgressed(
           new RequestId(gateway, progress.getId()), progress.getOutputTokens(), nowMillis);
     }
-    DispatchOrders.Builder waiting = DispatchOrders.newBuilder().setTerm(term);
-    for (PlacementRequest ask : requests.getAsksList()) {
-      RequestId key = new RequestId(gateway, ask.getId());
-      core.submit(key, ask, nowMillis);
+    DispatchOrders.Builder queuedOrders = DispatchOrders.newBuilder().setTerm(term);
+    for (PlacementRequest placementRequest : requests.getAsksList()) {
+      RequestId key = new RequestId(gateway, placementRequest.getId());
+      core.submit(key, placementRequest, nowMillis);
       if (core.isQueued(key)) {
-        waiting.addWaiting(ask.getId());
+        queuedOrders.addWaiting(placementRequest.getId());
       }
     }
-    flush();
-    if (waiting.getWaitingCount() > 0) {
-      sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(waiting));
+    sendDecisions();
+    if (queuedOrders.getWaitingCount() > 0) {
+      sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(queuedOrders));
     }
   }
 
-  /** Called when the connection to a gateway is gone. */
-  void gatewayGone(HostRecord gateway) {
+  /** Handles the loss of the connection to a gateway: discards its requests. */
+  void gatewayDisconnected(HostRecord gateway) {
     if (term > 0) {
-      views.remove(gateway.getName());
+      gatewayViews.remove(gateway.getName());
       core.removeGateway(gateway.getName(), clock.nowMillis());
-      flush();
-      checkWaiters();
+      sendDecisions();
+      completeAcknowledged();
     }
   }
 
-  private void flush() {
-    Map<String, DispatchOrders.Builder> orders = new LinkedHashMap<>();
+  private void sendDecisions() {
+    Map<String, DispatchOrders.Builder> ordersByGateway = new LinkedHashMap<>();
     for (DispatchDecision decision : core.drainDecisions()) {
-      DispatchOrders.Builder order =
-          orders.computeIfAbsent(
+      DispatchOrders.Builder orders =
+          ordersByGateway.computeIfAbsent(
               decision.requestId().gateway(), name -> DispatchOrders.newBuilder().setTerm(term));
       switch (decision) {
-        case DispatchDecision.Place place ->
-            order.addPlacements(
+        case DispatchDecision.Place placement ->
+            orders.addPlacements(
                 Placement.newBuilder()
-                    .setId(place.requestId().id())
-                    .setBackend(place.backend())
-                    .setUrgency(place.urgency())
-                    .setBackup(place.backup()));
-        case DispatchDecision.Reject refuse ->
-            order.addRefusals(
+                    .setId(placement.requestId().id())
+                    .setBackend(placement.backend())
+                    .setUrgency(placement.urgency())
+                    .setBackup(placement.backup()));
+        case DispatchDecision.Reject rejection ->
+            orders.addRefusals(
                 Refusal.newBuilder()
-                    .setId(refuse.requestId().id())
-                    .setRetryAfterMillis(refuse.retryAfterMillis())
-                    .setReason(refuse.reason().name()));
-        case DispatchDecision.Migrate move ->
-            order.addMoves(
+                    .setId(rejection.requestId().id())
+                    .setRetryAfterMillis(rejection.retryAfterMillis())
+                    .setReason(rejection.reason().name()));
+        case DispatchDecision.Migrate migration ->
+            orders.addMoves(
                 Move.newBuilder()
-                    .setId(move.requestId().id())
-                    .setTarget(move.target())
-                    .setBackup(move.backup()));
+                    .setId(migration.requestId().id())
+                    .setTarget(migration.target())
+                    .setBackup(migration.backup()));
       }
     }
-    orders.forEach(
-        (gateway, order) -> sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(order)));
+    ordersByGateway.forEach(
+        (gateway, orders) ->
+            sender.accept(gateway, Envelope.newBuilder().setDispatchOrders(orders)));
   }
 
   // ---- backend servers --------------------------------------------------------------------------
 
-  /** Takes in a registration; the answer comes once it may be acknowledged. */
-  void register(BackendRecord news, Consumer<Boolean> answer) {
+  /**
+   * Handles a registration. The callback runs once the registration may be acknowledged: for a
+   * leaving backend server, when every gateway has the change, else at once.
+   */
+  void register(BackendRecord registration, Consumer<Boolean> callback) {
     if (term == 0) {
-      answer.accept(false);
+      callback.accept(false);
       return;
     }
-    whenRebuilt(
+    runAfterRebuild(
         () -> {
           long nowMillis = clock.nowMillis();
-          BackendRecord changed = table.register(news, nowMillis);
+          BackendRecord changed = registry.register(registration, nowMillis);
           if (changed != null) {
             Logger.info(
-                "backend server {} of {} {}",
+                "backend server {} of service {} {}",
                 changed.getId(),
                 changed.getService(),
-                changed.getLeaving() ? "leaves" : "registered");
+                changed.getLeaving() ? "is leaving" : "registered");
             core.updateBackend(changed, nowMillis);
-            push(List.of(changed), List.of());
+            pushBackendChange(List.of(changed), List.of());
           }
-          if (news.getLeaving()) {
-            await(version, 0, answer);
+          if (registration.getLeaving()) {
+            notifyWhenAcknowledged(viewVersion, 0, callback);
           } else {
-            answer.accept(true);
+            callback.accept(true);
           }
         });
   }
 
-  /** Notes that a backend server is gone; the answer comes once every gateway knows. */
-  void withdraw(String id, Consumer<Boolean> answer) {
+  /** Deregisters a backend server; the callback runs once every gateway has the change. */
+  void withdraw(String id, Consumer<Boolean> callback) {
     if (term == 0) {
-      answer.accept(false);
+      callback.accept(false);
       return;
     }
-    whenRebuilt(
+    runAfterRebuild(
         () -> {
           long nowMillis = clock.nowMillis();
-          if (table.remove(id, nowMillis)) {
-            Logger.info("backend server {} is gone", id);
+          if (registry.remove(id, nowMillis)) {
+            Logger.info("backend server {} deregistered", id);
             core.removeBackend(id, nowMillis);
-            push(List.of(), List.of(id));
+            pushBackendChange(List.of(), List.of(id));
           }
-          await(version, 0, answer);
+          notifyWhenAcknowledged(viewVersion, 0, callback);
         });
   }
 
-  private void push(List<BackendRecord> changed, List<String> gone) {
-    long before = version;
-    version++;
+  private void pushBackendChange(List<BackendRecord> changed, List<String> removedIds) {
+    long previousVersion = viewVersion;
+    viewVersion++;
     for (HostRecord gateway : gateways.get()) {
       GatewayView view = viewOf(gateway);
       SchedulerView.Builder builder =
-          base(view)
-              .setVersion(version)
-              .setBaseVersion(before)
+          newView(view)
+              .setVersion(viewVersion)
+              .setBaseVersion(previousVersion)
               .addAllBackends(changed)
-              .addAllGone(gone);
+              .addAllGone(removedIds);
       sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(builder));
     }
-    flush();
+    sendDecisions();
   }
 
   // ---- catalog ----------------------------------------------------------------------------------
 
-  /** Puts a committed catalog into force and tells the gateways. */
-  void catalogApplied(Catalog newer, ByteString newDocument) {
+  /** Activates a committed catalog here and sends it to the gateways. */
+  void applyCatalog(Catalog newer, ByteString newDocument) {
     if (newer.revision() <= catalog.revision()) {
       return;
     }
     catalog = newer;
-    document = newDocument;
+    catalogDocument = newDocument;
     core.setCatalog(newer);
     if (term > 0) {
       for (HostRecord gateway : gateways.get()) {
         sender.accept(
-            gateway.getName(), Envelope.newBuilder().setSchedulerView(base(viewOf(gateway))));
+            gateway.getName(), Envelope.newBuilder().setSchedulerView(newView(viewOf(gateway))));
       }
     }
   }
 
-  /** Answers once every gateway has the revision in force. */
-  void awaitCatalog(long revision, Consumer<Boolean> answer) {
+  /** Runs the callback once every gateway has activated the catalog revision. */
+  void notifyWhenCatalogActive(long revision, Consumer<Boolean> callback) {
     if (term == 0) {
-      answer.accept(false);
+      callback.accept(false);
     } else {
-      await(0, revision, answer);
+      notifyWhenAcknowledged(0, revision, callback);
     }
   }
 
-  private void await(long wantedVersion, long revision, Consumer<Boolean> answer) {
-    waiters.add(new Waiter(wantedVersion, revision, answer));
-    checkWaiters();
+  private void notifyWhenAcknowledged(
+      long requiredVersion, long requiredRevision, Consumer<Boolean> callback) {
+    pendingAcknowledgements.add(
+        new PendingAcknowledgement(requiredVersion, requiredRevision, callback));
+    completeAcknowledged();
   }
 
-  private void checkWaiters() {
-    if (waiters.isEmpty()) {
+  private void completeAcknowledged() {
+    if (pendingAcknowledgements.isEmpty()) {
       return;
     }
     long leastVersion = Long.MAX_VALUE;
@@ -488,10 +508,10 @@
       leastVersion = Math.min(leastVersion, view.version);
       leastRevision = Math.min(leastRevision, view.catalogRevision);
     }
-    for (Waiter waiter : List.copyOf(waiters)) {
-      if (waiter.version() <= leastVersion && waiter.catalogRevision() <= leastRevision) {
-        waiters.remove(waiter);
-        waiter.answer().accept(true);
+    for (PendingAcknowledgement pending : List.copyOf(pendingAcknowledgements)) {
+      if (pending.version() <= leastVersion && pending.catalogRevision() <= leastRevision) {
+        pendingAcknowledgements.remove(pending);
+        pending.callback().accept(true);
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/transport/PeerConnection.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerConnection.java
@@ -13,13 +13,16 @@
 import org.curranthaven.internal.transport.wire.Pong;
 import org.jspecify.annotations.Nullable;
 
-/** One connection to another host: greets, pings and passes messages on. */
+/**
+ * Channel handler of one connection to another host: sends the hello and the pings, and forwards
+ * messages to the {@link PeerNetwork}.
+ */
 final class PeerConnection extends SimpleChannelInboundHandler<Envelope> {
   private final PeerNetwork network;
   private final String dialledAddress;
   private volatile @Nullable Channel channel;
   private volatile @Nullable HostRecord remote;
-  private volatile @Nullable ScheduledFuture<?> pings;
+  private volatile @Nullable ScheduledFuture<?> pingTask;
   private long nonce;
 
   /** Creates the handler; {@code dialledAddress} is empty for an accepted connection. */
@@ -29,7 +32,7 @@
     this.dialledAddress = dialledAddress;
   }
 
-  boolean dialled() {
+  boolean isDialled() {
     return !dialledAddress.isEmpty();
   }
 
@@ -72,18 +75,18 @@
   @Override
   public void channelActive(ChannelHandlerContext context) {
     channel = context.channel();
-    greet();
-    pings =
+    sendHello();
+    pingTask =
         context
             .executor()
             .scheduleAtFixedRate(
-                this::ping,
-                PeerNetwork.PING_MILLIS,
-                PeerNetwork.PING_MILLIS,
+                this::sendPing,
+                PeerNetwork.PING_INTERVAL_MILLIS,
+                PeerNetwork.PING_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
   }
 
-  private void greet() {
+  private void sendHello() {
     HostRecord own = network.self();
     write(
         Envelope.newBuilder()
@@ -93,7 +96,7 @@
             .build());
   }
 
-  private void ping() {
+  private void sendPing() {
     if (isActive()) {
       write(Envelope.newBuilder().setPing(Ping.newBuilder().setNonce(++nonce)).build());
     }
@@ -120,9 +123,9 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    ScheduledFuture<?> running = pings;
-    if (running != null) {
-      running.cancel(false);
+    ScheduledFuture<?> currentPingTask = pingTask;
+    if (currentPingTask != null) {
+      currentPingTask.cancel(false);
     }
     network.unregister(this);
   }
--- a/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
@@ -37,52 +37,54 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Connections of one host to the others. Each pair of hosts keeps one; a connection on which
- * nothing arrived for {@link #SILENCE_MILLIS} is dropped and dialled again.
+ * The connections of one host to the other hosts. Each pair of hosts keeps one connection; a
+ * connection on which nothing arrives for {@link #READ_TIMEOUT_MILLIS} is closed and dialled again.
  *
  * <p>A message that cannot be sent at once, because there is no connection or its buffer is full,
- * is dropped: every sender repeats what matters. Thread-safe.
+ * is dropped: senders repeat every message that matters. Thread-safe.
  */
 public final class PeerNetwork implements Child {
-  /** Silence after which a connection is dropped, in milliseconds. */
-  public static final long SILENCE_MILLIS = 1_500;
+  /** Time without an incoming message after which a connection is closed, in milliseconds. */
+  public static final long READ_TIMEOUT_MILLIS = 1_500;
 
-  /** Time between two pings on a connection, in milliseconds. */
-  static final long PING_MILLIS = 500;
+  /** Interval between two pings on a connection, in milliseconds. */
+  static final long PING_INTERVAL_MILLIS = 500;
 
-  private static final long DIAL_MILLIS = 200;
+  private static final long DIAL_INTERVAL_MILLIS = 200;
 
-  /** Time after which a host that was heard of once is not dialled any more, in milliseconds. */
-  private static final long FORGET_MILLIS = 20_000;
+  /** Time after which a discovered address that is not discovered again is no longer dialled. */
+  private static final long DISCOVERED_ADDRESS_TTL_MILLIS = 20_000;
 
-  /** Bytes kept for a connection that takes none for the moment: a large configuration fits. */
+  /**
+   * Limits of the bytes buffered while a connection is not writable: a large configuration fits.
+   */
   private static final WriteBufferWaterMark WRITE_BUFFER =
       new WriteBufferWaterMark(4 * 1024 * 1024, 16 * 1024 * 1024);
 
-  /** Longest wait for the listener to close, in milliseconds; below the supervisor's own wait. */
-  private static final long STOP_MILLIS = 2_000;
+  /** Timeout for closing the listening socket; shorter than the supervisor's own timeout. */
+  private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
   private final String listenAddress;
   private final Supplier<HostRecord> self;
   private final PeerListener listener;
-  private final @Nullable EventLoopGroup sharedGroup;
-  private final Set<String> fixedContacts;
-  private final Map<String, Long> learntAtMillis = new ConcurrentHashMap<>();
-  private final Map<String, PeerConnection> byHost = new ConcurrentHashMap<>();
-  private final Set<String> dialling = ConcurrentHashMap.newKeySet();
+  private final @Nullable EventLoopGroup sharedEventLoopGroup;
+  private final Set<String> configuredAddresses;
+  private final Map<String, Long> discoveredAtMillis = new ConcurrentHashMap<>();
+  private final Map<String, PeerConnection> connectionsByHost = new ConcurrentHashMap<>();
+  private final Set<String> diallingAddresses = ConcurrentHashMap.newKeySet();
   private final ConnectTimeouts connectTimeouts = new ConnectTimeouts();
-  private final Semaphore newlyLearnt = new Semaphore(0);
+  private final Semaphore newAddressSignal = new Semaphore(0);
   private final Map<String, String> hostByAddress = new ConcurrentHashMap<>();
-  private final Set<String> blocked = ConcurrentHashMap.newKeySet();
+  private final Set<String> blockedHosts = ConcurrentHashMap.newKeySet();
   private final LongAdder bytesSent = new LongAdder();
   private final LongAdder messagesSent = new LongAdder();
 
   /**
-   * Creates the network of a host.
+   * Creates the network of a host, with an event loop of its own.
    *
    * @param listenAddress address to listen on, as IP:PORT
-   * @param contacts addresses of hosts to dial first
-   * @param self describes this host at the time of the call
+   * @param contacts addresses of hosts that are always dialled
+   * @param self returns the current description of this host
    */
   public PeerNetwork(
       String listenAddress,
@@ -93,27 +95,27 @@
   }
 
   /**
-   * Creates the network of a host whose other parts run on the same event loop.
+   * Creates the network of a host whose other components run on the same event loop.
    *
-   * @param sharedGroup event loop to run on; null for one of its own
+   * @param sharedEventLoopGroup event loops to run on; null to create its own
    */
   public PeerNetwork(
       String listenAddress,
       Collection<String> contacts,
       Supplier<HostRecord> self,
       PeerListener listener,
-      @Nullable EventLoopGroup sharedGroup) {
+      @Nullable EventLoopGroup sharedEventLoopGroup) {
     this.listenAddress = listenAddress;
     this.self = self;
     this.listener = listener;
-    this.sharedGroup = sharedGroup;
-    this.fixedContacts = Set.copyOf(contacts);
+    this.sharedEventLoopGroup = sharedEventLoopGroup;
+    this.configuredAddresses = Set.copyOf(contacts);
   }
 
-  /** Adds a host that was heard of; one not heard of again is forgotten after a while. */
-  public void learn(String peerAddress) {
-    if (learntAtMillis.put(peerAddress, Clock.system().nowMillis()) == null) {
-      newlyLearnt.release();
+  /** Adds or renews the address of a discovered host; it expires unless it is renewed. */
+  public void addDiscoveredAddress(String peerAddress) {
+    if (discoveredAtMillis.put(peerAddress, Clock.system().nowMillis()) == null) {
+      newAddressSignal.release();
     }
   }
 
@@ -122,39 +124,39 @@
     return self.get().getName();
   }
 
-  /** Returns the hosts that are connected now. */
-  public List<HostRecord> connected() {
-    return byHost.values().stream().map(PeerConnection::remote).toList();
+  /** Returns the hosts to which a connection is established. */
+  public List<HostRecord> connectedHosts() {
+    return connectionsByHost.values().stream().map(PeerConnection::remote).toList();
   }
 
   /**
-   * Sends a message to the named host; returns false if it was dropped. A message to this host
-   * itself is delivered at once.
+   * Sends a message to the named host; returns whether it was handed to a connection rather than
+   * dropped. A message to this host itself is delivered to the listener at once.
    */
   public boolean send(String host, Envelope.Builder message) {
     HostRecord own = self.get();
     if (host.equals(own.getName())) {
-      listener.received(own, sealed(message, own));
+      listener.received(own, withSender(message, own));
       return true;
     }
-    PeerConnection connection = byHost.get(host);
-    if (connection == null || blocked.contains(host) || !connection.isWritable()) {
+    PeerConnection connection = connectionsByHost.get(host);
+    if (connection == null || blockedHosts.contains(host) || !connection.isWritable()) {
       return false;
     }
-    Envelope envelope = sealed(message, own);
+    Envelope envelope = withSender(message, own);
     messagesSent.increment();
     bytesSent.add(envelope.getSerializedSize());
     connection.write(envelope);
     return true;
   }
 
-  private static Envelope sealed(Envelope.Builder message, HostRecord own) {
+  private static Envelope withSender(Envelope.Builder message, HostRecord own) {
     return message.setFromHost(own.getName()).setFromIdentity(own.getIdentity()).build();
   }
 
-  /** Sends a message to the host whose data folder has the identity. */
+  /** Sends a message to the host whose data folder has the identity; returns false if dropped. */
   public boolean sendToIdentity(String identity, Envelope.Builder message) {
-    for (PeerConnection connection : byHost.values()) {
+    for (PeerConnection connection : connectionsByHost.values()) {
       if (connection.remote().getIdentity().equals(identity)) {
         return send(connection.remote().getName(), message);
       }
@@ -162,7 +164,7 @@
     return false;
   }
 
-  /** Returns the bytes of all messages sent. */
+  /** Returns the total size of all messages sent, in bytes. */
   public long bytesSent() {
     return bytesSent.sum();
   }
@@ -173,15 +175,16 @@
   }
 
   /**
-   * Cuts this host off from the named hosts in silence, or ends that. Used by failure tests and the
-   * demo to bring about a partition without touching the machine's network.
+   * Replaces the set of blocked hosts; messages to and from a blocked host are dropped without a
+   * notice. Simulates a network partition for failure tests and demos, without a change to the
+   * machine's network.
    */
-  public void setBlocked(Collection<String> hosts) {
-    blocked.clear();
-    blocked.addAll(hosts);
+  public void setBlockedHosts(Collection<String> hosts) {
+    blockedHosts.clear();
+    blockedHosts.addAll(hosts);
   }
 
-  /** Runs on a thread of its own, which is returned; it ends when it is interrupted. */
+  /** Starts {@link #run} on a new daemon thread, which ends when it is interrupted. */
   public Thread start() {
     return Thread.ofPlatform()
         .daemon(true)
@@ -199,20 +202,20 @@
   @Override
   public void run() throws InterruptedException {
     EventLoopGroup group =
-        sharedGroup == null
+        sharedEventLoopGroup == null
             ? new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
-            : sharedGroup;
-    ChannelFuture listening = listen(group);
+            : sharedEventLoopGroup;
+    ChannelFuture bindFuture = listen(group);
     try {
-      listening.sync();
+      bindFuture.sync();
       while (true) {
         dialMissing(group);
-        // A host that was just heard of is dialled at once.
-        newlyLearnt.tryAcquire(DIAL_MILLIS, TimeUnit.MILLISECONDS);
-        newlyLearnt.drainPermits();
+        // A newly discovered address ends the wait, so that it is dialled at once.
+        newAddressSignal.tryAcquire(DIAL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        newAddressSignal.drainPermits();
       }
     } finally {
-      stop(listening.channel(), group);
+      stop(bindFuture.channel(), group);
     }
   }
 
@@ -227,28 +230,30 @@
         .bind(Addresses.parse(listenAddress));
   }
 
-  /** Gives the address back before it returns, since the next run of this host binds it at once. */
+  /** Closes the listening socket before it returns, since a restarted host binds it at once. */
   private void stop(Channel server, EventLoopGroup group) {
-    server.close().awaitUninterruptibly(STOP_MILLIS);
-    byHost.values().forEach(PeerConnection::close);
-    byHost.clear();
-    dialling.clear();
-    if (sharedGroup == null) {
-      group.shutdownGracefully(0, STOP_MILLIS, TimeUnit.MILLISECONDS);
+    server.close().awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
+    connectionsByHost.values().forEach(PeerConnection::close);
+    connectionsByHost.clear();
+    diallingAddresses.clear();
+    if (sharedEventLoopGroup == null) {
+      group.shutdownGracefully(0, STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void dialMissing(EventLoopGroup group) {
     long nowMillis = Clock.system().nowMillis();
-    learntAtMillis.values().removeIf(learnt -> nowMillis - learnt > FORGET_MILLIS);
-    Set<String> contacts = new HashSet<>(fixedContacts);
-    contacts.addAll(learntAtMillis.keySet());
-    connectTimeouts.keepOnly(contacts);
-    for (String address : contacts) {
+    discoveredAtMillis
+        .values()
+        .removeIf(discovered -> nowMillis - discovered > DISCOVERED_ADDRESS_TTL_MILLIS);
+    Set<String> addresses = new HashSet<>(configuredAddresses);
+    addresses.addAll(discoveredAtMillis.keySet());
+    connectTimeouts.retainAddresses(addresses);
+    for (String address : addresses) {
       String host = hostByAddress.get(address);
-      boolean connected = host != null && byHost.containsKey(host);
-      boolean own = address.equals(self.get().getPeerAddress());
-      if (!connected && !own && dialling.add(address)) {
+      boolean connected = host != null && connectionsByHost.containsKey(host);
+      boolean isOwnAddress = address.equals(self.get().getPeerAddress());
+      if (!connected && !isOwnAddress && diallingAddresses.add(address)) {
         dial(group, address);
       }
     }
@@ -266,12 +271,12 @@
         .addListener(
             future -> {
               if (future.isSuccess()) {
-                connectTimeouts.succeeded(address);
+                connectTimeouts.recordSuccess(address);
               } else {
                 if (future.cause() instanceof ConnectTimeoutException) {
-                  connectTimeouts.failed(address);
+                  connectTimeouts.recordTimeout(address);
                 }
-                dialling.remove(address);
+                diallingAddresses.remove(address);
               }
             });
   }
@@ -282,7 +287,7 @@
       protected void initChannel(SocketChannel channel) {
         channel
             .pipeline()
-            .addLast(new ReadTimeoutHandler(SILENCE_MILLIS, TimeUnit.MILLISECONDS))
+            .addLast(new ReadTimeoutHandler(READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
             .addLast(new ProtobufVarint32FrameDecoder())
             .addLast(new ProtobufDecoder(Envelope.getDefaultInstance()))
             .addLast(new ProtobufVarint32LengthFieldPrepender())
@@ -298,48 +303,53 @@
     return self.get();
   }
 
-  /** Keeps the connection, unless another one to the host is to be kept; returns whether it is. */
+  /**
+   * Registers the connection, unless an existing connection to the host is preferred; returns
+   * whether it was registered.
+   */
   synchronized boolean register(PeerConnection connection) {
     HostRecord remote = connection.remote();
-    if (connection.dialled()) {
+    if (connection.isDialled()) {
       hostByAddress.put(connection.dialledAddress(), remote.getName());
     }
-    learn(remote.getPeerAddress());
+    addDiscoveredAddress(remote.getPeerAddress());
     hostByAddress.put(remote.getPeerAddress(), remote.getName());
-    PeerConnection known = byHost.get(remote.getName());
-    if (known != null && isSameProcess(known, remote) && !preferred(connection)) {
+    PeerConnection existing = connectionsByHost.get(remote.getName());
+    if (existing != null && isSameProcess(existing, remote) && !isPreferred(connection)) {
       return false;
     }
-    byHost.put(remote.getName(), connection);
-    if (known != null) {
-      known.close();
+    connectionsByHost.put(remote.getName(), connection);
+    if (existing != null) {
+      existing.close();
     }
     listener.connected(remote);
     return true;
   }
 
-  private static boolean isSameProcess(PeerConnection known, HostRecord remote) {
-    return known.isActive() && known.remote().getIncarnation() == remote.getIncarnation();
+  private static boolean isSameProcess(PeerConnection existing, HostRecord remote) {
+    return existing.isActive() && existing.remote().getIncarnation() == remote.getIncarnation();
   }
 
-  /** Of two connections between a pair, the one dialled by the host with the lower name is kept. */
-  private boolean preferred(PeerConnection connection) {
+  /**
+   * Prefers, of two connections between a pair, the one dialled by the host with the lower name.
+   */
+  private boolean isPreferred(PeerConnection connection) {
     String own = self.get().getName();
-    boolean lower = own.compareTo(connection.remote().getName()) < 0;
-    return connection.dialled() == lower;
+    boolean ownNameIsLower = own.compareTo(connection.remote().getName()) < 0;
+    return connection.isDialled() == ownNameIsLower;
   }
 
   synchronized void unregister(PeerConnection connection) {
-    dialling.remove(connection.dialledAddress());
+    diallingAddresses.remove(connection.dialledAddress());
     HostRecord remote = connection.remoteOrNull();
-    if (remote != null && byHost.remove(remote.getName(), connection)) {
+    if (remote != null && connectionsByHost.remove(remote.getName(), connection)) {
       listener.disconnected(remote);
     }
   }
 
   void received(PeerConnection connection, Envelope message) {
     HostRecord remote = connection.remoteOrNull();
-    if (remote != null && !blocked.contains(remote.getName())) {
+    if (remote != null && !blockedHosts.contains(remote.getName())) {
       listener.received(remote, message);
     }
   }
