--- a/src/main/java/org/curranthaven/api/Failure.java
+++ b/src/main/java/org/curranthaven/api/Failure.java
@@ -31,7 +31,7 @@
   }
 
   /** Returns the whole sentence: what happened, why, and what to do next. */
-  public String sentence() {
+  public String fullMessage() {
     return "%s [%d] %s".formatted(message, code.number(), code.nextStep());
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/DemoRun.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoRun.java
@@ -111,7 +111,7 @@
             : Outcome.failed(
                 org.curranthaven.api.ResultCode.HOST_UNREACHABLE, "the hosts do not connect");
     if (outcome instanceof Outcome.Failed<JsonNode> failed) {
-      throw new IOException(failed.failure().sentence());
+      throw new IOException(failed.failure().fullMessage());
     }
     if (!fleet.awaitReady(READY_MILLIS)) {
       throw new IOException("not every host became ready");
--- a/src/main/java/org/curranthaven/internal/cli/Main.java
+++ b/src/main/java/org/curranthaven/internal/cli/Main.java
@@ -59,7 +59,7 @@
 
   /** Prints a failure and returns its exit code. */
   static int fail(Failure failure) {
-    System.err.println("curranthaven: " + failure.sentence());
+    System.err.println("curranthaven: " + failure.fullMessage());
     return failure.code().exitCode();
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/Assignment.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Assignment.java
@@ -6,7 +6,7 @@
  * A backend server chosen for a request.
  *
  * @param requestId number of the request on this host
- * @param server the server's latest announcement
+ * @param backend the server's latest announcement
  * @param priority priority to ask of an engine; lower is served first
  */
-public record Assignment(long requestId, BackendAnnouncement server, int priority) {}
+public record Assignment(long requestId, BackendAnnouncement backend, int priority) {}
--- a/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
@@ -31,15 +31,15 @@
   private static final String SERVICES_PREFIX = "/services/";
   private static final int STATUS_OK = 200;
   private static final int MILLIS_PER_SECOND = 1_000;
-  private static final Set<String> REPEATED_BY_CLIENTS = Set.of("GET", "HEAD");
+  private static final Set<String> METHODS_RETRIED_BY_CLIENTS = Set.of("GET", "HEAD");
 
-  private final RequestContext context;
+  private final GatewayServices context;
   private final Ledger ledger;
-  private final ServiceClient services = new ServiceClient();
+  private final ServiceClient serviceClient = new ServiceClient();
   private final int maxBodyBytes;
   private final BooleanSupplier draining;
   private final RandomGenerator random;
-  private final WorkspaceKeyIndex keys = new WorkspaceKeyIndex();
+  private final WorkspaceKeyIndex workspaceKeys = new WorkspaceKeyIndex();
 
   /** Creates the callers' part of a host. */
   public CallerApi(
@@ -50,7 +50,7 @@
       int maxBodyBytes,
       BooleanSupplier draining,
       RandomGenerator random) {
-    this.context = new RequestContext(router, new EngineClient(), clock, metrics);
+    this.context = new GatewayServices(router, new EngineClient(), clock, metrics);
     this.ledger = ledger;
     this.maxBodyBytes = maxBodyBytes;
     this.draining = draining;
@@ -58,7 +58,7 @@
   }
 
   /** A request whose caller, class and key are known. */
-  private record Admitted(
+  private record AdmittedRequest(
       Workspace workspace, ServiceClass serviceClass, IdempotencyKey key, long arrivedAtMillis) {}
 
   /** Answers one request. */
@@ -66,13 +66,13 @@
     long arrivedAtMillis = context.clock().nowMillis();
     String path = exchange.path();
     if (path.equals("/v1/chat/completions")) {
-      completion(exchange, true, arrivedAtMillis);
+      handleCompletion(exchange, true, arrivedAtMillis);
     } else if (path.equals("/v1/completions")) {
-      completion(exchange, false, arrivedAtMillis);
+      handleCompletion(exchange, false, arrivedAtMillis);
     } else if (path.equals("/v1/models")) {
-      models(exchange);
+      listModels(exchange);
     } else if (path.startsWith(SERVICES_PREFIX)) {
-      service(exchange, arrivedAtMillis);
+      handleService(exchange, arrivedAtMillis);
     } else {
       exchange.failure(
           Failure.of(ResultCode.UNKNOWN_PATH, "path '" + path + "' is not served here"));
@@ -81,7 +81,7 @@
 
   // ---- completions ------------------------------------------------------------------------------
 
-  private void completion(HttpRequestContext exchange, boolean chat, long arrivedAtMillis)
+  private void handleCompletion(HttpRequestContext exchange, boolean chat, long arrivedAtMillis)
       throws IOException, InterruptedException {
     if (!exchange.method().equals("POST")) {
       exchange.failure(
@@ -95,9 +95,9 @@
     }
     byte[] bytes = ((Outcome.Success<byte[]>) body).value();
     Configuration configuration = context.router().configuration();
-    Outcome<Admitted> admission = admit(exchange, configuration, "", arrivedAtMillis);
-    if (admission instanceof Outcome.Failed<Admitted> failed) {
-      refuse(exchange, failed.failure());
+    Outcome<AdmittedRequest> admission = admit(exchange, configuration, "", arrivedAtMillis);
+    if (admission instanceof Outcome.Failed<AdmittedRequest> failed) {
+      reject(exchange, failed.failure());
       return;
     }
     Outcome<CompletionRequest> parsed = CompletionRequest.parse(chat, bytes);
@@ -113,19 +113,19 @@
               ResultCode.UNKNOWN_MODEL, "model '" + request.model() + "' is not configured"));
       return;
     }
-    Admitted admitted = ((Outcome.Success<Admitted>) admission).value();
+    AdmittedRequest admitted = ((Outcome.Success<AdmittedRequest>) admission).value();
     context.metrics().requested(admitted.serviceClass().name());
-    RequestAttributes facts = facts(admitted, request, model);
+    RequestAttributes facts = completionAttributes(admitted, request, model);
     exchange.setHeader("X-Request-Id", admitted.key().key());
     if (admitted.serviceClass().repeatable()) {
       runCompletion(exchange, admitted, request, facts);
     } else {
-      runKeyedCompletion(exchange, admitted, request, facts, bytes);
+      runIdempotentCompletion(exchange, admitted, request, facts, bytes);
     }
   }
 
-  private static RequestAttributes facts(
-      Admitted admitted, CompletionRequest request, Model model) {
+  private static RequestAttributes completionAttributes(
+      AdmittedRequest admitted, CompletionRequest request, Model model) {
     int limit =
         request.maxTokens() == 0
             ? model.maxOutputTokens()
@@ -143,46 +143,46 @@
         Set.of());
   }
 
-  private CompletionForm form(CompletionRequest request) {
-    return new CompletionForm(request, context.clock().epochMillis() / MILLIS_PER_SECOND);
+  private CompletionFormat completionFormat(CompletionRequest request) {
+    return new CompletionFormat(request, context.clock().epochMillis() / MILLIS_PER_SECOND);
   }
 
   private void runCompletion(
       HttpRequestContext exchange,
-      Admitted admitted,
+      AdmittedRequest admitted,
       CompletionRequest request,
       RequestAttributes facts)
       throws IOException, InterruptedException {
-    CompletionForm form = form(request);
+    CompletionFormat form = completionFormat(request);
     if (!request.stream()) {
-      Outcome<Completion> outcome = generate(admitted, request, facts, new CollectingSink());
+      Outcome<Completion> outcome = generate(admitted, request, facts, new NonStreamingSink());
       switch (outcome) {
         case Outcome.Success<Completion> success ->
-            exchange.json(STATUS_OK, form.whole(success.value()));
+            exchange.json(STATUS_OK, form.response(success.value()));
         case Outcome.Failed<Completion> failed -> fail(exchange, admitted, failed.failure());
       }
       return;
     }
     StreamingSink sink = new StreamingSink(exchange, form);
     try {
-      streamed(exchange, admitted, request, sink, run(admitted, request, facts, sink));
-    } catch (TokenSink.CallerGoneException e) {
+      endStream(exchange, admitted, request, sink, run(admitted, request, facts, sink));
+    } catch (TokenSink.CallerDisconnectedException e) {
       // The generation was cancelled; there is nobody to tell.
     }
   }
 
-  private void streamed(
+  private void endStream(
       HttpRequestContext exchange,
-      Admitted admitted,
+      AdmittedRequest admitted,
       CompletionRequest request,
       StreamingSink sink,
       Outcome<Completion> outcome)
-      throws IOException, TokenSink.CallerGoneException {
+      throws IOException, TokenSink.CallerDisconnectedException {
     switch (outcome) {
       case Outcome.Success<Completion> success ->
           sink.finish(success.value(), request.includeUsage());
       case Outcome.Failed<Completion> failed -> {
-        if (exchange.answered()) {
+        if (exchange.responseStarted()) {
           context.metrics().failed(admitted.serviceClass().name(), failed.failure().code());
           sink.fail(failed.failure());
         } else {
@@ -193,19 +193,22 @@
   }
 
   private Outcome<Completion> run(
-      Admitted admitted, CompletionRequest request, RequestAttributes facts, TokenSink sink)
-      throws InterruptedException, TokenSink.CallerGoneException {
+      AdmittedRequest admitted, CompletionRequest request, RequestAttributes facts, TokenSink sink)
+      throws InterruptedException, TokenSink.CallerDisconnectedException {
     return new GenerationHandler(
             context, admitted.key().key(), request, facts, admitted.serviceClass(), sink)
         .run();
   }
 
   private Outcome<Completion> generate(
-      Admitted admitted, CompletionRequest request, RequestAttributes facts, CollectingSink sink)
+      AdmittedRequest admitted,
+      CompletionRequest request,
+      RequestAttributes facts,
+      NonStreamingSink sink)
       throws InterruptedException {
     try {
       return run(admitted, request, facts, sink);
-    } catch (TokenSink.CallerGoneException e) {
+    } catch (TokenSink.CallerDisconnectedException e) {
       throw new IllegalStateException("a collecting sink has no caller to lose", e);
     }
   }
@@ -214,51 +217,51 @@
    * Runs a completion that may not be repeated. Its answer is held whole and kept; a caller that
    * asked for a stream gets it as one.
    */
-  private void runKeyedCompletion(
+  private void runIdempotentCompletion(
       HttpRequestContext exchange,
-      Admitted admitted,
+      AdmittedRequest admitted,
       CompletionRequest request,
       RequestAttributes facts,
       byte[] body)
       throws IOException, InterruptedException {
-    CompletionForm form = form(request);
+    CompletionFormat form = completionFormat(request);
     ByteString hash = Hashes.sha256(utf8(exchange.path()), body);
     Outcome<StoredAnswer> outcome =
-        keyed(
+        runIdempotent(
             admitted,
             hash,
             () ->
-                switch (generate(admitted, request, facts, new CollectingSink())) {
+                switch (generate(admitted, request, facts, new NonStreamingSink())) {
                   case Outcome.Success<Completion> success ->
-                      Outcome.success(storedJson(form.whole(success.value())));
+                      Outcome.success(storedJson(form.response(success.value())));
                   case Outcome.Failed<Completion> failed -> Outcome.failed(failed.failure());
                 });
     switch (outcome) {
       case Outcome.Success<StoredAnswer> success -> {
         if (request.stream() && success.value().getStatus() == STATUS_OK) {
-          sendAsStream(exchange, form, request, success.value());
+          sendStoredAsStream(exchange, form, request, success.value());
         } else {
-          exchange.answer(success.value());
+          exchange.sendStored(success.value());
         }
       }
       case Outcome.Failed<StoredAnswer> failed -> fail(exchange, admitted, failed.failure());
     }
   }
 
-  private static void sendAsStream(
+  private static void sendStoredAsStream(
       HttpRequestContext exchange,
-      CompletionForm form,
+      CompletionFormat form,
       CompletionRequest request,
       StoredAnswer answer)
       throws IOException {
     Completion completion = StoredCompletion.parse(answer.getBody());
     StreamingSink sink = new StreamingSink(exchange, form);
     try {
-      sink.token(
+      sink.accept(
           new EngineToken(
               completion.generation(), 0, completion.text(), completion.finishReason(), 0));
       sink.finish(completion, request.includeUsage());
-    } catch (TokenSink.CallerGoneException e) {
+    } catch (TokenSink.CallerDisconnectedException e) {
       // The answer is kept; the caller can ask for it again.
     }
   }
@@ -271,7 +274,7 @@
         .build();
   }
 
-  private void models(HttpRequestContext exchange) throws IOException {
+  private void listModels(HttpRequestContext exchange) throws IOException {
     exchange.json(
         STATUS_OK,
         Map.of(
@@ -285,7 +288,7 @@
 
   // ---- plain services ---------------------------------------------------------------------------
 
-  private void service(HttpRequestContext exchange, long arrivedAtMillis)
+  private void handleService(HttpRequestContext exchange, long arrivedAtMillis)
       throws IOException, InterruptedException {
     String[] parts = exchange.path().substring(SERVICES_PREFIX.length()).split("/", 2);
     Configuration configuration = context.router().configuration();
@@ -300,20 +303,20 @@
       exchange.failure(failed.failure());
       return;
     }
-    Outcome<Admitted> admission =
+    Outcome<AdmittedRequest> admission =
         admit(exchange, configuration, service.defaultClass(), arrivedAtMillis);
-    if (admission instanceof Outcome.Failed<Admitted> failed) {
-      refuse(exchange, failed.failure());
+    if (admission instanceof Outcome.Failed<AdmittedRequest> failed) {
+      reject(exchange, failed.failure());
       return;
     }
-    Admitted admitted = ((Outcome.Success<Admitted>) admission).value();
+    AdmittedRequest admitted = ((Outcome.Success<AdmittedRequest>) admission).value();
     byte[] bytes = ((Outcome.Success<byte[]>) body).value();
     context.metrics().requested(admitted.serviceClass().name());
     runService(exchange, admitted, service, bytes);
   }
 
   private void runService(
-      HttpRequestContext exchange, Admitted admitted, PlainService service, byte[] body)
+      HttpRequestContext exchange, AdmittedRequest admitted, PlainService service, byte[] body)
       throws IOException, InterruptedException {
     String path = exchange.rawPath().substring(SERVICES_PREFIX.length() + service.name().length());
     String contentType = exchange.header("Content-Type");
@@ -325,11 +328,11 @@
             contentType == null ? "" : contentType,
             ByteString.copyFrom(body),
             repeatable ? "" : admitted.key().key());
-    RequestAttributes facts = serviceFacts(admitted, service);
+    RequestAttributes facts = serviceAttributes(admitted, service);
     ServiceRequestHandler call =
-        new ServiceRequestHandler(context, services, admitted.serviceClass());
+        new ServiceRequestHandler(context, serviceClient, admitted.serviceClass());
     exchange.setHeader("X-Request-Id", admitted.key().key());
-    if (!repeatable && REPEATED_BY_CLIENTS.contains(exchange.method())) {
+    if (!repeatable && METHODS_RETRIED_BY_CLIENTS.contains(exchange.method())) {
       exchange.failure(
           Failure.of(
               ResultCode.METHOD_NOT_ALLOWED,
@@ -339,7 +342,7 @@
     Outcome<StoredAnswer> outcome =
         repeatable
             ? call.run(admitted.key().key(), facts, request)
-            : keyed(
+            : runIdempotent(
                 admitted,
                 Hashes.sha256(utf8(exchange.method()), utf8(exchange.rawPath()), body),
                 () -> call.run(admitted.key().key(), facts, request));
@@ -347,13 +350,14 @@
       case Outcome.Success<StoredAnswer> success -> {
         long millis = context.clock().nowMillis() - admitted.arrivedAtMillis();
         context.metrics().firstReply(admitted.serviceClass(), millis);
-        exchange.answer(success.value());
+        exchange.sendStored(success.value());
       }
       case Outcome.Failed<StoredAnswer> failed -> fail(exchange, admitted, failed.failure());
     }
   }
 
-  private static RequestAttributes serviceFacts(Admitted admitted, PlainService service) {
+  private static RequestAttributes serviceAttributes(
+      AdmittedRequest admitted, PlainService service) {
     return new RequestAttributes(
         0,
         admitted.workspace().name(),
@@ -369,8 +373,8 @@
 
   // ---- shared -----------------------------------------------------------------------------------
 
-  private Outcome<StoredAnswer> keyed(
-      Admitted admitted, ByteString hash, IdempotentRequestHandler.Execution execution)
+  private Outcome<StoredAnswer> runIdempotent(
+      AdmittedRequest admitted, ByteString hash, IdempotentRequestHandler.Execution execution)
       throws InterruptedException {
     IdempotencyKey key = admitted.key();
     Ledger.ClaimRequest claim =
@@ -384,7 +388,7 @@
         .run(claim, admitted.serviceClass().targets().answerMillis(), execution);
   }
 
-  private Outcome<Admitted> admit(
+  private Outcome<AdmittedRequest> admit(
       HttpRequestContext exchange,
       Configuration configuration,
       String defaultClass,
@@ -400,11 +404,12 @@
               "this host does not know whether its configuration is the one in force",
               1));
     }
-    Workspace workspace = keys.workspace(configuration, exchange.header("Authorization"));
+    Workspace workspace =
+        workspaceKeys.findWorkspace(configuration, exchange.header("Authorization"));
     if (workspace == null) {
       return Outcome.failed(ResultCode.BAD_KEY, "the bearer key belongs to no workspace");
     }
-    long waitMillis = context.router().takeFromLimit(workspace);
+    long waitMillis = context.router().acquireWorkspacePermit(workspace);
     if (waitMillis > 0) {
       return Outcome.failed(
           Failure.retryLater(
@@ -428,18 +433,19 @@
             random);
     return switch (key) {
       case Outcome.Success<IdempotencyKey> success ->
-          Outcome.success(new Admitted(workspace, serviceClass, success.value(), arrivedAtMillis));
+          Outcome.success(
+              new AdmittedRequest(workspace, serviceClass, success.value(), arrivedAtMillis));
       case Outcome.Failed<IdempotencyKey> failed -> Outcome.failed(failed.failure());
     };
   }
 
   /** Refuses a request that was not admitted; a resent one may have run before. */
-  private void refuse(HttpRequestContext exchange, Failure failure) throws IOException {
+  private void reject(HttpRequestContext exchange, Failure failure) throws IOException {
     boolean resent = exchange.header(KEY_HEADER) != null;
     exchange.failure(resent ? IdempotencyErrors.earlierAttemptMayHaveRun(failure) : failure);
   }
 
-  private void fail(HttpRequestContext exchange, Admitted admitted, Failure failure)
+  private void fail(HttpRequestContext exchange, AdmittedRequest admitted, Failure failure)
       throws IOException {
     context.metrics().failed(admitted.serviceClass().name(), failure.code());
     exchange.failure(failure);
--- a/src/main/java/org/curranthaven/internal/gateway/CallerServer.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerServer.java
@@ -17,9 +17,9 @@
   private static final int BACKLOG = 1_024;
 
   private final InetSocketAddress address;
-  private final CallerApi callers;
-  private final Handler operators;
-  private final AtomicInteger open = new AtomicInteger();
+  private final CallerApi callerApi;
+  private final Handler adminHandler;
+  private final AtomicInteger openRequestCount = new AtomicInteger();
 
   /** Handles the requests of operators and backend servers. */
   public interface Handler {
@@ -30,13 +30,13 @@
   /** Creates the server; it listens while {@link #run} runs. */
   public CallerServer(InetSocketAddress address, CallerApi callers, Handler operators) {
     this.address = address;
-    this.callers = callers;
-    this.operators = operators;
+    this.callerApi = callers;
+    this.adminHandler = operators;
   }
 
   /** Returns the number of callers' requests that are open. */
   public int openRequests() {
-    return open.get();
+    return openRequestCount.get();
   }
 
   @Override
@@ -73,20 +73,20 @@
 
   private static void failIfUnanswered(HttpRequestContext exchange, Failure failure)
       throws IOException {
-    if (!exchange.answered()) {
+    if (!exchange.responseStarted()) {
       exchange.failure(failure);
     }
   }
 
   private void dispatch(HttpRequestContext exchange) throws IOException, InterruptedException {
-    if (operators.handle(exchange)) {
+    if (adminHandler.handle(exchange)) {
       return;
     }
-    open.incrementAndGet();
+    openRequestCount.incrementAndGet();
     try {
-      callers.handle(exchange);
+      callerApi.handle(exchange);
     } finally {
-      open.decrementAndGet();
+      openRequestCount.decrementAndGet();
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/CompletionForm.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CompletionFormat.java
@@ -5,20 +5,20 @@
 import org.jspecify.annotations.Nullable;
 
 /** Writes answers in the usual completions form. */
-final class CompletionForm {
+final class CompletionFormat {
   private final CompletionRequest request;
   private final long createdSeconds;
 
-  CompletionForm(CompletionRequest request, long createdSeconds) {
+  CompletionFormat(CompletionRequest request, long createdSeconds) {
     this.request = request;
     this.createdSeconds = createdSeconds;
   }
 
   /** Returns one token as a chunk of a stream; the generation is its id. */
   String chunk(EngineToken token) {
-    ObjectNode chunk = head(token.generation(), true);
+    ObjectNode chunk = createHeader(token.generation(), true);
     chunk.put("token_index", token.index());
-    ObjectNode choice = choice(chunk, token.finishReason());
+    ObjectNode choice = addChoice(chunk, token.finishReason());
     if (request.chat()) {
       ObjectNode delta = choice.putObject("delta");
       if (token.index() == 0) {
@@ -33,26 +33,26 @@
 
   /** Returns the chunk that ends a stream whose caller asked for usage figures. */
   String usageChunk(Completion completion) {
-    ObjectNode chunk = head(completion.generation(), true);
+    ObjectNode chunk = createHeader(completion.generation(), true);
     chunk.putArray("choices");
-    usage(chunk, completion);
+    addUsage(chunk, completion);
     return Json.text(chunk);
   }
 
   /** Returns a whole answer. */
-  ObjectNode whole(Completion completion) {
-    ObjectNode answer = head(completion.generation(), false);
-    ObjectNode choice = choice(answer, completion.finishReason());
+  ObjectNode response(Completion completion) {
+    ObjectNode answer = createHeader(completion.generation(), false);
+    ObjectNode choice = addChoice(answer, completion.finishReason());
     if (request.chat()) {
       choice.putObject("message").put("role", "assistant").put("content", completion.text());
     } else {
       choice.put("text", completion.text());
     }
-    usage(answer, completion);
+    addUsage(answer, completion);
     return answer;
   }
 
-  private ObjectNode head(String id, boolean chunk) {
+  private ObjectNode createHeader(String id, boolean chunk) {
     String chatObject = chunk ? "chat.completion.chunk" : "chat.completion";
     ObjectNode node = Json.MAPPER.createObjectNode();
     node.put("id", id);
@@ -62,14 +62,14 @@
     return node;
   }
 
-  private static ObjectNode choice(ObjectNode parent, @Nullable String finishReason) {
+  private static ObjectNode addChoice(ObjectNode parent, @Nullable String finishReason) {
     ObjectNode choice = parent.putArray("choices").addObject();
     choice.put("index", 0);
     choice.put("finish_reason", finishReason);
     return choice;
   }
 
-  private static void usage(ObjectNode parent, Completion completion) {
+  private static void addUsage(ObjectNode parent, Completion completion) {
     parent
         .putObject("usage")
         .put("prompt_tokens", completion.promptTokens())
--- a/src/main/java/org/curranthaven/internal/gateway/CompletionRequest.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CompletionRequest.java
@@ -59,27 +59,27 @@
 
   private static Outcome<CompletionRequest> parse(boolean chat, ObjectNode body) {
     if (!body.path("model").isTextual()) {
-      return invalid("model", "must be a text");
+      return invalidParameter("model", "must be a text");
     }
     JsonNode prompt = chat ? body.path("messages") : body.path("prompt");
     boolean promptFits = chat ? prompt.isArray() && !prompt.isEmpty() : prompt.isTextual();
     if (!promptFits) {
       return chat
-          ? invalid("messages", "must be a list of messages")
-          : invalid("prompt", "must be a text");
+          ? invalidParameter("messages", "must be a list of messages")
+          : invalidParameter("prompt", "must be a text");
     }
     JsonNode limit =
         body.has("max_tokens") ? body.path("max_tokens") : body.path("max_completion_tokens");
     boolean limitFits =
         limit.isMissingNode() || limit.isNull() || (limit.isInt() && limit.asInt() > 0);
     if (!limitFits) {
-      return invalid("max_tokens", "must be a whole number above 0");
+      return invalidParameter("max_tokens", "must be a whole number above 0");
     }
     if (body.has("n") && body.path("n").asInt() != 1) {
-      return invalid("n", "must be 1");
+      return invalidParameter("n", "must be 1");
     }
     if (body.has("stream") && !body.path("stream").isBoolean()) {
-      return invalid("stream", "must be true or false");
+      return invalidParameter("stream", "must be true or false");
     }
     String text = chat ? prompt.toString() : prompt.asText();
     String prefix = text.substring(0, Math.min(PREFIX_CHARS, text.length()));
@@ -95,7 +95,7 @@
             body));
   }
 
-  private static Outcome<CompletionRequest> invalid(String parameter, String problem) {
+  private static Outcome<CompletionRequest> invalidParameter(String parameter, String problem) {
     return Outcome.failed(
         Failure.of(ResultCode.INVALID_PARAMETER, "parameter '" + parameter + "' " + problem));
   }
--- a/src/main/java/org/curranthaven/internal/gateway/EngineClient.java
+++ b/src/main/java/org/curranthaven/internal/gateway/EngineClient.java
@@ -36,7 +36,7 @@
   }
 
   /** Does the same over a new connection, for when an open one may be silent for good. */
-  EngineStream openFresh(String address, String path, ObjectNode body) {
+  EngineStream openOnNewConnection(String address, String path, ObjectNode body) {
     return open(newClient(), address, path, body);
   }
 
@@ -49,19 +49,19 @@
             .build();
     EngineStream stream = new EngineStream();
     client
-        .sendAsync(request, info -> subscriber(info, stream))
-        .whenComplete((response, failure) -> completed(stream, response, failure));
+        .sendAsync(request, info -> createBodySubscriber(info, stream))
+        .whenComplete((response, failure) -> handleCompletion(stream, response, failure));
     return stream;
   }
 
-  private static HttpResponse.BodySubscriber<String> subscriber(
+  private static HttpResponse.BodySubscriber<String> createBodySubscriber(
       HttpResponse.ResponseInfo info, EngineStream stream) {
     return info.statusCode() == STATUS_OK
         ? BodySubscribers.fromLineSubscriber(stream, s -> "", StandardCharsets.UTF_8, "\n")
         : BodySubscribers.ofString(StandardCharsets.UTF_8);
   }
 
-  private static void completed(
+  private static void handleCompletion(
       EngineStream stream, HttpResponse<String> response, Throwable failure) {
     if (failure != null) {
       Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
@@ -69,10 +69,10 @@
           cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException;
       stream.end(
           notConnected
-              ? new EngineStream.Item.NotConnected(String.valueOf(cause))
-              : new EngineStream.Item.Ended(String.valueOf(cause)));
+              ? new EngineStream.Item.ConnectFailed(String.valueOf(cause))
+              : new EngineStream.Item.Closed(String.valueOf(cause)));
     } else if (response.statusCode() != STATUS_OK) {
-      stream.end(new EngineStream.Item.Rejected(response.statusCode(), response.body()));
+      stream.end(new EngineStream.Item.ErrorResponse(response.statusCode(), response.body()));
     }
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/EngineStream.java
+++ b/src/main/java/org/curranthaven/internal/gateway/EngineStream.java
@@ -10,8 +10,8 @@
  * lines are taken.
  */
 final class EngineStream implements Flow.Subscriber<String> {
-  private static final int BUFFERED_LINES = 32;
-  private static final Item END = new Item.Ended("the connection ended");
+  private static final int MAX_BUFFERED_LINES = 32;
+  private static final Item END = new Item.Closed("the connection ended");
 
   private final LinkedBlockingQueue<Item> items = new LinkedBlockingQueue<>();
   private volatile Flow.@Nullable Subscription subscription;
@@ -23,23 +23,23 @@
     record Line(String text) implements Item {}
 
     /** Nothing came for the time waited. */
-    record Silence() implements Item {}
+    record Timeout() implements Item {}
 
     /** The engine answered with an error status. */
-    record Rejected(int status, String body) implements Item {}
+    record ErrorResponse(int status, String body) implements Item {}
 
     /** The connection could not be made: no byte has left. */
-    record NotConnected(String reason) implements Item {}
+    record ConnectFailed(String reason) implements Item {}
 
     /** The connection ended or broke. */
-    record Ended(String reason) implements Item {}
+    record Closed(String reason) implements Item {}
   }
 
   /** Waits for the next item. */
   Item next(long timeoutMillis) throws InterruptedException {
     Item item = items.poll(timeoutMillis, TimeUnit.MILLISECONDS);
     if (item == null) {
-      return new Item.Silence();
+      return new Item.Timeout();
     }
     Flow.Subscription current = subscription;
     if (item instanceof Item.Line && current != null) {
@@ -68,7 +68,7 @@
     if (closed) {
       newSubscription.cancel();
     } else {
-      newSubscription.request(BUFFERED_LINES);
+      newSubscription.request(MAX_BUFFERED_LINES);
     }
   }
 
@@ -86,7 +86,7 @@
 
   @Override
   public void onError(Throwable failure) {
-    items.add(new Item.Ended(String.valueOf(failure.getMessage())));
+    items.add(new Item.Closed(String.valueOf(failure.getMessage())));
   }
 
   @Override
--- a/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
@@ -19,7 +19,7 @@
   public static ObjectNode json(Failure failure) {
     ObjectNode body = Json.MAPPER.createObjectNode();
     ObjectNode error = body.putObject("error");
-    error.put("message", failure.sentence());
+    error.put("message", failure.fullMessage());
     error.put("type", type(failure));
     error.put("code", failure.code().number());
     error.put("ran", failure.ran().wireName());
@@ -35,7 +35,7 @@
   }
 
   /** Returns the error as the kept answer of a call. */
-  static StoredAnswer stored(Failure failure) {
+  static StoredAnswer storedResponse(Failure failure) {
     return StoredAnswer.newBuilder()
         .setStatus(failure.code().httpStatus())
         .setContentType(JSON)
--- a/src/main/java/org/curranthaven/internal/gateway/RequestContext.java
+++ b/src/main/java/org/curranthaven/internal/gateway/GatewayServices.java
@@ -3,4 +3,4 @@
 import org.curranthaven.internal.supervision.Clock;
 
 /** What calls share on one host. */
-record RequestContext(Router router, EngineClient engines, Clock clock, Metrics metrics) {}
+record GatewayServices(Router router, EngineClient engines, Clock clock, Metrics metrics) {}
--- a/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
@@ -21,18 +21,18 @@
  */
 final class GenerationHandler {
   /** Shortest silence after which a stream is asked again, in milliseconds. */
-  static final long MIN_SILENCE_MILLIS = 400;
+  static final long MIN_TOKEN_TIMEOUT_MILLIS = 400;
 
   /** Longest such silence between two tokens, in milliseconds. */
-  static final long MAX_SILENCE_MILLIS = 2_000;
+  static final long MAX_TOKEN_TIMEOUT_MILLIS = 2_000;
 
   /** The class's gap target counts this many times before a stream is asked again. */
-  private static final int GAPS_OF_SILENCE = 4;
+  private static final int TOKEN_TIMEOUT_GAP_FACTOR = 4;
 
-  private static final long POLL_MILLIS = 100;
-  private static final long PROBE_MILLIS = 500;
+  private static final long POLL_INTERVAL_MILLIS = 100;
+  private static final long CALLER_CHECK_INTERVAL_MILLIS = 500;
   private static final int MAX_ATTEMPTS = 5;
-  private static final int STATUS_TOO_MANY = 429;
+  private static final int STATUS_TOO_MANY_REQUESTS = 429;
   private static final int STATUS_UNAVAILABLE = 503;
   private static final int STATUS_CLIENT_ERROR = 400;
   private static final int STATUS_SERVER_ERROR = 500;
@@ -41,16 +41,16 @@
   private final EngineClient client;
   private final Clock clock;
   private final Metrics metrics;
-  private final String requestName;
+  private final String externalRequestId;
   private final CompletionRequest request;
-  private final RequestAttributes facts;
+  private final RequestAttributes attributes;
   private final ServiceClass serviceClass;
   private final TokenSink sink;
   private final StreamRelay relay;
   private final StringBuilder text = new StringBuilder();
-  private final Set<String> excluded = new HashSet<>();
+  private final Set<String> excludedBackends = new HashSet<>();
 
-  private boolean opened;
+  private boolean earlierAttemptRan;
   private int promptTokens;
   private long lastTokenAtMillis;
 
@@ -58,15 +58,15 @@
   private sealed interface AttemptEnd {
     record Completed(Completion completion) implements AttemptEnd {}
 
-    record StartAgain(boolean ran) implements AttemptEnd {}
+    record Restart(boolean mayHaveRun) implements AttemptEnd {}
 
-    record TakeOver(BackendAnnouncement lost) implements AttemptEnd {}
+    record FailOver(BackendAnnouncement lostEngine) implements AttemptEnd {}
 
     record Failed(Failure failure) implements AttemptEnd {}
   }
 
   GenerationHandler(
-      RequestContext context,
+      GatewayServices context,
       String requestName,
       CompletionRequest request,
       RequestAttributes facts,
@@ -76,28 +76,28 @@
     this.client = context.engines();
     this.clock = context.clock();
     this.metrics = context.metrics();
-    this.requestName = requestName;
+    this.externalRequestId = requestName;
     this.request = request;
-    this.facts = facts;
+    this.attributes = facts;
     this.serviceClass = serviceClass;
     this.sink = sink;
-    this.relay = new StreamRelay(sink.streamed(), serviceClass.repeatable());
+    this.relay = new StreamRelay(sink.isStreaming(), serviceClass.repeatable());
   }
 
   /** Runs the call to its end. */
-  Outcome<Completion> run() throws InterruptedException, TokenSink.CallerGoneException {
+  Outcome<Completion> run() throws InterruptedException, TokenSink.CallerDisconnectedException {
     router.requested(serviceClass.name());
     boolean takeOver = false;
     int failures = 0;
     while (true) {
-      Outcome<Assignment> routed = router.route(factsFor(takeOver), requestName);
+      Outcome<Assignment> routed = router.route(attributesForAttempt(takeOver), externalRequestId);
       if (routed instanceof Outcome.Failed<Assignment> failed) {
-        return Outcome.failed(afterAttempts(failed.failure()));
+        return Outcome.failed(withEarlierAttempts(failed.failure()));
       }
       Assignment assignment = ((Outcome.Success<Assignment>) routed).value();
-      if (takeOver && assignment.server().resume() != BackendAnnouncement.Resume.TAKEOVER) {
+      if (takeOver && assignment.backend().resume() != BackendAnnouncement.Resume.TAKEOVER) {
         router.finished(assignment.requestId(), 0, RequestOutcome.CANCELLED);
-        return Outcome.failed(lost("no other engine can continue it"));
+        return Outcome.failed(engineLost("no other engine can continue it"));
       }
       AttemptEnd end = attempt(assignment, takeOver);
       failures++;
@@ -108,17 +108,17 @@
         case AttemptEnd.Failed failed -> {
           return Outcome.failed(failed.failure());
         }
-        case AttemptEnd.TakeOver over -> {
+        case AttemptEnd.FailOver over -> {
           takeOver = true;
-          excluded.add(over.lost().name());
+          excludedBackends.add(over.lostEngine().name());
         }
-        case AttemptEnd.StartAgain again -> {
+        case AttemptEnd.Restart again -> {
           takeOver = false;
-          opened |= again.ran();
-          excluded.add(assignment.server().name());
+          earlierAttemptRan |= again.mayHaveRun();
+          excludedBackends.add(assignment.backend().name());
           text.setLength(0);
-          sink.restart();
-          Failure refusal = spendRetry(failures);
+          sink.reset();
+          Failure refusal = waitForRetry(failures);
           if (refusal != null) {
             return Outcome.failed(refusal);
           }
@@ -127,15 +127,15 @@
     }
   }
 
-  private RequestAttributes factsFor(boolean takeOver) {
-    Set<String> without = new HashSet<>(excluded);
+  private RequestAttributes attributesForAttempt(boolean takeOver) {
+    Set<String> without = new HashSet<>(excludedBackends);
     if (takeOver) {
-      without.addAll(router.serversWithoutTakeover());
+      without.addAll(router.backendsWithoutTakeover());
     }
-    return facts.attempt(router.nextRequestId(), relay.nextIndex(), without);
+    return attributes.attempt(router.nextRequestId(), relay.nextIndex(), without);
   }
 
-  private @Nullable Failure spendRetry(int failures) throws InterruptedException {
+  private @Nullable Failure waitForRetry(int failures) throws InterruptedException {
     long wait = failures < MAX_ATTEMPTS ? router.tryRetry(serviceClass.name(), failures) : -1;
     if (wait < 0) {
       Failure spent =
@@ -143,7 +143,7 @@
               ResultCode.RETRY_BUDGET_SPENT,
               failures + " engines failed or refused, and the class's retry budget is spent",
               1_000);
-      return afterAttempts(spent);
+      return withEarlierAttempts(spent);
     }
     metrics.retried(serviceClass.name());
     Thread.sleep(wait);
@@ -151,13 +151,13 @@
   }
 
   /** Returns the failure with the truth about attempts made before it. */
-  private Failure afterAttempts(Failure failure) {
-    return opened && failure.ran() == Ran.NO
+  private Failure withEarlierAttempts(Failure failure) {
+    return earlierAttemptRan && failure.ran() == Ran.NO
         ? new Failure(failure.code(), Ran.YES, failure.message(), failure.retryAfterMillis())
         : failure;
   }
 
-  private Failure lost(String why) {
+  private Failure engineLost(String why) {
     return Failure.of(
         ResultCode.ENGINE_LOST,
         "the engine was lost after " + relay.nextIndex() + " tokens, and " + why);
@@ -166,22 +166,23 @@
   // ---- one attempt ------------------------------------------------------------------------------
 
   private AttemptEnd attempt(Assignment assignment, boolean takeOver)
-      throws InterruptedException, TokenSink.CallerGoneException {
-    BackendAnnouncement engine = assignment.server();
+      throws InterruptedException, TokenSink.CallerDisconnectedException {
+    BackendAnnouncement engine = assignment.backend();
     String generation = takeOver ? relay.generation() : UUID.randomUUID().toString();
     boolean canResume = engine.resume() != BackendAnnouncement.Resume.NONE;
-    EngineStream stream = client.open(engine.address(), path(), body(assignment, generation));
+    EngineStream stream =
+        client.open(engine.address(), path(), requestBody(assignment, generation));
     relay.handle(new StreamRelay.Event.Opened(generation, canResume));
     Attempt attempt = new Attempt(assignment, stream);
     try {
       return attempt.run();
-    } catch (TokenSink.CallerGoneException e) {
+    } catch (TokenSink.CallerDisconnectedException e) {
       client.cancel(engine.address(), generation);
-      attempt.ending = RequestOutcome.CANCELLED;
+      attempt.outcome = RequestOutcome.CANCELLED;
       throw e;
     } finally {
       attempt.stream.close();
-      router.finished(assignment.requestId(), relay.nextIndex(), attempt.ending);
+      router.finished(assignment.requestId(), relay.nextIndex(), attempt.outcome);
     }
   }
 
@@ -189,20 +190,20 @@
     return request.chat() ? "/v1/chat/completions" : "/v1/completions";
   }
 
-  private ObjectNode body(Assignment assignment, String generation) {
+  private ObjectNode requestBody(Assignment assignment, String generation) {
     ObjectNode body = request.body().deepCopy();
     body.put("stream", true);
-    body.put("max_tokens", facts.maxOutputTokens());
+    body.put("max_tokens", attributes.maxOutputTokens());
     body.put("priority", assignment.priority());
     body.put("generation_id", generation);
-    body.put("deadline_millis", Math.max(0, facts.responseDueMillis() - clock.nowMillis()));
+    body.put("deadline_millis", Math.max(0, attributes.responseDueMillis() - clock.nowMillis()));
     if (relay.nextIndex() > 0) {
-      body.set("resume", resume(generation).put("text", text.toString()));
+      body.set("resume", resumeParameters(generation).put("text", text.toString()));
     }
     return body;
   }
 
-  private ObjectNode resume(String generation) {
+  private ObjectNode resumeParameters(String generation) {
     return request
         .body()
         .objectNode()
@@ -215,20 +216,20 @@
     private final Assignment assignment;
     private final BackendAnnouncement engine;
     private EngineStream stream;
-    private RequestOutcome ending = RequestOutcome.FAILED;
-    private boolean resumed;
-    private long quietSinceMillis = clock.nowMillis();
-    private long probedAtMillis = quietSinceMillis;
+    private RequestOutcome outcome = RequestOutcome.FAILED;
+    private boolean reconnected;
+    private long lastActivityMillis = clock.nowMillis();
+    private long callerCheckedAtMillis = lastActivityMillis;
 
     Attempt(Assignment assignment, EngineStream stream) {
       this.assignment = assignment;
-      this.engine = assignment.server();
+      this.engine = assignment.backend();
       this.stream = stream;
     }
 
-    AttemptEnd run() throws InterruptedException, TokenSink.CallerGoneException {
+    AttemptEnd run() throws InterruptedException, TokenSink.CallerDisconnectedException {
       while (true) {
-        AttemptEnd end = handle(stream.next(POLL_MILLIS));
+        AttemptEnd end = handle(stream.next(POLL_INTERVAL_MILLIS));
         if (end != null) {
           return end;
         }
@@ -236,53 +237,55 @@
     }
 
     private @Nullable AttemptEnd handle(EngineStream.Item item)
-        throws TokenSink.CallerGoneException {
+        throws TokenSink.CallerDisconnectedException {
       return switch (item) {
-        case EngineStream.Item.Line line -> line(line.text());
-        case EngineStream.Item.Silence silence -> silence();
-        case EngineStream.Item.Rejected rejected -> rejected(rejected);
-        case EngineStream.Item.NotConnected refused -> notConnected();
-        case EngineStream.Item.Ended ended -> act(relay.handle(new StreamRelay.Event.Broken()));
+        case EngineStream.Item.Line line -> handleLine(line.text());
+        case EngineStream.Item.Timeout silence -> handleNoData();
+        case EngineStream.Item.ErrorResponse rejected -> handleErrorResponse(rejected);
+        case EngineStream.Item.ConnectFailed refused -> handleConnectFailure();
+        case EngineStream.Item.Closed ended ->
+            perform(relay.handle(new StreamRelay.Event.Disconnected()));
       };
     }
 
-    private @Nullable AttemptEnd line(String line) throws TokenSink.CallerGoneException {
+    private @Nullable AttemptEnd handleLine(String line)
+        throws TokenSink.CallerDisconnectedException {
       EngineToken token = EngineToken.parse(line);
       if (token == null) {
         return null;
       }
-      quietSinceMillis = clock.nowMillis();
+      lastActivityMillis = clock.nowMillis();
       StreamRelay.Action action =
           relay.handle(new StreamRelay.Event.Token(token.generation(), token.index()));
       if (action != StreamRelay.Action.DELIVER) {
-        return act(action);
+        return perform(action);
       }
       deliver(token);
       String finishReason = token.finishReason();
       return finishReason == null ? null : completed(finishReason);
     }
 
-    private void deliver(EngineToken token) throws TokenSink.CallerGoneException {
+    private void deliver(EngineToken token) throws TokenSink.CallerDisconnectedException {
       text.append(token.text());
       promptTokens = Math.max(promptTokens, token.promptTokens());
-      sink.token(token);
+      sink.accept(token);
       router.progressed(assignment.requestId(), relay.nextIndex());
-      measure();
+      recordLatency();
     }
 
-    private void measure() {
+    private void recordLatency() {
       long nowMillis = clock.nowMillis();
-      metrics.delivered(serviceClass.name());
+      metrics.tokenDelivered(serviceClass.name());
       if (lastTokenAtMillis == 0) {
-        metrics.firstReply(serviceClass, nowMillis - facts.arrivedAtMillis());
+        metrics.firstReply(serviceClass, nowMillis - attributes.arrivedAtMillis());
       } else {
-        metrics.gap(serviceClass, nowMillis - lastTokenAtMillis);
+        metrics.tokenGap(serviceClass, nowMillis - lastTokenAtMillis);
       }
       lastTokenAtMillis = nowMillis;
     }
 
     private AttemptEnd completed(String finishReason) {
-      ending = RequestOutcome.COMPLETED;
+      outcome = RequestOutcome.COMPLETED;
       return new AttemptEnd.Completed(
           new Completion(
               relay.generation(),
@@ -292,62 +295,65 @@
               relay.nextIndex()));
     }
 
-    private @Nullable AttemptEnd silence() throws TokenSink.CallerGoneException {
+    private @Nullable AttemptEnd handleNoData() throws TokenSink.CallerDisconnectedException {
       long nowMillis = clock.nowMillis();
-      if (nowMillis - probedAtMillis >= PROBE_MILLIS) {
-        probedAtMillis = nowMillis;
-        sink.probe();
+      if (nowMillis - callerCheckedAtMillis >= CALLER_CHECK_INTERVAL_MILLIS) {
+        callerCheckedAtMillis = nowMillis;
+        sink.checkCaller();
       }
-      BackendAnnouncement latest = router.alive(engine.name());
+      BackendAnnouncement latest = router.liveBackend(engine.name());
       boolean gone = latest == null || latest.incarnation() != engine.incarnation();
       if (gone) {
-        return act(relay.handle(new StreamRelay.Event.EngineLost()));
+        return perform(relay.handle(new StreamRelay.Event.EngineLost()));
       }
-      if (nowMillis - quietSinceMillis >= silenceLimitMillis()) {
-        quietSinceMillis = nowMillis;
-        return act(relay.handle(new StreamRelay.Event.Silent()));
+      if (nowMillis - lastActivityMillis >= tokenTimeoutMillis()) {
+        lastActivityMillis = nowMillis;
+        return perform(relay.handle(new StreamRelay.Event.TokenTimeout()));
       }
       return null;
     }
 
-    private long silenceLimitMillis() {
+    private long tokenTimeoutMillis() {
       if (relay.nextIndex() == 0) {
-        return Math.max(MAX_SILENCE_MILLIS, facts.targets().firstReplyMillis());
+        return Math.max(MAX_TOKEN_TIMEOUT_MILLIS, attributes.targets().firstReplyMillis());
       }
       return Math.clamp(
-          GAPS_OF_SILENCE * facts.targets().gapMillis(), MIN_SILENCE_MILLIS, MAX_SILENCE_MILLIS);
+          TOKEN_TIMEOUT_GAP_FACTOR * attributes.targets().gapMillis(),
+          MIN_TOKEN_TIMEOUT_MILLIS,
+          MAX_TOKEN_TIMEOUT_MILLIS);
     }
 
-    private @Nullable AttemptEnd rejected(EngineStream.Item.Rejected rejected)
-        throws TokenSink.CallerGoneException {
-      if (resumed || relay.nextIndex() > 0) {
-        return act(relay.handle(new StreamRelay.Event.EngineLost()));
+    private @Nullable AttemptEnd handleErrorResponse(EngineStream.Item.ErrorResponse rejected)
+        throws TokenSink.CallerDisconnectedException {
+      if (reconnected || relay.nextIndex() > 0) {
+        return perform(relay.handle(new StreamRelay.Event.EngineLost()));
       }
       int status = rejected.status();
-      if (status == STATUS_TOO_MANY || status == STATUS_UNAVAILABLE) {
-        ending = RequestOutcome.REFUSED;
-        return act(relay.handle(new StreamRelay.Event.Refused()));
+      if (status == STATUS_TOO_MANY_REQUESTS || status == STATUS_UNAVAILABLE) {
+        outcome = RequestOutcome.REFUSED;
+        return perform(relay.handle(new StreamRelay.Event.Rejected()));
       }
       if (status >= STATUS_CLIENT_ERROR && status < STATUS_SERVER_ERROR) {
-        ending = RequestOutcome.CANCELLED;
+        outcome = RequestOutcome.CANCELLED;
         return new AttemptEnd.Failed(
             Failure.of(
                 ResultCode.BACKEND_REFUSED,
                 "the engine refused the request with status " + status + ": " + rejected.body()));
       }
-      return act(relay.handle(new StreamRelay.Event.EngineLost()));
+      return perform(relay.handle(new StreamRelay.Event.EngineLost()));
     }
 
-    private @Nullable AttemptEnd notConnected() throws TokenSink.CallerGoneException {
-      boolean nothingSent = !resumed && relay.nextIndex() == 0;
+    private @Nullable AttemptEnd handleConnectFailure()
+        throws TokenSink.CallerDisconnectedException {
+      boolean nothingSent = !reconnected && relay.nextIndex() == 0;
       if (nothingSent) {
-        ending = RequestOutcome.REFUSED;
-        return act(relay.handle(new StreamRelay.Event.Refused()));
+        outcome = RequestOutcome.REFUSED;
+        return perform(relay.handle(new StreamRelay.Event.Rejected()));
       }
-      return act(relay.handle(new StreamRelay.Event.EngineLost()));
+      return perform(relay.handle(new StreamRelay.Event.EngineLost()));
     }
 
-    private @Nullable AttemptEnd act(StreamRelay.Action action) {
+    private @Nullable AttemptEnd perform(StreamRelay.Action action) {
       return switch (action) {
         case DELIVER, DROP, WAIT -> null;
         case RESUME -> {
@@ -356,16 +362,16 @@
         }
         case TAKE_OVER -> {
           client.cancel(engine.address(), relay.generation());
-          yield new AttemptEnd.TakeOver(engine);
+          yield new AttemptEnd.FailOver(engine);
         }
         case START_AGAIN -> {
-          boolean refused = ending == RequestOutcome.REFUSED;
+          boolean refused = outcome == RequestOutcome.REFUSED;
           if (!refused) {
             client.cancel(engine.address(), relay.generation());
           }
-          yield new AttemptEnd.StartAgain(!refused);
+          yield new AttemptEnd.Restart(!refused);
         }
-        case FAIL_LOST -> new AttemptEnd.Failed(lost("it cannot be continued"));
+        case FAIL_LOST -> new AttemptEnd.Failed(engineLost("it cannot be continued"));
         case FAIL_UNKNOWN ->
             new AttemptEnd.Failed(
                 Failure.of(
@@ -376,14 +382,14 @@
     }
 
     private void resumeOverNewConnection() {
-      metrics.resumed(serviceClass.name());
+      metrics.streamResumed(serviceClass.name());
       stream.close();
       ObjectNode body = request.body().objectNode();
       body.put("model", request.model());
       body.put("stream", true);
-      body.set("resume", resume(relay.generation()));
-      stream = client.openFresh(engine.address(), path(), body);
-      resumed = true;
+      body.set("resume", resumeParameters(relay.generation()));
+      stream = client.openOnNewConnection(engine.address(), path(), body);
+      reconnected = true;
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
+++ b/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
@@ -18,7 +18,7 @@
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private final HttpExchange http;
-  private boolean answered;
+  private boolean responseStarted;
 
   /** Wraps the server's exchange. */
   public HttpRequestContext(HttpExchange http) {
@@ -47,8 +47,8 @@
   }
 
   /** Returns whether an answer was begun. */
-  public boolean answered() {
-    return answered;
+  public boolean responseStarted() {
+    return responseStarted;
   }
 
   /** Reads the whole body, unless it is larger than {@code maxBytes}. */
@@ -68,12 +68,12 @@
 
   /** Answers with a JSON value. */
   public void json(int status, Object value) throws IOException {
-    bytes(status, ErrorBodies.JSON, Json.write(value).toByteArray());
+    send(status, ErrorBodies.JSON, Json.write(value).toByteArray());
   }
 
   /** Answers with text. */
   public void text(int status, String contentType, String text) throws IOException {
-    bytes(status, contentType, text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+    send(status, contentType, text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
   /** Answers with a failure. */
@@ -86,8 +86,8 @@
   }
 
   /** Answers with a kept answer. */
-  public void answer(StoredAnswer answer) throws IOException {
-    bytes(answer.getStatus(), answer.getContentType(), answer.getBody().toByteArray());
+  public void sendStored(StoredAnswer answer) throws IOException {
+    send(answer.getStatus(), answer.getContentType(), answer.getBody().toByteArray());
   }
 
   /** Sets a header of the answer. */
@@ -96,15 +96,15 @@
   }
 
   /** Begins an answer of unknown length. */
-  public OutputStream begin(String contentType) throws IOException {
-    answered = true;
+  public OutputStream startStream(String contentType) throws IOException {
+    responseStarted = true;
     http.getResponseHeaders().set("Content-Type", contentType);
     http.sendResponseHeaders(STATUS_OK, 0);
     return http.getResponseBody();
   }
 
-  private void bytes(int status, String contentType, byte[] body) throws IOException {
-    answered = true;
+  private void send(int status, String contentType, byte[] body) throws IOException {
+    responseStarted = true;
     if (!contentType.isEmpty()) {
       http.getResponseHeaders().set("Content-Type", contentType);
     }
--- a/src/main/java/org/curranthaven/internal/gateway/IdempotencyKey.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotencyKey.java
@@ -38,12 +38,12 @@
           "the Idempotency-Key is longer than " + MAX_KEY_CHARS + " characters");
     }
     if (issuedAtHeader != null) {
-      return withIssueTime(header, issuedAtHeader);
+      return withIssuedAtHeader(header, issuedAtHeader);
     }
-    return withTimeInside(header);
+    return withEmbeddedTime(header);
   }
 
-  private static Outcome<IdempotencyKey> withIssueTime(String header, String issuedAtHeader) {
+  private static Outcome<IdempotencyKey> withIssuedAtHeader(String header, String issuedAtHeader) {
     try {
       return Outcome.success(
           new IdempotencyKey(header, Long.parseLong(issuedAtHeader.strip()), true));
@@ -53,7 +53,7 @@
     }
   }
 
-  private static Outcome<IdempotencyKey> withTimeInside(String header) {
+  private static Outcome<IdempotencyKey> withEmbeddedTime(String header) {
     try {
       UUID uuid = UUID.fromString(header);
       if (uuid.version() == UUID_VERSION_WITH_TIME) {
--- a/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
@@ -15,9 +15,9 @@
  */
 final class IdempotentRequestHandler {
   /** Largest answer that is kept, in bytes; a longer one is kept as an error that says so. */
-  static final int MAX_KEPT_BYTES = 256 * 1024;
+  static final int MAX_STORED_RESPONSE_BYTES = 256 * 1024;
 
-  private static final long POLL_MILLIS = 50;
+  private static final long POLL_INTERVAL_MILLIS = 50;
 
   private final Ledger ledger;
   private final Router router;
@@ -45,7 +45,7 @@
     while (true) {
       Outcome<Ledger.Claim> claimed = ledger.claim(request);
       if (claimed instanceof Outcome.Failed<Ledger.Claim> failed) {
-        return notClaimed(request, failed.failure());
+        return handleClaimFailure(request, failed.failure());
       }
       switch (((Outcome.Success<Ledger.Claim>) claimed).value()) {
         case Ledger.Claim.Granted granted -> {
@@ -68,16 +68,16 @@
                     "another attempt with the same Idempotency-Key is still running",
                     1_000));
           }
-          Thread.sleep(POLL_MILLIS);
+          Thread.sleep(POLL_INTERVAL_MILLIS);
         }
       }
     }
   }
 
   /** The claim may have been taken: it is given back, since this attempt will not run. */
-  private Outcome<StoredAnswer> notClaimed(Ledger.ClaimRequest request, Failure failure) {
+  private Outcome<StoredAnswer> handleClaimFailure(Ledger.ClaimRequest request, Failure failure) {
     if (failure.code() == ResultCode.CLAIM_UNKNOWN) {
-      Thread.ofVirtual().start(() -> releaseQuietly(request));
+      Thread.ofVirtual().start(() -> releaseClaim(request));
       return Outcome.failed(
           new Failure(failure.code(), Ran.UNKNOWN, failure.message(), failure.retryAfterMillis()));
     }
@@ -87,7 +87,7 @@
     return Outcome.failed(failure);
   }
 
-  private void releaseQuietly(Ledger.ClaimRequest request) {
+  private void releaseClaim(Ledger.ClaimRequest request) {
     try {
       ledger.release(request);
     } catch (InterruptedException e) {
@@ -105,25 +105,25 @@
     }
     switch (outcome) {
       case Outcome.Success<StoredAnswer> success -> {
-        ledger.complete(request, kept(success.value()));
+        ledger.complete(request, toStorable(success.value()));
       }
       case Outcome.Failed<StoredAnswer> failed -> {
         if (failed.failure().ran() == Ran.NO) {
           ledger.release(request);
         } else {
-          ledger.complete(request, ErrorBodies.stored(failed.failure()));
+          ledger.complete(request, ErrorBodies.storedResponse(failed.failure()));
         }
       }
     }
     return outcome;
   }
 
-  private static StoredAnswer kept(StoredAnswer answer) {
+  private static StoredAnswer toStorable(StoredAnswer answer) {
     ByteString body = answer.getBody();
-    if (body.size() <= MAX_KEPT_BYTES) {
+    if (body.size() <= MAX_STORED_RESPONSE_BYTES) {
       return answer;
     }
-    return ErrorBodies.stored(
+    return ErrorBodies.storedResponse(
         Failure.of(
             ResultCode.ANSWER_TOO_LARGE,
             "the call ran, but its answer of " + body.size() + " bytes was too large to keep"));
--- a/src/main/java/org/curranthaven/internal/gateway/Metrics.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Metrics.java
@@ -47,7 +47,7 @@
   }
 
   /** Counts a token delivered to a caller. */
-  public void delivered(String className) {
+  public void tokenDelivered(String className) {
     counter("curranthaven_tokens", "class", className).increment();
   }
 
@@ -59,13 +59,13 @@
   }
 
   /** Notes the time between two tokens of a stream. */
-  public void gap(ServiceClass serviceClass, long millis) {
+  public void tokenGap(ServiceClass serviceClass, long millis) {
     targets.gap(serviceClass.name(), millis, serviceClass.targets().gapMillis(), clock.nowMillis());
     timer("curranthaven_token_gap", serviceClass.name()).record(Duration.ofMillis(millis));
   }
 
   /** Counts a stream that was resumed over a new connection. */
-  public void resumed(String className) {
+  public void streamResumed(String className) {
     counter("curranthaven_streams_resumed", "class", className).increment();
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Returns the page that Prometheus reads. */
-  public String page() {
+  public String scrape() {
     return registry.scrape();
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/CollectingSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/NonStreamingSink.java
@@ -1,18 +1,18 @@
 package org.curranthaven.internal.gateway;
 
 /** Holds nothing back and sends nothing: the call itself keeps the text of a whole answer. */
-final class CollectingSink implements TokenSink {
+final class NonStreamingSink implements TokenSink {
   @Override
-  public boolean streamed() {
+  public boolean isStreaming() {
     return false;
   }
 
   @Override
-  public void token(EngineToken token) {}
+  public void accept(EngineToken token) {}
 
   @Override
-  public void probe() {}
+  public void checkCaller() {}
 
   @Override
-  public void restart() {}
+  public void reset() {}
 }
--- a/src/main/java/org/curranthaven/internal/gateway/RetryBudget.java
+++ b/src/main/java/org/curranthaven/internal/gateway/RetryBudget.java
@@ -11,15 +11,15 @@
  */
 public final class RetryBudget {
   /** Share of a retry that each request earns. */
-  static final double EARNED_PER_REQUEST = 0.1;
+  static final double RETRIES_PER_REQUEST = 0.1;
 
   /** Most retries that a class can have saved up. */
-  static final double MAX_SAVED = 10;
+  static final double MAX_SAVED_RETRIES = 10;
 
   private static final long FIRST_BACKOFF_MILLIS = 10;
   private static final long MAX_BACKOFF_MILLIS = 1_000;
 
-  private final Map<String, Double> savedByClass = new HashMap<>();
+  private final Map<String, Double> retriesByClass = new HashMap<>();
   private final RandomGenerator random;
 
   /** Creates a budget that has saved nothing. */
@@ -29,17 +29,17 @@
 
   /** Notes a first attempt. */
   public void requested(String className) {
-    double saved = savedByClass.getOrDefault(className, MAX_SAVED);
-    savedByClass.put(className, Math.min(MAX_SAVED, saved + EARNED_PER_REQUEST));
+    double saved = retriesByClass.getOrDefault(className, MAX_SAVED_RETRIES);
+    retriesByClass.put(className, Math.min(MAX_SAVED_RETRIES, saved + RETRIES_PER_REQUEST));
   }
 
   /** Takes a retry from the budget; returns whether there was one. */
   public boolean tryRetry(String className) {
-    double saved = savedByClass.getOrDefault(className, MAX_SAVED);
+    double saved = retriesByClass.getOrDefault(className, MAX_SAVED_RETRIES);
     if (saved < 1) {
       return false;
     }
-    savedByClass.put(className, saved - 1);
+    retriesByClass.put(className, saved - 1);
     return true;
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/Router.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Router.java
@@ -35,16 +35,16 @@
   void finished(long requestId, int tokens, RoutingEvent.RequestOutcome ending);
 
   /** Returns the server's latest announcement while its lease lasts, in any state. */
-  @Nullable BackendAnnouncement alive(String server);
+  @Nullable BackendAnnouncement liveBackend(String server);
 
   /** Returns the servers that cannot continue another server's generation. */
-  Set<String> serversWithoutTakeover();
+  Set<String> backendsWithoutTakeover();
 
   /**
    * Takes a request of the workspace from its fleet-wide limit; returns 0 if it is allowed, else
    * when to come back, in milliseconds.
    */
-  long takeFromLimit(Workspace workspace);
+  long acquireWorkspacePermit(Workspace workspace);
 
   /** Notes a first attempt of a class, which earns a share of a retry. */
   void requested(String className);
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceClient.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceClient.java
@@ -16,7 +16,7 @@
 /** Calls to plain services over HTTP. Thread-safe; callers block. */
 final class ServiceClient {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-  private static final int STATUS_TOO_MANY = 429;
+  private static final int STATUS_TOO_MANY_REQUESTS = 429;
   private static final int STATUS_UNAVAILABLE = 503;
 
   /** Header by which a service says that it refused a call before running it. */
@@ -49,19 +49,19 @@
       String method, String path, String contentType, ByteString body, String key) {}
 
   /** How an attempt ended. */
-  sealed interface Attempt {
+  sealed interface AttemptResult {
     /** The service answered. */
-    record Answered(StoredAnswer answer) implements Attempt {}
+    record Responded(StoredAnswer response) implements AttemptResult {}
 
     /** No byte left, or the service refused before running. */
-    record Refused(String reason) implements Attempt {}
+    record Rejected(String reason) implements AttemptResult {}
 
     /** The call may have run. */
-    record Unknown(String reason) implements Attempt {}
+    record OutcomeUnknown(String reason) implements AttemptResult {}
   }
 
   /** Makes one attempt; {@code fresh} asks for a connection of its own. */
-  Attempt call(String address, ServiceRequest request, long timeoutMillis, boolean fresh)
+  AttemptResult send(String address, ServiceRequest request, long timeoutMillis, boolean fresh)
       throws InterruptedException {
     HttpRequest.Builder builder =
         HttpRequest.newBuilder(URI.create("http://" + address + request.path()))
@@ -77,23 +77,24 @@
     }
     try {
       HttpClient chosen = fresh ? newClient() : client;
-      return answered(chosen.send(builder.build(), HttpResponse.BodyHandlers.ofByteArray()));
+      return toResult(chosen.send(builder.build(), HttpResponse.BodyHandlers.ofByteArray()));
     } catch (ConnectException | HttpConnectTimeoutException e) {
-      return new Attempt.Refused("no connection: " + e.getMessage());
+      return new AttemptResult.Rejected("no connection: " + e.getMessage());
     } catch (HttpTimeoutException e) {
-      return new Attempt.Unknown("no answer within " + timeoutMillis + " ms");
+      return new AttemptResult.OutcomeUnknown("no answer within " + timeoutMillis + " ms");
     } catch (IOException e) {
-      return new Attempt.Unknown("the connection broke: " + e.getMessage());
+      return new AttemptResult.OutcomeUnknown("the connection broke: " + e.getMessage());
     }
   }
 
-  private static Attempt answered(HttpResponse<byte[]> response) {
+  private static AttemptResult toResult(HttpResponse<byte[]> response) {
     boolean busy =
-        response.statusCode() == STATUS_TOO_MANY || response.statusCode() == STATUS_UNAVAILABLE;
+        response.statusCode() == STATUS_TOO_MANY_REQUESTS
+            || response.statusCode() == STATUS_UNAVAILABLE;
     if (busy && response.headers().firstValue(RAN_HEADER).orElse("").equals("no")) {
-      return new Attempt.Refused("the service refused with status " + response.statusCode());
+      return new AttemptResult.Rejected("the service refused with status " + response.statusCode());
     }
-    return new Attempt.Answered(
+    return new AttemptResult.Responded(
         StoredAnswer.newBuilder()
             .setStatus(response.statusCode())
             .setContentType(response.headers().firstValue("Content-Type").orElse(""))
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
@@ -19,11 +19,11 @@
 
   private static final int MAX_ATTEMPTS = 4;
 
-  private final RequestContext context;
+  private final GatewayServices context;
   private final ServiceClient client;
   private final ServiceClass serviceClass;
 
-  ServiceRequestHandler(RequestContext context, ServiceClient client, ServiceClass serviceClass) {
+  ServiceRequestHandler(GatewayServices context, ServiceClient client, ServiceClass serviceClass) {
     this.context = context;
     this.client = client;
     this.serviceClass = serviceClass;
@@ -41,17 +41,17 @@
       Outcome<Assignment> routed =
           router.route(first.attempt(router.nextRequestId(), 0, excluded), requestName);
       if (routed instanceof Outcome.Failed<Assignment> failed) {
-        return Outcome.failed(truth(failed.failure(), mayHaveRun));
+        return Outcome.failed(withEarlierAttempts(failed.failure(), mayHaveRun));
       }
       Assignment assignment = ((Outcome.Success<Assignment>) routed).value();
-      ServiceClient.Attempt attempt = attempt(assignment, first, request, attempts > 1);
+      ServiceClient.AttemptResult attempt = attempt(assignment, first, request, attempts > 1);
       String reason;
       switch (attempt) {
-        case ServiceClient.Attempt.Answered answered -> {
-          return Outcome.success(answered.answer());
+        case ServiceClient.AttemptResult.Responded answered -> {
+          return Outcome.success(answered.response());
         }
-        case ServiceClient.Attempt.Refused refused -> reason = refused.reason();
-        case ServiceClient.Attempt.Unknown unknown -> {
+        case ServiceClient.AttemptResult.Rejected refused -> reason = refused.reason();
+        case ServiceClient.AttemptResult.OutcomeUnknown unknown -> {
           mayHaveRun = true;
           reason = unknown.reason();
           if (!serviceClass.repeatable()) {
@@ -59,7 +59,7 @@
           }
         }
       }
-      excluded.add(assignment.server().name());
+      excluded.add(assignment.backend().name());
       long wait = attempts < MAX_ATTEMPTS ? router.tryRetry(serviceClass.name(), attempts) : -1;
       if (wait < 0) {
         Failure spent =
@@ -67,20 +67,20 @@
                 ResultCode.RETRY_BUDGET_SPENT,
                 "attempt " + attempts + " failed (" + reason + ") and no retry is left",
                 1_000);
-        return Outcome.failed(truth(spent, mayHaveRun));
+        return Outcome.failed(withEarlierAttempts(spent, mayHaveRun));
       }
       context.metrics().retried(serviceClass.name());
       Thread.sleep(wait);
     }
   }
 
-  private static Failure truth(Failure failure, boolean mayHaveRun) {
+  private static Failure withEarlierAttempts(Failure failure, boolean mayHaveRun) {
     return mayHaveRun && failure.ran() == Ran.NO
         ? new Failure(failure.code(), Ran.UNKNOWN, failure.message(), failure.retryAfterMillis())
         : failure;
   }
 
-  private ServiceClient.Attempt attempt(
+  private ServiceClient.AttemptResult attempt(
       Assignment assignment,
       RequestAttributes first,
       ServiceClient.ServiceRequest request,
@@ -94,13 +94,13 @@
             : left;
     RequestOutcome ending = RequestOutcome.FAILED;
     try {
-      ServiceClient.Attempt attempt =
-          client.call(assignment.server().address(), request, timeout, fresh);
+      ServiceClient.AttemptResult attempt =
+          client.send(assignment.backend().address(), request, timeout, fresh);
       ending =
           switch (attempt) {
-            case ServiceClient.Attempt.Answered answered -> RequestOutcome.COMPLETED;
-            case ServiceClient.Attempt.Refused refused -> RequestOutcome.REFUSED;
-            case ServiceClient.Attempt.Unknown unknown -> RequestOutcome.FAILED;
+            case ServiceClient.AttemptResult.Responded answered -> RequestOutcome.COMPLETED;
+            case ServiceClient.AttemptResult.Rejected refused -> RequestOutcome.REFUSED;
+            case ServiceClient.AttemptResult.OutcomeUnknown unknown -> RequestOutcome.FAILED;
           };
       return attempt;
     } finally {
--- a/src/main/java/org/curranthaven/internal/gateway/StoredCompletion.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StoredCompletion.java
@@ -10,7 +10,7 @@
 final class StoredCompletion {
   private StoredCompletion() {}
 
-  /** Parses an answer that {@link CompletionForm#whole} wrote. */
+  /** Parses an answer that {@link CompletionFormat#response} wrote. */
   static Completion parse(ByteString body) {
     try {
       JsonNode node = Json.LENIENT.readTree(body.newInput());
--- a/src/main/java/org/curranthaven/internal/gateway/StreamRelay.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StreamRelay.java
@@ -17,10 +17,10 @@
   private final boolean streamed;
   private final boolean repeatable;
   private String generation = "";
-  private boolean ownResume;
+  private boolean canResume;
   private int nextIndex;
-  private int resumptions;
-  private boolean started;
+  private int resumptionsWithoutProgress;
+  private boolean engineContacted;
 
   /** What can happen to a generation. */
   sealed interface Event {
@@ -31,13 +31,13 @@
     record Token(String generation, int index) implements Event {}
 
     /** Nothing arrived for longer than the class's gap allows. */
-    record Silent() implements Event {}
+    record TokenTimeout() implements Event {}
 
     /** The connection broke or ended before the last token. */
-    record Broken() implements Event {}
+    record Disconnected() implements Event {}
 
     /** The engine refused before running. */
-    record Refused() implements Event {}
+    record Rejected() implements Event {}
 
     /** The engine is lost, or does not know the generation any longer. */
     record EngineLost() implements Event {}
@@ -87,54 +87,56 @@
   /** Handles one event. */
   Action handle(Event event) {
     return switch (event) {
-      case Event.Opened opened -> opened(opened);
-      case Event.Token token -> token(token);
-      case Event.Silent silent -> ownResume ? resumeOrGiveUp() : Action.WAIT;
-      case Event.Broken broken -> ownResume ? resumeOrGiveUp() : continueElsewhere();
-      case Event.Refused refused -> refused();
-      case Event.EngineLost lost -> continueElsewhere();
+      case Event.Opened opened -> handleOpened(opened);
+      case Event.Token token -> handleToken(token);
+      case Event.TokenTimeout silent -> canResume ? resumeOrFailOver() : Action.WAIT;
+      case Event.Disconnected broken -> canResume ? resumeOrFailOver() : handleEngineLost();
+      case Event.Rejected refused -> handleRejected();
+      case Event.EngineLost lost -> handleEngineLost();
     };
   }
 
-  private Action opened(Event.Opened opened) {
+  private Action handleOpened(Event.Opened opened) {
     if (!opened.generation().equals(generation)) {
       generation = opened.generation();
       nextIndex = 0;
-      resumptions = 0;
+      resumptionsWithoutProgress = 0;
     }
-    ownResume = opened.canResume();
-    started = true;
+    canResume = opened.canResume();
+    engineContacted = true;
     return Action.WAIT;
   }
 
-  private Action token(Event.Token token) {
+  private Action handleToken(Event.Token token) {
     if (!token.generation().equals(generation) || token.index() < nextIndex) {
       return Action.DROP;
     }
     if (token.index() > nextIndex) {
-      return ownResume ? resumeOrGiveUp() : continueElsewhere();
+      return canResume ? resumeOrFailOver() : handleEngineLost();
     }
     nextIndex++;
-    resumptions = 0;
+    resumptionsWithoutProgress = 0;
     return Action.DELIVER;
   }
 
-  private Action resumeOrGiveUp() {
-    resumptions++;
-    return resumptions <= MAX_RESUMPTIONS_WITHOUT_PROGRESS ? Action.RESUME : continueElsewhere();
+  private Action resumeOrFailOver() {
+    resumptionsWithoutProgress++;
+    return resumptionsWithoutProgress <= MAX_RESUMPTIONS_WITHOUT_PROGRESS
+        ? Action.RESUME
+        : handleEngineLost();
   }
 
-  private Action refused() {
+  private Action handleRejected() {
     if (nextIndex > 0 && streamed) {
       return Action.FAIL_LOST;
     }
     return Action.START_AGAIN;
   }
 
-  private Action continueElsewhere() {
+  private Action handleEngineLost() {
     boolean delivered = streamed && nextIndex > 0;
     if (!repeatable) {
-      return started ? Action.FAIL_UNKNOWN : Action.START_AGAIN;
+      return engineContacted ? Action.FAIL_UNKNOWN : Action.START_AGAIN;
     }
     return delivered ? Action.TAKE_OVER : Action.START_AGAIN;
   }
--- a/src/main/java/org/curranthaven/internal/gateway/StreamingSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StreamingSink.java
@@ -13,40 +13,40 @@
  */
 final class StreamingSink implements TokenSink {
   private final HttpRequestContext context;
-  private final CompletionForm form;
+  private final CompletionFormat form;
   private @Nullable OutputStream out;
 
-  StreamingSink(HttpRequestContext context, CompletionForm form) {
+  StreamingSink(HttpRequestContext context, CompletionFormat form) {
     this.context = context;
     this.form = form;
   }
 
   @Override
-  public boolean streamed() {
+  public boolean isStreaming() {
     return true;
   }
 
   @Override
-  public void token(EngineToken token) throws CallerGoneException {
+  public void accept(EngineToken token) throws CallerDisconnectedException {
     send("data: " + form.chunk(token) + "\n\n");
   }
 
   @Override
-  public void probe() throws CallerGoneException {
+  public void checkCaller() throws CallerDisconnectedException {
     if (out != null) {
       send(": waiting\n\n");
     }
   }
 
   @Override
-  public void restart() {
+  public void reset() {
     if (out != null) {
       throw new IllegalStateException("a stream that has begun cannot start again");
     }
   }
 
   /** Ends a whole stream. */
-  void finish(Completion completion, boolean includeUsage) throws CallerGoneException {
+  void finish(Completion completion, boolean includeUsage) throws CallerDisconnectedException {
     if (includeUsage) {
       send("data: " + form.usageChunk(completion) + "\n\n");
     }
@@ -54,20 +54,20 @@
   }
 
   /** Ends a stream that broke off; the caller sees an error and no {@code [DONE]}. */
-  void fail(Failure failure) throws CallerGoneException {
+  void fail(Failure failure) throws CallerDisconnectedException {
     send("data: " + Json.text(ErrorBodies.json(failure)) + "\n\n");
   }
 
-  private void send(String event) throws CallerGoneException {
+  private void send(String event) throws CallerDisconnectedException {
     try {
       if (out == null) {
         context.setHeader("Cache-Control", "no-cache");
-        out = context.begin("text/event-stream");
+        out = context.startStream("text/event-stream");
       }
       out.write(event.getBytes(StandardCharsets.UTF_8));
       out.flush();
     } catch (IOException e) {
-      throw new CallerGoneException(e);
+      throw new CallerDisconnectedException(e);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/TokenSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/TokenSink.java
@@ -3,23 +3,23 @@
 /** Takes the tokens of one answer. */
 interface TokenSink {
   /** Returns whether tokens go to the caller as they come. */
-  boolean streamed();
+  boolean isStreaming();
 
   /** Takes the next token. */
-  void token(EngineToken token) throws CallerGoneException;
+  void accept(EngineToken token) throws CallerDisconnectedException;
 
   /** Checks that the caller is still there, while no token comes. */
-  void probe() throws CallerGoneException;
+  void checkCaller() throws CallerDisconnectedException;
 
   /** Drops what was taken, before another generation starts; only where nothing was delivered. */
-  void restart();
+  void reset();
 
   /** The caller has closed its connection. */
-  final class CallerGoneException extends Exception {
+  final class CallerDisconnectedException extends Exception {
     private static final long serialVersionUID = 1;
 
     /** Creates the exception. */
-    CallerGoneException(Throwable cause) {
+    CallerDisconnectedException(Throwable cause) {
       super(cause);
     }
   }
--- a/src/main/java/org/curranthaven/internal/gateway/WorkspaceKeyIndex.java
+++ b/src/main/java/org/curranthaven/internal/gateway/WorkspaceKeyIndex.java
@@ -15,7 +15,7 @@
   private record Index(long revision, Map<String, Workspace> byKeyHash) {}
 
   /** Returns the workspace whose key the header holds, or null. */
-  @Nullable Workspace workspace(Configuration configuration, @Nullable String authorization) {
+  @Nullable Workspace findWorkspace(Configuration configuration, @Nullable String authorization) {
     if (authorization == null || !authorization.startsWith(BEARER)) {
       return null;
     }
--- a/src/main/java/org/curranthaven/internal/host/AdminApi.java
+++ b/src/main/java/org/curranthaven/internal/host/AdminApi.java
@@ -61,7 +61,7 @@
     switch (path) {
       case "/healthz" -> exchange.json(STATUS_OK, Map.of("alive", true));
       case "/readyz" -> ready(exchange);
-      case "/metrics" -> exchange.text(STATUS_OK, "text/plain; version=0.0.4", metrics.page());
+      case "/metrics" -> exchange.text(STATUS_OK, "text/plain; version=0.0.4", metrics.scrape());
       case "/backend/v1/announce" -> announce(exchange);
       case "/backend/v1/cache-events" -> cacheEvents(exchange);
       case "/admin/v1/configuration" -> exchange.json(STATUS_OK, decisions.configuration());
--- a/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
+++ b/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
@@ -318,12 +318,12 @@
   }
 
   @Override
-  public @Nullable BackendAnnouncement alive(String server) {
+  public @Nullable BackendAnnouncement liveBackend(String server) {
     return aliveBackends.get(server);
   }
 
   @Override
-  public Set<String> serversWithoutTakeover() {
+  public Set<String> backendsWithoutTakeover() {
     Set<String> names = new HashSet<>();
     aliveBackends.forEach(
         (name, server) -> {
@@ -335,7 +335,7 @@
   }
 
   @Override
-  public long takeFromLimit(Workspace workspace) {
+  public long acquireWorkspacePermit(Workspace workspace) {
     double limit = workspace.requestsPerSecond();
     if (limit == 0) {
       return 0;
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -215,7 +215,7 @@
   private void replace(ControlRequest.ReplaceCatalog replace, Consumer<ControlResponse> answer) {
     switch (protocol.catalogs().decode(replace.document())) {
       case Outcome.Failed<Catalog> failed ->
-          answer.accept(ControlResponse.refused(400, failed.failure().sentence()));
+          answer.accept(ControlResponse.refused(400, failed.failure().fullMessage()));
       case Outcome.Success<Catalog> success ->
           leader.ask(
               LeaderClient.REPLACE_CATALOG,
--- a/src/main/java/org/curranthaven/internal/standin/LocalFleet.java
+++ b/src/main/java/org/curranthaven/internal/standin/LocalFleet.java
@@ -84,7 +84,8 @@
   private HostProcess startHost(int index) throws IOException {
     return switch (HostProcess.start(settings.get(index), Clock.system())) {
       case Outcome.Success<HostProcess> success -> success.value();
-      case Outcome.Failed<HostProcess> failed -> throw new IOException(failed.failure().sentence());
+      case Outcome.Failed<HostProcess> failed ->
+          throw new IOException(failed.failure().fullMessage());
     };
   }
 
--- a/src/test/java/org/curranthaven/api/ResultCodeTest.java
+++ b/src/test/java/org/curranthaven/api/ResultCodeTest.java
@@ -41,7 +41,7 @@
   void a_failure_says_what_happened_and_what_to_do_next() {
     Failure failure = Failure.of(ResultCode.UNKNOWN_MODEL, "model 'storyy' is not configured");
 
-    assertThat(failure.sentence())
+    assertThat(failure.fullMessage())
         .isEqualTo(
             "model 'storyy' is not configured [1003] Ask GET /v1/models for the configured models.");
   }
--- a/src/test/java/org/curranthaven/internal/gateway/RetryBudgetTest.java
+++ b/src/test/java/org/curranthaven/internal/gateway/RetryBudgetTest.java
@@ -18,7 +18,7 @@
         retries++;
       }
     }
-    assertThat(retries).isLessThanOrEqualTo(requests / 10 + (int) RetryBudget.MAX_SAVED);
+    assertThat(retries).isLessThanOrEqualTo(requests / 10 + (int) RetryBudget.MAX_SAVED_RETRIES);
   }
 
   @Test
--- a/src/test/java/org/curranthaven/internal/gateway/StreamRelayTest.java
+++ b/src/test/java/org/curranthaven/internal/gateway/StreamRelayTest.java
@@ -50,10 +50,10 @@
     token(relay, 0);
 
     for (int i = 0; i < StreamRelay.MAX_RESUMPTIONS_WITHOUT_PROGRESS; i++) {
-      assertThat(relay.handle(new Event.Silent())).isEqualTo(Action.RESUME);
+      assertThat(relay.handle(new Event.TokenTimeout())).isEqualTo(Action.RESUME);
     }
 
-    assertThat(relay.handle(new Event.Silent())).isEqualTo(Action.TAKE_OVER);
+    assertThat(relay.handle(new Event.TokenTimeout())).isEqualTo(Action.TAKE_OVER);
   }
 
   @Test
@@ -69,7 +69,7 @@
     token(relay, 0);
 
     assertThat(relay.handle(new Event.EngineLost())).isEqualTo(Action.TAKE_OVER);
-    assertThat(relay.handle(new Event.Refused())).isEqualTo(Action.FAIL_LOST);
+    assertThat(relay.handle(new Event.Rejected())).isEqualTo(Action.FAIL_LOST);
   }
 
   @Test
@@ -91,6 +91,6 @@
   void a_request_that_may_not_be_repeated_is_started_again_after_a_refusal() {
     StreamRelay relay = opened(false, false, true);
 
-    assertThat(relay.handle(new Event.Refused())).isEqualTo(Action.START_AGAIN);
+    assertThat(relay.handle(new Event.Rejected())).isEqualTo(Action.START_AGAIN);
   }
 }
