--- a/src/main/java/org/curranthaven/api/Configuration.java
+++ b/src/main/java/org/curranthaven/api/Configuration.java
@@ -4,10 +4,10 @@
 import java.util.TreeMap;
 
 /**
- * Everything that operators set, at one revision.
+ * One revision of the configuration that operators edit.
  *
- * @param revision number of the revision; 0 before the first change
- * @param classes classes of work by name
+ * @param revision revision number; 0 before the first change
+ * @param classes service classes by name
  * @param workspaces workspaces by name
  * @param models models by name
  * @param services plain services by name
@@ -26,7 +26,7 @@
     services = copy(services);
   }
 
-  /** Returns the configuration before the first change. */
+  /** Returns the empty configuration that applies before the first change. */
   public static Configuration empty() {
     return new Configuration(0, new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
   }
--- a/src/main/java/org/curranthaven/api/Model.java
+++ b/src/main/java/org/curranthaven/api/Model.java
@@ -1,10 +1,10 @@
 package org.curranthaven.api;
 
 /**
- * A model that callers may ask for.
+ * A model that callers may request.
  *
- * @param name unique name, as callers send it
- * @param maxOutputTokens largest answer that may be asked for, in tokens
+ * @param name unique name, as sent in requests
+ * @param maxOutputTokens largest output that a request may ask for, in tokens
  */
 public record Model(String name, int maxOutputTokens) {
   public Model {
--- a/src/main/java/org/curranthaven/api/Outcome.java
+++ b/src/main/java/org/curranthaven/api/Outcome.java
@@ -13,17 +13,17 @@
  * @param <T> type of the value on success
  */
 public sealed interface Outcome<T> {
-  /** Returns a success that holds {@code value}. */
+  /** Returns a successful outcome with the given value. */
   static <T> Outcome<T> success(T value) {
     return new Success<>(value);
   }
 
-  /** Returns a failure. */
+  /** Returns a failed outcome. */
   static <T> Outcome<T> failed(Failure failure) {
     return new Failed<>(failure);
   }
 
-  /** Returns a failure with the code's own {@link Ran}. */
+  /** Returns a failed outcome with the default {@link Ran} value of the code. */
   static <T> Outcome<T> failed(ResultCode code, String message) {
     return new Failed<>(Failure.of(code, message));
   }
--- a/src/main/java/org/curranthaven/api/PlainService.java
+++ b/src/main/java/org/curranthaven/api/PlainService.java
@@ -1,10 +1,10 @@
 package org.curranthaven.api;
 
 /**
- * A plain service that the system routes to.
+ * A plain service to which the system routes requests.
  *
- * @param name unique name, as it stands in the path
- * @param defaultClass class of calls that name none
+ * @param name unique name, as used in request paths
+ * @param defaultClass service class of requests that name none
  */
 public record PlainService(String name, String defaultClass) {
   public PlainService {
--- a/src/main/java/org/curranthaven/api/ServiceClass.java
+++ b/src/main/java/org/curranthaven/api/ServiceClass.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * A class of work: targets, and whether its calls may be repeated.
+ * A service class: latency targets, and whether its requests may be repeated.
  *
  * @param name unique name
- * @param targets what the operator asks of the class
- * @param repeatable whether a call of the class may run more than once
+ * @param targets latency targets of the class
+ * @param repeatable whether a request of the class may run more than once
  */
 public record ServiceClass(String name, Targets targets, boolean repeatable) {
   public ServiceClass {
--- a/src/main/java/org/curranthaven/api/Targets.java
+++ b/src/main/java/org/curranthaven/api/Targets.java
@@ -1,11 +1,13 @@
 package org.curranthaven.api;
 
 /**
- * What an operator asks of a class of work.
+ * Latency targets of a service class.
  *
- * @param firstReplyMillis longest time to the first token, or to the whole answer of a plain call
- * @param gapMillis longest time between two tokens of a stream
- * @param answerMillis longest time to the whole answer; also the deadline handed to engines
+ * @param firstReplyMillis largest time to the first token, or to the complete response of a plain
+ *     service, in milliseconds
+ * @param gapMillis largest time between two tokens of a stream, in milliseconds
+ * @param answerMillis largest time to the complete response, in milliseconds; also the deadline
+ *     sent to engines
  */
 public record Targets(long firstReplyMillis, long gapMillis, long answerMillis) {
   public Targets {
@@ -13,7 +15,11 @@
     requirePositive("gapMillis", gapMillis);
     requirePositive("answerMillis", answerMillis);
     if (answerMillis < firstReplyMillis) {
-      throw new IllegalArgumentException("answerMillis must be at least firstReplyMillis");
+      throw new IllegalArgumentException(
+          "answerMillis must be at least firstReplyMillis, but "
+              + answerMillis
+              + " is less than "
+              + firstReplyMillis);
     }
   }
 
--- a/src/main/java/org/curranthaven/api/Workspace.java
+++ b/src/main/java/org/curranthaven/api/Workspace.java
@@ -1,12 +1,12 @@
 package org.curranthaven.api;
 
 /**
- * A customer of the system.
+ * A workspace: the unit to which requests are attributed and limits apply.
  *
  * @param name unique name
- * @param keySha256 SHA-256 of the bearer key, in lower-case hexadecimal
- * @param defaultClass class of requests that name none
- * @param requestsPerSecond limit over all hosts; 0 means no limit
+ * @param keySha256 SHA-256 hash of the bearer key, in lower-case hexadecimal
+ * @param defaultClass service class of requests that name none
+ * @param requestsPerSecond rate limit over all hosts; 0 means no limit
  */
 public record Workspace(
     String name, String keySha256, String defaultClass, double requestsPerSecond) {
@@ -19,7 +19,10 @@
     }
     if (!(requestsPerSecond >= 0)) {
       throw new IllegalArgumentException(
-          "requestsPerSecond of workspace '" + name + "' must not be negative");
+          "requestsPerSecond of workspace '"
+              + name
+              + "' must be 0 or more, but is "
+              + requestsPerSecond);
     }
   }
 }
--- a/src/main/java/org/curranthaven/api/package-info.java
+++ b/src/main/java/org/curranthaven/api/package-info.java
@@ -1,4 +1,4 @@
-/** Public types of curranthaven: result codes, targets and the records that operators edit. */
+/** Public types of curranthaven: result codes, latency targets and configuration records. */
 @NullMarked
 package org.curranthaven.api;
 
--- a/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
@@ -21,9 +21,9 @@
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
-/** Callers' requests: completions in the usual form, and plain services. Thread-safe. */
+/** HTTP API for callers: completions in the OpenAI format, and plain services. Thread-safe. */
 public final class CallerApi {
-  /** Header that names the class of work. */
+  /** Header that names the service class of a request. */
   public static final String CLASS_HEADER = "Curranthaven-Class";
 
   private static final String KEY_HEADER = "Idempotency-Key";
@@ -33,7 +33,7 @@
   private static final int MILLIS_PER_SECOND = 1_000;
   private static final Set<String> METHODS_RETRIED_BY_CLIENTS = Set.of("GET", "HEAD");
 
-  private final GatewayServices context;
+  private final GatewayServices services;
   private final Ledger ledger;
   private final ServiceClient serviceClient = new ServiceClient();
   private final int maxBodyBytes;
@@ -41,7 +41,7 @@
   private final RandomGenerator random;
   private final WorkspaceKeyIndex workspaceKeys = new WorkspaceKeyIndex();
 
-  /** Creates the callers' part of a host. */
+  /** Creates the callers' API of a host. */
   public CallerApi(
       Router router,
       Ledger ledger,
@@ -50,20 +50,20 @@
       int maxBodyBytes,
       BooleanSupplier draining,
       RandomGenerator random) {
-    this.context = new GatewayServices(router, new EngineClient(), clock, metrics);
+    this.services = new GatewayServices(router, new EngineClient(), clock, metrics);
     this.ledger = ledger;
     this.maxBodyBytes = maxBodyBytes;
     this.draining = draining;
     this.random = random;
   }
 
-  /** A request whose caller, class and key are known. */
+  /** An admitted request: its workspace, class and key are known. */
   private record AdmittedRequest(
       Workspace workspace, ServiceClass serviceClass, IdempotencyKey key, long arrivedAtMillis) {}
 
-  /** Answers one request. */
+  /** Handles one request. */
   void handle(HttpRequestContext exchange) throws IOException, InterruptedException {
-    long arrivedAtMillis = context.clock().nowMillis();
+    long arrivedAtMillis = services.clock().nowMillis();
     String path = exchange.path();
     if (path.equals("/v1/chat/completions")) {
       handleCompletion(exchange, true, arrivedAtMillis);
@@ -74,8 +74,7 @@
     } else if (path.startsWith(SERVICES_PREFIX)) {
       handleService(exchange, arrivedAtMillis);
     } else {
-      exchange.failure(
-          Failure.of(ResultCode.UNKNOWN_PATH, "path '" + path + "' is not served here"));
+      exchange.failure(Failure.of(ResultCode.UNKNOWN_PATH, "path '" + path + "' does not exist"));
     }
   }
 
@@ -85,7 +84,9 @@
       throws IOException, InterruptedException {
     if (!exchange.method().equals("POST")) {
       exchange.failure(
-          Failure.of(ResultCode.METHOD_NOT_ALLOWED, "completions are asked for with POST"));
+          Failure.of(
+              ResultCode.METHOD_NOT_ALLOWED,
+              "method " + exchange.method() + " is not allowed: completions require POST"));
       return;
     }
     Outcome<byte[]> body = exchange.body(maxBodyBytes);
@@ -93,14 +94,14 @@
       exchange.failure(failed.failure());
       return;
     }
-    byte[] bytes = ((Outcome.Success<byte[]>) body).value();
-    Configuration configuration = context.router().configuration();
+    byte[] bodyBytes = ((Outcome.Success<byte[]>) body).value();
+    Configuration configuration = services.router().configuration();
     Outcome<AdmittedRequest> admission = admit(exchange, configuration, "", arrivedAtMillis);
     if (admission instanceof Outcome.Failed<AdmittedRequest> failed) {
       reject(exchange, failed.failure());
       return;
     }
-    Outcome<CompletionRequest> parsed = CompletionRequest.parse(chat, bytes);
+    Outcome<CompletionRequest> parsed = CompletionRequest.parse(chat, bodyBytes);
     if (parsed instanceof Outcome.Failed<CompletionRequest> failed) {
       exchange.failure(failed.failure());
       return;
@@ -114,13 +115,13 @@
       return;
     }
     AdmittedRequest admitted = ((Outcome.Success<AdmittedRequest>) admission).value();
-    context.metrics().requested(admitted.serviceClass().name());
-    RequestAttributes facts = completionAttributes(admitted, request, model);
+    services.metrics().requested(admitted.serviceClass().name());
+    RequestAttributes attributes = completionAttributes(admitted, request, model);
     exchange.setHeader("X-Request-Id", admitted.key().key());
     if (admitted.serviceClass().repeatable()) {
-      runCompletion(exchange, admitted, request, facts);
+      runCompletion(exchange, admitted, request, attributes);
     } else {
-      runIdempotentCompletion(exchange, admitted, request, facts, bytes);
+      runIdempotentCompletion(exchange, admitted, request, attributes, bodyBytes);
     }
   }
 
@@ -144,30 +145,30 @@
   }
 
   private CompletionFormat completionFormat(CompletionRequest request) {
-    return new CompletionFormat(request, context.clock().epochMillis() / MILLIS_PER_SECOND);
+    return new CompletionFormat(request, services.clock().epochMillis() / MILLIS_PER_SECOND);
   }
 
   private void runCompletion(
       HttpRequestContext exchange,
       AdmittedRequest admitted,
       CompletionRequest request,
-      RequestAttributes facts)
+      RequestAttributes attributes)
       throws IOException, InterruptedException {
-    CompletionFormat form = completionFormat(request);
+    CompletionFormat format = completionFormat(request);
     if (!request.stream()) {
-      Outcome<Completion> outcome = generate(admitted, request, facts, new NonStreamingSink());
+      Outcome<Completion> outcome = generate(admitted, request, attributes, new NonStreamingSink());
       switch (outcome) {
         case Outcome.Success<Completion> success ->
-            exchange.json(STATUS_OK, form.response(success.value()));
+            exchange.json(STATUS_OK, format.response(success.value()));
         case Outcome.Failed<Completion> failed -> fail(exchange, admitted, failed.failure());
       }
       return;
     }
-    StreamingSink sink = new StreamingSink(exchange, form);
+    StreamingSink sink = new StreamingSink(exchange, format);
     try {
-      endStream(exchange, admitted, request, sink, run(admitted, request, facts, sink));
+      endStream(exchange, admitted, request, sink, run(admitted, request, attributes, sink));
     } catch (TokenSink.CallerDisconnectedException e) {
-      // The generation was cancelled; there is nobody to tell.
+      // The generation was cancelled; no response can be sent.
     }
   }
 
@@ -183,7 +184,7 @@
           sink.finish(success.value(), request.includeUsage());
       case Outcome.Failed<Completion> failed -> {
         if (exchange.responseStarted()) {
-          context.metrics().failed(admitted.serviceClass().name(), failed.failure().code());
+          services.metrics().failed(admitted.serviceClass().name(), failed.failure().code());
           sink.fail(failed.failure());
         } else {
           fail(exchange, admitted, failed.failure());
@@ -193,53 +194,57 @@
   }
 
   private Outcome<Completion> run(
-      AdmittedRequest admitted, CompletionRequest request, RequestAttributes facts, TokenSink sink)
+      AdmittedRequest admitted,
+      CompletionRequest request,
+      RequestAttributes attributes,
+      TokenSink sink)
       throws InterruptedException, TokenSink.CallerDisconnectedException {
     return new GenerationHandler(
-            context, admitted.key().key(), request, facts, admitted.serviceClass(), sink)
+            services, admitted.key().key(), request, attributes, admitted.serviceClass(), sink)
         .run();
   }
 
   private Outcome<Completion> generate(
       AdmittedRequest admitted,
       CompletionRequest request,
-      RequestAttributes facts,
+      RequestAttributes attributes,
       NonStreamingSink sink)
       throws InterruptedException {
     try {
-      return run(admitted, request, facts, sink);
+      return run(admitted, request, attributes, sink);
     } catch (TokenSink.CallerDisconnectedException e) {
-      throw new IllegalStateException("a collecting sink has no caller to lose", e);
+      throw new IllegalStateException(
+          "a non-streaming sink cannot detect that the caller has disconnected", e);
     }
   }
 
   /**
-   * Runs a completion that may not be repeated. Its answer is held whole and kept; a caller that
-   * asked for a stream gets it as one.
+   * Runs a completion that must not be repeated. The complete response is collected and stored
+   * before it is sent; a caller that requested a stream gets it as a stream of one token.
    */
   private void runIdempotentCompletion(
       HttpRequestContext exchange,
       AdmittedRequest admitted,
       CompletionRequest request,
-      RequestAttributes facts,
+      RequestAttributes attributes,
       byte[] body)
       throws IOException, InterruptedException {
-    CompletionFormat form = completionFormat(request);
-    ByteString hash = Hashes.sha256(utf8(exchange.path()), body);
+    CompletionFormat format = completionFormat(request);
+    ByteString requestHash = Hashes.sha256(utf8(exchange.path()), body);
     Outcome<StoredAnswer> outcome =
         runIdempotent(
             admitted,
-            hash,
+            requestHash,
             () ->
-                switch (generate(admitted, request, facts, new NonStreamingSink())) {
+                switch (generate(admitted, request, attributes, new NonStreamingSink())) {
                   case Outcome.Success<Completion> success ->
-                      Outcome.success(storedJson(form.response(success.value())));
+                      Outcome.success(storedJson(format.response(success.value())));
                   case Outcome.Failed<Completion> failed -> Outcome.failed(failed.failure());
                 });
     switch (outcome) {
       case Outcome.Success<StoredAnswer> success -> {
         if (request.stream() && success.value().getStatus() == STATUS_OK) {
-          sendStoredAsStream(exchange, form, request, success.value());
+          sendStoredAsStream(exchange, format, request, success.value());
         } else {
           exchange.sendStored(success.value());
         }
@@ -250,19 +255,19 @@
 
   private static void sendStoredAsStream(
       HttpRequestContext exchange,
-      CompletionFormat form,
+      CompletionFormat format,
       CompletionRequest request,
-      StoredAnswer answer)
+      StoredAnswer response)
       throws IOException {
-    Completion completion = StoredCompletion.parse(answer.getBody());
-    StreamingSink sink = new StreamingSink(exchange, form);
+    Completion completion = StoredCompletion.parse(response.getBody());
+    StreamingSink sink = new StreamingSink(exchange, format);
     try {
       sink.accept(
           new EngineToken(
               completion.generation(), 0, completion.text(), completion.finishReason(), 0));
       sink.finish(completion, request.includeUsage());
     } catch (TokenSink.CallerDisconnectedException e) {
-      // The answer is kept; the caller can ask for it again.
+      // The response is stored; the caller can request it again with the same key.
     }
   }
 
@@ -281,7 +286,7 @@
             "object",
             "list",
             "data",
-            context.router().configuration().models().keySet().stream()
+            services.router().configuration().models().keySet().stream()
                 .map(name -> Map.of("id", name, "object", "model", "owned_by", "curranthaven"))
                 .toList()));
   }
@@ -290,12 +295,13 @@
 
   private void handleService(HttpRequestContext exchange, long arrivedAtMillis)
       throws IOException, InterruptedException {
-    String[] parts = exchange.path().substring(SERVICES_PREFIX.length()).split("/", 2);
-    Configuration configuration = context.router().configuration();
-    PlainService service = configuration.services().get(parts[0]);
+    String[] pathParts = exchange.path().substring(SERVICES_PREFIX.length()).split("/", 2);
+    Configuration configuration = services.router().configuration();
+    PlainService service = configuration.services().get(pathParts[0]);
     if (service == null) {
       exchange.failure(
-          Failure.of(ResultCode.UNKNOWN_SERVICE, "service '" + parts[0] + "' is not configured"));
+          Failure.of(
+              ResultCode.UNKNOWN_SERVICE, "service '" + pathParts[0] + "' is not configured"));
       return;
     }
     Outcome<byte[]> body = exchange.body(maxBodyBytes);
@@ -310,9 +316,9 @@
       return;
     }
     AdmittedRequest admitted = ((Outcome.Success<AdmittedRequest>) admission).value();
-    byte[] bytes = ((Outcome.Success<byte[]>) body).value();
-    context.metrics().requested(admitted.serviceClass().name());
-    runService(exchange, admitted, service, bytes);
+    byte[] bodyBytes = ((Outcome.Success<byte[]>) body).value();
+    services.metrics().requested(admitted.serviceClass().name());
+    runService(exchange, admitted, service, bodyBytes);
   }
 
   private void runService(
@@ -328,28 +334,31 @@
             contentType == null ? "" : contentType,
             ByteString.copyFrom(body),
             repeatable ? "" : admitted.key().key());
-    RequestAttributes facts = serviceAttributes(admitted, service);
-    ServiceRequestHandler call =
-        new ServiceRequestHandler(context, serviceClient, admitted.serviceClass());
+    RequestAttributes attributes = serviceAttributes(admitted, service);
+    ServiceRequestHandler handler =
+        new ServiceRequestHandler(services, serviceClient, admitted.serviceClass());
     exchange.setHeader("X-Request-Id", admitted.key().key());
     if (!repeatable && METHODS_RETRIED_BY_CLIENTS.contains(exchange.method())) {
       exchange.failure(
           Failure.of(
               ResultCode.METHOD_NOT_ALLOWED,
-              exchange.method() + " may be repeated on the way, which the class does not allow"));
+              exchange.method()
+                  + " requests may be retried by clients and proxies, but requests of class '"
+                  + admitted.serviceClass().name()
+                  + "' must not be repeated"));
       return;
     }
     Outcome<StoredAnswer> outcome =
         repeatable
-            ? call.run(admitted.key().key(), facts, request)
+            ? handler.run(admitted.key().key(), attributes, request)
             : runIdempotent(
                 admitted,
                 Hashes.sha256(utf8(exchange.method()), utf8(exchange.rawPath()), body),
-                () -> call.run(admitted.key().key(), facts, request));
+                () -> handler.run(admitted.key().key(), attributes, request));
     switch (outcome) {
       case Outcome.Success<StoredAnswer> success -> {
-        long millis = context.clock().nowMillis() - admitted.arrivedAtMillis();
-        context.metrics().firstReply(admitted.serviceClass(), millis);
+        long elapsedMillis = services.clock().nowMillis() - admitted.arrivedAtMillis();
+        services.metrics().firstReply(admitted.serviceClass(), elapsedMillis);
         exchange.sendStored(success.value());
       }
       case Outcome.Failed<StoredAnswer> failed -> fail(exchange, admitted, failed.failure());
@@ -371,10 +380,12 @@
         Set.of());
   }
 
-  // ---- shared -----------------------------------------------------------------------------------
+  // ---- admission and idempotency ----------------------------------------------------------------
 
   private Outcome<StoredAnswer> runIdempotent(
-      AdmittedRequest admitted, ByteString hash, IdempotentRequestHandler.Execution execution)
+      AdmittedRequest admitted,
+      ByteString requestHash,
+      IdempotentRequestHandler.Execution execution)
       throws InterruptedException {
     IdempotencyKey key = admitted.key();
     Ledger.ClaimRequest claim =
@@ -382,9 +393,9 @@
             admitted.workspace().name(),
             key.key(),
             key.issuedAtMillis(),
-            hash,
+            requestHash,
             IdempotencyKey.uuidWithTime(key.issuedAtMillis(), random).toString());
-    return new IdempotentRequestHandler(ledger, context.router(), context.clock())
+    return new IdempotentRequestHandler(ledger, services.router(), services.clock())
         .run(claim, admitted.serviceClass().targets().answerMillis(), execution);
   }
 
@@ -395,31 +406,38 @@
       long arrivedAtMillis) {
     if (draining.getAsBoolean()) {
       return Outcome.failed(
-          Failure.retryLater(ResultCode.HOST_DRAINING, "this host is stopping", 1));
+          Failure.retryLater(
+              ResultCode.HOST_DRAINING, "this host is draining and accepts no new requests", 1));
     }
-    if (!context.router().mayServe()) {
+    if (!services.router().mayServe()) {
       return Outcome.failed(
           Failure.retryLater(
               ResultCode.HOST_NOT_FRESH,
-              "this host does not know whether its configuration is the one in force",
+              "this host cannot confirm that its configuration is current",
               1));
     }
     Workspace workspace =
         workspaceKeys.findWorkspace(configuration, exchange.header("Authorization"));
     if (workspace == null) {
-      return Outcome.failed(ResultCode.BAD_KEY, "the bearer key belongs to no workspace");
+      return Outcome.failed(
+          ResultCode.BAD_KEY,
+          "the Authorization header is missing, or its bearer key belongs to no workspace");
     }
-    long waitMillis = context.router().acquireWorkspacePermit(workspace);
-    if (waitMillis > 0) {
+    long retryAfterMillis = services.router().acquireWorkspacePermit(workspace);
+    if (retryAfterMillis > 0) {
       return Outcome.failed(
           Failure.retryLater(
               ResultCode.WORKSPACE_LIMIT,
-              "workspace '" + workspace.name() + "' is over its requests a second",
-              waitMillis));
+              "workspace '"
+                  + workspace.name()
+                  + "' exceeded its limit of "
+                  + workspace.requestsPerSecond()
+                  + " requests per second",
+              retryAfterMillis));
     }
-    String asked = exchange.header(CLASS_HEADER);
-    String byDefault = defaultClass.isEmpty() ? workspace.defaultClass() : defaultClass;
-    String className = asked == null ? byDefault : asked;
+    String requestedClass = exchange.header(CLASS_HEADER);
+    String fallbackClass = defaultClass.isEmpty() ? workspace.defaultClass() : defaultClass;
+    String className = requestedClass == null ? fallbackClass : requestedClass;
     ServiceClass serviceClass = configuration.classes().get(className);
     if (serviceClass == null) {
       return Outcome.failed(
@@ -429,7 +447,7 @@
         IdempotencyKey.of(
             serviceClass.repeatable() ? null : exchange.header(KEY_HEADER),
             exchange.header(ISSUED_AT_HEADER),
-            context.clock().epochMillis(),
+            services.clock().epochMillis(),
             random);
     return switch (key) {
       case Outcome.Success<IdempotencyKey> success ->
@@ -439,7 +457,7 @@
     };
   }
 
-  /** Refuses a request that was not admitted; a resent one may have run before. */
+  /** Rejects a request that was not admitted; if it was resent, it may have run before. */
   private void reject(HttpRequestContext exchange, Failure failure) throws IOException {
     boolean resent = exchange.header(KEY_HEADER) != null;
     exchange.failure(resent ? IdempotencyErrors.earlierAttemptMayHaveRun(failure) : failure);
@@ -447,7 +465,7 @@
 
   private void fail(HttpRequestContext exchange, AdmittedRequest admitted, Failure failure)
       throws IOException {
-    context.metrics().failed(admitted.serviceClass().name(), failure.code());
+    services.metrics().failed(admitted.serviceClass().name(), failure.code());
     exchange.failure(failure);
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/CallerServer.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerServer.java
@@ -12,7 +12,7 @@
 import org.curranthaven.internal.supervision.Child;
 import org.tinylog.Logger;
 
-/** The HTTP server of a host, for callers, backend servers and operators. */
+/** HTTP server of a host for callers, backend servers and operators. */
 public final class CallerServer implements Child {
   private static final int BACKLOG = 1_024;
 
@@ -21,20 +21,20 @@
   private final Handler adminHandler;
   private final AtomicInteger openRequestCount = new AtomicInteger();
 
-  /** Handles the requests of operators and backend servers. */
+  /** Handles requests of operators and backend servers. */
   public interface Handler {
-    /** Answers the request; returns false if the path is not its own. */
+    /** Handles the request; returns whether the path belongs to this handler. */
     boolean handle(HttpRequestContext exchange) throws IOException, InterruptedException;
   }
 
-  /** Creates the server; it listens while {@link #run} runs. */
-  public CallerServer(InetSocketAddress address, CallerApi callers, Handler operators) {
+  /** Creates a server that listens while {@link #run} is running. */
+  public CallerServer(InetSocketAddress address, CallerApi callerApi, Handler adminHandler) {
     this.address = address;
-    this.callerApi = callers;
-    this.adminHandler = operators;
+    this.callerApi = callerApi;
+    this.adminHandler = adminHandler;
   }
 
-  /** Returns the number of callers' requests that are open. */
+  /** Returns the number of callers' requests in progress. */
   public int openRequests() {
     return openRequestCount.get();
   }
@@ -61,17 +61,20 @@
         dispatch(exchange);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
-        failIfUnanswered(exchange, Failure.of(ResultCode.INTERNAL, "the host is stopping at once"));
+        failIfNotResponded(
+            exchange,
+            Failure.of(ResultCode.INTERNAL, "the host stopped before the request was complete"));
       } catch (RuntimeException e) {
-        Logger.error(e, "a request failed");
-        failIfUnanswered(exchange, Failure.of(ResultCode.INTERNAL, "the request failed: " + e));
+        Logger.error(e, "request {} {} failed unexpectedly", exchange.method(), exchange.path());
+        failIfNotResponded(
+            exchange, Failure.of(ResultCode.INTERNAL, "the request failed unexpectedly: " + e));
       }
     } catch (IOException e) {
-      // The caller has closed its connection; there is nobody to tell.
+      // The caller has closed its connection, so no response can be sent.
     }
   }
 
-  private static void failIfUnanswered(HttpRequestContext exchange, Failure failure)
+  private static void failIfNotResponded(HttpRequestContext exchange, Failure failure)
       throws IOException {
     if (!exchange.responseStarted()) {
       exchange.failure(failure);
--- a/src/main/java/org/curranthaven/internal/gateway/CompletionFormat.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CompletionFormat.java
@@ -4,7 +4,7 @@
 import org.curranthaven.internal.settings.Json;
 import org.jspecify.annotations.Nullable;
 
-/** Writes answers in the usual completions form. */
+/** Writes responses in the format of the OpenAI completions API. */
 final class CompletionFormat {
   private final CompletionRequest request;
   private final long createdSeconds;
@@ -14,7 +14,7 @@
     this.createdSeconds = createdSeconds;
   }
 
-  /** Returns one token as a chunk of a stream; the generation is its id. */
+  /** Returns one token as a chunk of a stream; the chunk's id is the generation. */
   String chunk(EngineToken token) {
     ObjectNode chunk = createHeader(token.generation(), true);
     chunk.put("token_index", token.index());
@@ -31,7 +31,7 @@
     return Json.text(chunk);
   }
 
-  /** Returns the chunk that ends a stream whose caller asked for usage figures. */
+  /** Returns the last chunk of a stream whose caller requested usage figures. */
   String usageChunk(Completion completion) {
     ObjectNode chunk = createHeader(completion.generation(), true);
     chunk.putArray("choices");
@@ -39,21 +39,21 @@
     return Json.text(chunk);
   }
 
-  /** Returns a whole answer. */
+  /** Returns a complete response. */
   ObjectNode response(Completion completion) {
-    ObjectNode answer = createHeader(completion.generation(), false);
-    ObjectNode choice = addChoice(answer, completion.finishReason());
+    ObjectNode response = createHeader(completion.generation(), false);
+    ObjectNode choice = addChoice(response, completion.finishReason());
     if (request.chat()) {
       choice.putObject("message").put("role", "assistant").put("content", completion.text());
     } else {
       choice.put("text", completion.text());
     }
-    addUsage(answer, completion);
-    return answer;
+    addUsage(response, completion);
+    return response;
   }
 
-  private ObjectNode createHeader(String id, boolean chunk) {
-    String chatObject = chunk ? "chat.completion.chunk" : "chat.completion";
+  private ObjectNode createHeader(String id, boolean isChunk) {
+    String chatObject = isChunk ? "chat.completion.chunk" : "chat.completion";
     ObjectNode node = Json.MAPPER.createObjectNode();
     node.put("id", id);
     node.put("object", request.chat() ? chatObject : "text_completion");
--- a/src/main/java/org/curranthaven/internal/gateway/CompletionRequest.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CompletionRequest.java
@@ -10,16 +10,16 @@
 import org.curranthaven.internal.settings.Json;
 
 /**
- * A completion that a caller asks for.
+ * A caller's completion request.
  *
- * @param chat whether it has the chat form
- * @param model model asked for
+ * @param chat whether it is a chat completion
+ * @param model requested model
  * @param promptChars length of the prompt, in characters
  * @param prefixHash hash of the prompt's beginning
- * @param maxTokens largest output asked for; 0 when not said
- * @param stream whether tokens are to come one by one
+ * @param maxTokens largest output requested, in tokens; 0 if not specified
+ * @param stream whether the response is streamed token by token
  * @param includeUsage whether a stream ends with usage figures
- * @param body the request as it came
+ * @param body request body as received
  */
 record CompletionRequest(
     boolean chat,
@@ -30,7 +30,7 @@
     boolean stream,
     boolean includeUsage,
     ObjectNode body) {
-  /** Characters of the prompt that count as its prefix. */
+  /** Length of the prompt prefix that is hashed for prefix caches, in characters. */
   static final int PREFIX_CHARS = 256;
 
   private static final int CHARS_PER_TOKEN = 4;
@@ -40,7 +40,7 @@
     return promptChars / CHARS_PER_TOKEN + 1;
   }
 
-  /** Parses a request body. */
+  /** Parses and validates a request body. */
   static Outcome<CompletionRequest> parse(boolean chat, byte[] bytes) {
     JsonNode node;
     try {
@@ -49,7 +49,8 @@
       return Outcome.failed(
           ResultCode.MALFORMED_BODY, "the body is not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      return Outcome.failed(ResultCode.MALFORMED_BODY, "the body cannot be read");
+      return Outcome.failed(
+          ResultCode.MALFORMED_BODY, "the body cannot be read: " + e.getMessage());
     }
     if (!(node instanceof ObjectNode body)) {
       return Outcome.failed(ResultCode.MALFORMED_BODY, "the body is not a JSON object");
@@ -59,21 +60,21 @@
 
   private static Outcome<CompletionRequest> parse(boolean chat, ObjectNode body) {
     if (!body.path("model").isTextual()) {
-      return invalidParameter("model", "must be a text");
+      return invalidParameter("model", "must be a string");
     }
     JsonNode prompt = chat ? body.path("messages") : body.path("prompt");
-    boolean promptFits = chat ? prompt.isArray() && !prompt.isEmpty() : prompt.isTextual();
-    if (!promptFits) {
+    boolean promptValid = chat ? prompt.isArray() && !prompt.isEmpty() : prompt.isTextual();
+    if (!promptValid) {
       return chat
-          ? invalidParameter("messages", "must be a list of messages")
-          : invalidParameter("prompt", "must be a text");
+          ? invalidParameter("messages", "must be a non-empty array of messages")
+          : invalidParameter("prompt", "must be a string");
     }
     JsonNode limit =
         body.has("max_tokens") ? body.path("max_tokens") : body.path("max_completion_tokens");
-    boolean limitFits =
+    boolean limitValid =
         limit.isMissingNode() || limit.isNull() || (limit.isInt() && limit.asInt() > 0);
-    if (!limitFits) {
-      return invalidParameter("max_tokens", "must be a whole number above 0");
+    if (!limitValid) {
+      return invalidParameter("max_tokens", "must be a positive integer");
     }
     if (body.has("n") && body.path("n").asInt() != 1) {
       return invalidParameter("n", "must be 1");
--- a/src/main/java/org/curranthaven/internal/gateway/EngineClient.java
+++ b/src/main/java/org/curranthaven/internal/gateway/EngineClient.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executors;
 import org.curranthaven.internal.settings.Json;
 
-/** Calls to engines over HTTP. Thread-safe. */
+/** HTTP client for engines. Thread-safe. */
 final class EngineClient {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(2);
@@ -30,12 +30,12 @@
         .build();
   }
 
-  /** Returns a stream of the answer; it reports everything, failures included, as items. */
+  /** Sends a request and returns its response stream; failures are reported as items too. */
   EngineStream open(String address, String path, ObjectNode body) {
     return open(client, address, path, body);
   }
 
-  /** Does the same over a new connection, for when an open one may be silent for good. */
+  /** Does the same over a new connection, since a pooled one may never deliver data again. */
   EngineStream openOnNewConnection(String address, String path, ObjectNode body) {
     return open(newClient(), address, path, body);
   }
@@ -76,9 +76,9 @@
     }
   }
 
-  /** Cancels a generation over a connection of its own; the outcome is not waited for. */
-  void cancel(String address, String generation) {
-    ObjectNode body = Json.MAPPER.createObjectNode().put("generation_id", generation);
+  /** Cancels a generation with a separate request; does not wait for the result. */
+  void cancel(String address, String generationId) {
+    ObjectNode body = Json.MAPPER.createObjectNode().put("generation_id", generationId);
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + address + "/v1/cancel"))
             .timeout(CANCEL_TIMEOUT)
--- a/src/main/java/org/curranthaven/internal/gateway/EngineStream.java
+++ b/src/main/java/org/curranthaven/internal/gateway/EngineStream.java
@@ -6,49 +6,49 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Lines of an engine's event stream, read with a bounded buffer: the connection is read on only as
- * lines are taken.
+ * Lines of an engine's event stream, read with backpressure: at most {@link #MAX_BUFFERED_LINES}
+ * lines are buffered, and more are read from the connection only as lines are consumed.
  */
 final class EngineStream implements Flow.Subscriber<String> {
   private static final int MAX_BUFFERED_LINES = 32;
-  private static final Item END = new Item.Closed("the connection ended");
+  private static final Item END = new Item.Closed("connection closed by the engine");
 
   private final LinkedBlockingQueue<Item> items = new LinkedBlockingQueue<>();
   private volatile Flow.@Nullable Subscription subscription;
   private volatile boolean closed;
 
-  /** What can come from the stream. */
+  /** An item of the stream. */
   sealed interface Item {
-    /** A line of text. */
+    /** The engine sent a line of text. */
     record Line(String text) implements Item {}
 
-    /** Nothing came for the time waited. */
+    /** Nothing arrived within the timeout. */
     record Timeout() implements Item {}
 
-    /** The engine answered with an error status. */
+    /** The engine responded with an error status. */
     record ErrorResponse(int status, String body) implements Item {}
 
-    /** The connection could not be made: no byte has left. */
+    /** No connection could be established, so no byte was sent. */
     record ConnectFailed(String reason) implements Item {}
 
-    /** The connection ended or broke. */
+    /** The connection was closed or lost. */
     record Closed(String reason) implements Item {}
   }
 
-  /** Waits for the next item. */
+  /** Waits for the next item, at most for the timeout. */
   Item next(long timeoutMillis) throws InterruptedException {
     Item item = items.poll(timeoutMillis, TimeUnit.MILLISECONDS);
     if (item == null) {
       return new Item.Timeout();
     }
-    Flow.Subscription current = subscription;
-    if (item instanceof Item.Line && current != null) {
-      current.request(1);
+    Flow.Subscription activeSubscription = subscription;
+    if (item instanceof Item.Line && activeSubscription != null) {
+      activeSubscription.request(1);
     }
     return item;
   }
 
-  /** Ends the stream with an item that did not come from its lines. */
+  /** Adds a final item that reports how the request ended. */
   void end(Item item) {
     items.add(item);
   }
@@ -56,9 +56,9 @@
   /** Stops reading and closes the connection. */
   void close() {
     closed = true;
-    Flow.Subscription current = subscription;
-    if (current != null) {
-      current.cancel();
+    Flow.Subscription activeSubscription = subscription;
+    if (activeSubscription != null) {
+      activeSubscription.cancel();
     }
   }
 
@@ -77,9 +77,9 @@
     if (!line.isEmpty()) {
       items.add(new Item.Line(line));
     } else {
-      Flow.Subscription current = subscription;
-      if (current != null) {
-        current.request(1);
+      Flow.Subscription activeSubscription = subscription;
+      if (activeSubscription != null) {
+        activeSubscription.request(1);
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/gateway/EngineToken.java
+++ b/src/main/java/org/curranthaven/internal/gateway/EngineToken.java
@@ -6,19 +6,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One event of an engine's stream.
+ * One token event of an engine's stream.
  *
  * @param generation generation that the token belongs to
  * @param index index of the token in the generation, from 0
  * @param text text of the token
- * @param finishReason why the generation ended; null while it goes on
- * @param promptTokens length of the prompt as the engine counted it; 0 when not said
+ * @param finishReason why the generation ended; null while it continues
+ * @param promptTokens length of the prompt as counted by the engine, in tokens; 0 if not reported
  */
 record EngineToken(
     String generation, int index, String text, @Nullable String finishReason, int promptTokens) {
   private static final String DATA_PREFIX = "data:";
 
-  /** Parses a line of the stream; returns null for a line that carries no token. */
+  /** Parses a line of the stream; returns null for a line without a token. */
   static @Nullable EngineToken parse(String line) {
     if (!line.startsWith(DATA_PREFIX)) {
       return null;
--- a/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
@@ -6,9 +6,9 @@
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
-/** Words errors for callers: the usual JSON shape with the result code and whether it ran. */
+/** Formats errors for callers as JSON, with the result code and whether the request ran. */
 public final class ErrorBodies {
-  /** Content type of error bodies. */
+  /** Content type of JSON bodies. */
   public static final String JSON = "application/json";
 
   private static final int FIRST_SERVER_ERROR = 500;
@@ -34,7 +34,7 @@
         : "server_error";
   }
 
-  /** Returns the error as the kept answer of a call. */
+  /** Returns the error as a response that can be stored for a request. */
   static StoredAnswer storedResponse(Failure failure) {
     return StoredAnswer.newBuilder()
         .setStatus(failure.code().httpStatus())
--- a/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
@@ -16,17 +16,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One completion from choice of an engine to its last token: carries out what {@link StreamRelay}
- * decides. Runs on the caller's virtual thread.
+ * Handles one completion request, from the choice of an engine to the last token, and performs the
+ * actions that {@link StreamRelay} decides. Runs on the caller's virtual thread.
  */
 final class GenerationHandler {
-  /** Shortest silence after which a stream is asked again, in milliseconds. */
+  /** Smallest token timeout, in milliseconds. */
   static final long MIN_TOKEN_TIMEOUT_MILLIS = 400;
 
-  /** Longest such silence between two tokens, in milliseconds. */
+  /** Largest token timeout after the first token, in milliseconds. */
   static final long MAX_TOKEN_TIMEOUT_MILLIS = 2_000;
 
-  /** The class's gap target counts this many times before a stream is asked again. */
+  /** Multiple of the class's gap target after which a stream without a new token is resumed. */
   private static final int TOKEN_TIMEOUT_GAP_FACTOR = 4;
 
   private static final long POLL_INTERVAL_MILLIS = 100;
@@ -54,53 +54,58 @@
   private int promptTokens;
   private long lastTokenAtMillis;
 
-  /** How one attempt ended. */
+  /** How an attempt ended. */
   private sealed interface AttemptEnd {
+    /** The generation is complete. */
     record Completed(Completion completion) implements AttemptEnd {}
 
+    /** The request must be run again as a new generation. */
     record Restart(boolean mayHaveRun) implements AttemptEnd {}
 
+    /** The generation must be continued on another engine. */
     record FailOver(BackendAnnouncement lostEngine) implements AttemptEnd {}
 
+    /** The request failed. */
     record Failed(Failure failure) implements AttemptEnd {}
   }
 
   GenerationHandler(
-      GatewayServices context,
-      String requestName,
+      GatewayServices services,
+      String externalRequestId,
       CompletionRequest request,
-      RequestAttributes facts,
+      RequestAttributes attributes,
       ServiceClass serviceClass,
       TokenSink sink) {
-    this.router = context.router();
-    this.client = context.engines();
-    this.clock = context.clock();
-    this.metrics = context.metrics();
-    this.externalRequestId = requestName;
+    this.router = services.router();
+    this.client = services.engines();
+    this.clock = services.clock();
+    this.metrics = services.metrics();
+    this.externalRequestId = externalRequestId;
     this.request = request;
-    this.attributes = facts;
+    this.attributes = attributes;
     this.serviceClass = serviceClass;
     this.sink = sink;
     this.relay = new StreamRelay(sink.isStreaming(), serviceClass.repeatable());
   }
 
-  /** Runs the call to its end. */
+  /** Runs the request until it succeeds or fails. */
   Outcome<Completion> run() throws InterruptedException, TokenSink.CallerDisconnectedException {
     router.requested(serviceClass.name());
-    boolean takeOver = false;
-    int failures = 0;
+    boolean failingOver = false;
+    int attempts = 0;
     while (true) {
-      Outcome<Assignment> routed = router.route(attributesForAttempt(takeOver), externalRequestId);
-      if (routed instanceof Outcome.Failed<Assignment> failed) {
+      Outcome<Assignment> placement =
+          router.route(attributesForAttempt(failingOver), externalRequestId);
+      if (placement instanceof Outcome.Failed<Assignment> failed) {
         return Outcome.failed(withEarlierAttempts(failed.failure()));
       }
-      Assignment assignment = ((Outcome.Success<Assignment>) routed).value();
-      if (takeOver && assignment.backend().resume() != BackendAnnouncement.Resume.TAKEOVER) {
+      Assignment assignment = ((Outcome.Success<Assignment>) placement).value();
+      if (failingOver && assignment.backend().resume() != BackendAnnouncement.Resume.TAKEOVER) {
         router.finished(assignment.requestId(), 0, RequestOutcome.CANCELLED);
-        return Outcome.failed(engineLost("no other engine can continue it"));
+        return Outcome.failed(engineLost("no other engine can continue the generation"));
       }
-      AttemptEnd end = attempt(assignment, takeOver);
-      failures++;
+      AttemptEnd end = attempt(assignment, failingOver);
+      attempts++;
       switch (end) {
         case AttemptEnd.Completed completed -> {
           return Outcome.success(completed.completion());
@@ -108,67 +113,70 @@
         case AttemptEnd.Failed failed -> {
           return Outcome.failed(failed.failure());
         }
-        case AttemptEnd.FailOver over -> {
-          takeOver = true;
-          excludedBackends.add(over.lostEngine().name());
+        case AttemptEnd.FailOver failOver -> {
+          failingOver = true;
+          excludedBackends.add(failOver.lostEngine().name());
         }
-        case AttemptEnd.Restart again -> {
-          takeOver = false;
-          earlierAttemptRan |= again.mayHaveRun();
+        case AttemptEnd.Restart restart -> {
+          failingOver = false;
+          earlierAttemptRan |= restart.mayHaveRun();
           excludedBackends.add(assignment.backend().name());
           text.setLength(0);
           sink.reset();
-          Failure refusal = waitForRetry(failures);
-          if (refusal != null) {
-            return Outcome.failed(refusal);
+          Failure noRetryLeft = waitForRetry(attempts);
+          if (noRetryLeft != null) {
+            return Outcome.failed(noRetryLeft);
           }
         }
       }
     }
   }
 
-  private RequestAttributes attributesForAttempt(boolean takeOver) {
-    Set<String> without = new HashSet<>(excludedBackends);
-    if (takeOver) {
-      without.addAll(router.backendsWithoutTakeover());
+  private RequestAttributes attributesForAttempt(boolean failingOver) {
+    Set<String> unusableBackends = new HashSet<>(excludedBackends);
+    if (failingOver) {
+      unusableBackends.addAll(router.backendsWithoutTakeover());
     }
-    return attributes.attempt(router.nextRequestId(), relay.nextIndex(), without);
+    return attributes.attempt(router.nextRequestId(), relay.nextIndex(), unusableBackends);
   }
 
-  private @Nullable Failure waitForRetry(int failures) throws InterruptedException {
-    long wait = failures < MAX_ATTEMPTS ? router.tryRetry(serviceClass.name(), failures) : -1;
-    if (wait < 0) {
-      Failure spent =
+  /** Waits before the next attempt; returns a failure if no retry is left. */
+  private @Nullable Failure waitForRetry(int failedAttempts) throws InterruptedException {
+    long retryDelayMillis =
+        failedAttempts < MAX_ATTEMPTS ? router.tryRetry(serviceClass.name(), failedAttempts) : -1;
+    if (retryDelayMillis < 0) {
+      Failure noRetryLeft =
           Failure.retryLater(
               ResultCode.RETRY_BUDGET_SPENT,
-              failures + " engines failed or refused, and the class's retry budget is spent",
+              "%d attempts failed or were rejected, and class '%s' has no retry left"
+                  .formatted(failedAttempts, serviceClass.name()),
               1_000);
-      return withEarlierAttempts(spent);
+      return withEarlierAttempts(noRetryLeft);
     }
     metrics.retried(serviceClass.name());
-    Thread.sleep(wait);
+    Thread.sleep(retryDelayMillis);
     return null;
   }
 
-  /** Returns the failure with the truth about attempts made before it. */
+  /** Returns the failure, corrected if an earlier attempt ran. */
   private Failure withEarlierAttempts(Failure failure) {
     return earlierAttemptRan && failure.ran() == Ran.NO
         ? new Failure(failure.code(), Ran.YES, failure.message(), failure.retryAfterMillis())
         : failure;
   }
 
-  private Failure engineLost(String why) {
+  private Failure engineLost(String reason) {
     return Failure.of(
         ResultCode.ENGINE_LOST,
-        "the engine was lost after " + relay.nextIndex() + " tokens, and " + why);
+        "the engine was lost after " + relay.nextIndex() + " tokens: " + reason);
   }
 
   // ---- one attempt ------------------------------------------------------------------------------
 
-  private AttemptEnd attempt(Assignment assignment, boolean takeOver)
+  private AttemptEnd attempt(Assignment assignment, boolean failingOver)
       throws InterruptedException, TokenSink.CallerDisconnectedException {
     BackendAnnouncement engine = assignment.backend();
-    String generation = takeOver ? relay.generation() : UUID.randomUUID().toString();
+    String generation = failingOver ? relay.generation() : UUID.randomUUID().toString();
     boolean canResume = engine.resume() != BackendAnnouncement.Resume.NONE;
     EngineStream stream =
         client.open(engine.address(), path(), requestBody(assignment, generation));
@@ -211,7 +219,7 @@
         .put("offset", relay.nextIndex());
   }
 
-  /** State of one attempt on one engine. */
+  /** One attempt on one engine. */
   private final class Attempt {
     private final Assignment assignment;
     private final BackendAnnouncement engine;
@@ -240,10 +248,10 @@
         throws TokenSink.CallerDisconnectedException {
       return switch (item) {
         case EngineStream.Item.Line line -> handleLine(line.text());
-        case EngineStream.Item.Timeout silence -> handleNoData();
-        case EngineStream.Item.ErrorResponse rejected -> handleErrorResponse(rejected);
-        case EngineStream.Item.ConnectFailed refused -> handleConnectFailure();
-        case EngineStream.Item.Closed ended ->
+        case EngineStream.Item.Timeout timeout -> handleNoData();
+        case EngineStream.Item.ErrorResponse response -> handleErrorResponse(response);
+        case EngineStream.Item.ConnectFailed connectFailed -> handleConnectFailure();
+        case EngineStream.Item.Closed closed ->
             perform(relay.handle(new StreamRelay.Event.Disconnected()));
       };
     }
@@ -301,9 +309,9 @@
         callerCheckedAtMillis = nowMillis;
         sink.checkCaller();
       }
-      BackendAnnouncement latest = router.liveBackend(engine.name());
-      boolean gone = latest == null || latest.incarnation() != engine.incarnation();
-      if (gone) {
+      BackendAnnouncement current = router.liveBackend(engine.name());
+      boolean engineUnavailable = current == null || current.incarnation() != engine.incarnation();
+      if (engineUnavailable) {
         return perform(relay.handle(new StreamRelay.Event.EngineLost()));
       }
       if (nowMillis - lastActivityMillis >= tokenTimeoutMillis()) {
@@ -323,12 +331,12 @@
           MAX_TOKEN_TIMEOUT_MILLIS);
     }
 
-    private @Nullable AttemptEnd handleErrorResponse(EngineStream.Item.ErrorResponse rejected)
+    private @Nullable AttemptEnd handleErrorResponse(EngineStream.Item.ErrorResponse response)
         throws TokenSink.CallerDisconnectedException {
       if (reconnected || relay.nextIndex() > 0) {
         return perform(relay.handle(new StreamRelay.Event.EngineLost()));
       }
-      int status = rejected.status();
+      int status = response.status();
       if (status == STATUS_TOO_MANY_REQUESTS || status == STATUS_UNAVAILABLE) {
         outcome = RequestOutcome.REFUSED;
         return perform(relay.handle(new StreamRelay.Event.Rejected()));
@@ -338,15 +346,15 @@
         return new AttemptEnd.Failed(
             Failure.of(
                 ResultCode.BACKEND_REFUSED,
-                "the engine refused the request with status " + status + ": " + rejected.body()));
+                "the engine rejected the request with status " + status + ": " + response.body()));
       }
       return perform(relay.handle(new StreamRelay.Event.EngineLost()));
     }
 
     private @Nullable AttemptEnd handleConnectFailure()
         throws TokenSink.CallerDisconnectedException {
-      boolean nothingSent = !reconnected && relay.nextIndex() == 0;
-      if (nothingSent) {
+      boolean neverSent = !reconnected && relay.nextIndex() == 0;
+      if (neverSent) {
         outcome = RequestOutcome.REFUSED;
         return perform(relay.handle(new StreamRelay.Event.Rejected()));
       }
@@ -365,18 +373,18 @@
           yield new AttemptEnd.FailOver(engine);
         }
         case START_AGAIN -> {
-          boolean refused = outcome == RequestOutcome.REFUSED;
-          if (!refused) {
+          boolean rejected = outcome == RequestOutcome.REFUSED;
+          if (!rejected) {
             client.cancel(engine.address(), relay.generation());
           }
-          yield new AttemptEnd.Restart(!refused);
+          yield new AttemptEnd.Restart(!rejected);
         }
-        case FAIL_LOST -> new AttemptEnd.Failed(engineLost("it cannot be continued"));
+        case FAIL_LOST -> new AttemptEnd.Failed(engineLost("the generation cannot be continued"));
         case FAIL_UNKNOWN ->
             new AttemptEnd.Failed(
                 Failure.of(
                     ResultCode.OUTCOME_UNKNOWN,
-                    "the engine was lost while it may have been running a request that may not be"
+                    "the engine was lost while it may have been running a request that must not be"
                         + " repeated"));
       };
     }
--- a/src/main/java/org/curranthaven/internal/gateway/Hashes.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Hashes.java
@@ -7,11 +7,14 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 hashes. */
+/** Computes SHA-256 hashes. */
 public final class Hashes {
   private Hashes() {}
 
-  /** Returns the hash of the parts; moving a byte from one part to the next changes it. */
+  /**
+   * Returns the hash of the parts. Each part is preceded by its length, so that moving a byte from
+   * one part to the next changes the hash.
+   */
   public static ByteString sha256(byte[]... parts) {
     MessageDigest digest = digest();
     for (byte[] part : parts) {
@@ -30,7 +33,7 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java runtime has SHA-256", e);
+      throw new IllegalStateException("SHA-256 is not available in this Java runtime", e);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
+++ b/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
@@ -11,7 +11,7 @@
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 import org.jspecify.annotations.Nullable;
 
-/** One HTTP request and its answer. */
+/** One HTTP request and its response. */
 public final class HttpRequestContext implements AutoCloseable {
   private static final int STATUS_OK = 200;
   private static final int STATUS_NO_CONTENT = 204;
@@ -20,12 +20,12 @@
   private final HttpExchange http;
   private boolean responseStarted;
 
-  /** Wraps the server's exchange. */
+  /** Wraps an exchange of the HTTP server. */
   public HttpRequestContext(HttpExchange http) {
     this.http = http;
   }
 
-  /** Returns the method. */
+  /** Returns the HTTP method. */
   public String method() {
     return http.getRequestMethod();
   }
@@ -35,23 +35,23 @@
     return http.getRequestURI().getPath();
   }
 
-  /** Returns path and query as they were sent. */
+  /** Returns path and query without decoding. */
   public String rawPath() {
     String query = http.getRequestURI().getRawQuery();
     return http.getRequestURI().getRawPath() + (query == null ? "" : "?" + query);
   }
 
-  /** Returns a header, or null. */
+  /** Returns the first value of a request header, or null. */
   public @Nullable String header(String name) {
     return http.getRequestHeaders().getFirst(name);
   }
 
-  /** Returns whether an answer was begun. */
+  /** Returns whether the response was started. */
   public boolean responseStarted() {
     return responseStarted;
   }
 
-  /** Reads the whole body, unless it is larger than {@code maxBytes}. */
+  /** Reads the complete body; fails if it is larger than {@code maxBytes}. */
   public Outcome<byte[]> body(int maxBytes) {
     try {
       InputStream in = http.getRequestBody();
@@ -62,40 +62,42 @@
       }
       return Outcome.success(body);
     } catch (IOException e) {
-      return Outcome.failed(ResultCode.BODY_TOO_SLOW, "the body did not arrive: " + e.getMessage());
+      return Outcome.failed(
+          ResultCode.BODY_TOO_SLOW, "the body could not be read completely: " + e.getMessage());
     }
   }
 
-  /** Answers with a JSON value. */
+  /** Sends a JSON response. */
   public void json(int status, Object value) throws IOException {
     send(status, ErrorBodies.JSON, Json.write(value).toByteArray());
   }
 
-  /** Answers with text. */
+  /** Sends a text response. */
   public void text(int status, String contentType, String text) throws IOException {
     send(status, contentType, text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  /** Answers with a failure. */
+  /** Sends an error response. */
   public void failure(Failure failure) throws IOException {
     if (failure.retryAfterMillis() > 0) {
-      long seconds = (failure.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
-      http.getResponseHeaders().set("Retry-After", String.valueOf(seconds));
+      long retryAfterSeconds =
+          (failure.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
+      http.getResponseHeaders().set("Retry-After", String.valueOf(retryAfterSeconds));
     }
     json(failure.code().httpStatus(), ErrorBodies.json(failure));
   }
 
-  /** Answers with a kept answer. */
-  public void sendStored(StoredAnswer answer) throws IOException {
-    send(answer.getStatus(), answer.getContentType(), answer.getBody().toByteArray());
+  /** Sends a stored response. */
+  public void sendStored(StoredAnswer response) throws IOException {
+    send(response.getStatus(), response.getContentType(), response.getBody().toByteArray());
   }
 
-  /** Sets a header of the answer. */
+  /** Sets a response header. */
   public void setHeader(String name, String value) {
     http.getResponseHeaders().set(name, value);
   }
 
-  /** Begins an answer of unknown length. */
+  /** Starts a response of unknown length and returns its body stream. */
   public OutputStream startStream(String contentType) throws IOException {
     responseStarted = true;
     http.getResponseHeaders().set("Content-Type", contentType);
@@ -108,9 +110,9 @@
     if (!contentType.isEmpty()) {
       http.getResponseHeaders().set("Content-Type", contentType);
     }
-    boolean empty = body.length == 0 || status == STATUS_NO_CONTENT;
-    http.sendResponseHeaders(status, empty ? -1 : body.length);
-    if (!empty) {
+    boolean noBody = body.length == 0 || status == STATUS_NO_CONTENT;
+    http.sendResponseHeaders(status, noBody ? -1 : body.length);
+    if (!noBody) {
       http.getResponseBody().write(body);
     }
   }
--- a/src/main/java/org/curranthaven/internal/gateway/IdempotencyErrors.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotencyErrors.java
@@ -3,13 +3,13 @@
 import org.curranthaven.api.Failure;
 import org.curranthaven.api.Ran;
 
-/** Errors of calls that carry a caller's own Idempotency-Key. */
+/** Errors of requests that carry an Idempotency-Key of the caller. */
 final class IdempotencyErrors {
   private IdempotencyErrors() {}
 
   /**
-   * Returns the failure for a call whose key was not looked up: this attempt did not run, but an
-   * earlier one with the same key may have, so that "not run" may not be said.
+   * Returns the failure of a request whose key was not looked up. This request did not run, but an
+   * earlier one with the same key may have, so the failure must not report that it did not run.
    */
   static Failure earlierAttemptMayHaveRun(Failure failure) {
     if (failure.ran() != Ran.NO) {
@@ -18,7 +18,8 @@
     return new Failure(
         failure.code(),
         Ran.UNKNOWN,
-        failure.message() + "; this attempt did not run, an earlier one with its key may have",
+        failure.message()
+            + "; this request did not run, but an earlier one with the same Idempotency-Key may have",
         failure.retryAfterMillis());
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/IdempotencyKey.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotencyKey.java
@@ -7,10 +7,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Idempotency key of a call that may not be repeated.
+ * Idempotency key of a request that must not be repeated.
  *
  * @param key the key
- * @param issuedAtMillis when it was issued, in epoch milliseconds
+ * @param issuedAtMillis time at which the key was issued, in epoch milliseconds
  * @param fromCaller whether the caller sent it
  */
 record IdempotencyKey(String key, long issuedAtMillis, boolean fromCaller) {
@@ -18,10 +18,12 @@
   private static final int UUID_VERSION_WITH_TIME = 7;
 
   /**
-   * Reads the key from a call's headers, or makes one for a call that has none.
+   * Reads the key from the headers of a request, or creates one if there is none.
    *
-   * @param header value of Idempotency-Key
-   * @param issuedAtHeader value of Curranthaven-Issued-At, in epoch milliseconds
+   * @param header value of the header Idempotency-Key
+   * @param issuedAtHeader value of the header Curranthaven-Issued-At, in epoch milliseconds
+   * @param epochMillis current time, in epoch milliseconds
+   * @param random source of the random bits of a created key
    */
   static Outcome<IdempotencyKey> of(
       @Nullable String header,
@@ -49,7 +51,8 @@
           new IdempotencyKey(header, Long.parseLong(issuedAtHeader.strip()), true));
     } catch (NumberFormatException e) {
       return Outcome.failed(
-          ResultCode.INVALID_PARAMETER, "Curranthaven-Issued-At is not a number of milliseconds");
+          ResultCode.INVALID_PARAMETER,
+          "the header Curranthaven-Issued-At is not a number of milliseconds");
     }
   }
 
@@ -61,13 +64,14 @@
             new IdempotencyKey(header, uuid.getMostSignificantBits() >>> 16, true));
       }
     } catch (IllegalArgumentException e) {
-      // Answered below, as a UUID of another version is.
+      // Reported below, like a UUID of another version.
     }
     return Outcome.failed(
-        ResultCode.KEY_WITHOUT_TIME, "the Idempotency-Key does not tell when it was issued");
+        ResultCode.KEY_WITHOUT_TIME,
+        "the Idempotency-Key does not contain the time at which it was issued");
   }
 
-  /** Returns a UUID of version 7. */
+  /** Creates a UUID of version 7. */
   static UUID uuidWithTime(long epochMillis, RandomGenerator random) {
     long high = (epochMillis << 16) | 0x7000L | random.nextLong(0x1000);
     long low = 0x8000_0000_0000_0000L | (random.nextLong() >>> 2);
--- a/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
@@ -10,11 +10,11 @@
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
 /**
- * Runs a call that may not be repeated at most once: claims its key first, keeps its answer, and
- * gives every later caller with the same key that answer.
+ * Runs a request that must not be repeated at most once: claims its key before it runs, stores its
+ * response, and returns the stored response to every later request with the same key.
  */
 final class IdempotentRequestHandler {
-  /** Largest answer that is kept, in bytes; a longer one is kept as an error that says so. */
+  /** Largest stored response, in bytes; for a larger one an error is stored instead. */
   static final int MAX_STORED_RESPONSE_BYTES = 256 * 1024;
 
   private static final long POLL_INTERVAL_MILLIS = 50;
@@ -29,25 +29,27 @@
     this.clock = clock;
   }
 
-  /** The call itself; its failure says whether it ran. */
+  /** Execution of the request; a failure reports whether it ran. */
   interface Execution {
     Outcome<StoredAnswer> run() throws InterruptedException;
   }
 
   /**
-   * Runs the call, or finds its answer.
+   * Runs the request, or returns its stored response.
    *
-   * @param waitMillis how long to wait for another attempt that is running
+   * @param request key of the request and the attempt that claims it
+   * @param waitMillis longest time to wait for another request with the same key that is running
+   * @param execution called if this attempt gets the claim
    */
   Outcome<StoredAnswer> run(Ledger.ClaimRequest request, long waitMillis, Execution execution)
       throws InterruptedException {
-    long deadline = clock.nowMillis() + waitMillis;
+    long deadlineMillis = clock.nowMillis() + waitMillis;
     while (true) {
-      Outcome<Ledger.Claim> claimed = ledger.claim(request);
-      if (claimed instanceof Outcome.Failed<Ledger.Claim> failed) {
+      Outcome<Ledger.Claim> claim = ledger.claim(request);
+      if (claim instanceof Outcome.Failed<Ledger.Claim> failed) {
         return handleClaimFailure(request, failed.failure());
       }
-      switch (((Outcome.Success<Ledger.Claim>) claimed).value()) {
+      switch (((Outcome.Success<Ledger.Claim>) claim).value()) {
         case Ledger.Claim.Granted granted -> {
           return execute(request, execution);
         }
@@ -58,14 +60,16 @@
           if (!router.isHostAlive(running.ownerHost(), running.ownerIncarnation())) {
             return Outcome.failed(
                 ResultCode.OWNER_LOST,
-                "host " + running.ownerHost() + ", which ran the request, is gone");
+                "host " + running.ownerHost() + ", which was running the request, is unavailable");
           }
-          if (clock.nowMillis() >= deadline) {
+          if (clock.nowMillis() >= deadlineMillis) {
             return Outcome.failed(
                 new Failure(
                     ResultCode.DEADLINE_PASSED,
                     Ran.UNKNOWN,
-                    "another attempt with the same Idempotency-Key is still running",
+                    "another request with the same Idempotency-Key is still running after "
+                        + waitMillis
+                        + " ms",
                     1_000));
           }
           Thread.sleep(POLL_INTERVAL_MILLIS);
@@ -74,7 +78,7 @@
     }
   }
 
-  /** The claim may have been taken: it is given back, since this attempt will not run. */
+  /** Releases a claim that may have been granted, since this attempt will not run. */
   private Outcome<StoredAnswer> handleClaimFailure(Ledger.ClaimRequest request, Failure failure) {
     if (failure.code() == ResultCode.CLAIM_UNKNOWN) {
       Thread.ofVirtual().start(() -> releaseClaim(request));
@@ -101,7 +105,7 @@
     try {
       outcome = execution.run();
     } catch (RuntimeException e) {
-      outcome = Outcome.failed(ResultCode.INTERNAL, "the call broke off: " + e);
+      outcome = Outcome.failed(ResultCode.INTERNAL, "the request failed unexpectedly: " + e);
     }
     switch (outcome) {
       case Outcome.Success<StoredAnswer> success -> {
@@ -118,14 +122,18 @@
     return outcome;
   }
 
-  private static StoredAnswer toStorable(StoredAnswer answer) {
-    ByteString body = answer.getBody();
+  private static StoredAnswer toStorable(StoredAnswer response) {
+    ByteString body = response.getBody();
     if (body.size() <= MAX_STORED_RESPONSE_BYTES) {
-      return answer;
+      return response;
     }
     return ErrorBodies.storedResponse(
         Failure.of(
             ResultCode.ANSWER_TOO_LARGE,
-            "the call ran, but its answer of " + body.size() + " bytes was too large to keep"));
+            "the request ran, but its response of "
+                + body.size()
+                + " bytes exceeds the limit of "
+                + MAX_STORED_RESPONSE_BYTES
+                + " bytes for stored responses"));
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/Metrics.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Metrics.java
@@ -13,12 +13,12 @@
 import org.curranthaven.internal.observe.TargetMonitor;
 import org.curranthaven.internal.supervision.Clock;
 
-/** Metrics of one host. Thread-safe. */
+/** Metrics of one host, in the Prometheus format. Thread-safe. */
 public final class Metrics {
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
-  private final TargetMonitor targets = new TargetMonitor();
+  private final TargetMonitor targetMonitor = new TargetMonitor();
   private final Clock clock;
 
   /** Creates the metrics of a host. */
@@ -26,19 +26,19 @@
     this.clock = clock;
   }
 
-  /** Returns each class's figures against its targets. */
+  /** Returns the latencies of each class compared with its targets. */
   public Map<String, TargetMonitor.ClassStatus> targetStatuses() {
-    return targets.statuses(clock.nowMillis());
+    return targetMonitor.statuses(clock.nowMillis());
   }
 
-  /** Counts a request of a class. */
+  /** Counts a request. */
   public void requested(String className) {
     counter("curranthaven_requests", "class", className).increment();
   }
 
   /** Counts a request that ended with an error. */
   public void failed(String className, ResultCode code) {
-    targets.failed(className, clock.nowMillis());
+    targetMonitor.failed(className, clock.nowMillis());
     Counter.builder("curranthaven_failures")
         .tag("class", className)
         .tag("code", String.valueOf(code.number()))
@@ -51,16 +51,17 @@
     counter("curranthaven_tokens", "class", className).increment();
   }
 
-  /** Notes the time from a request's arrival to its first token or plain answer. */
+  /** Records the time from a request's arrival to its first token or plain service response. */
   public void firstReply(ServiceClass serviceClass, long millis) {
-    targets.firstReply(
+    targetMonitor.firstReply(
         serviceClass.name(), millis, serviceClass.targets().firstReplyMillis(), clock.nowMillis());
     timer("curranthaven_first_reply", serviceClass.name()).record(Duration.ofMillis(millis));
   }
 
-  /** Notes the time between two tokens of a stream. */
+  /** Records the time between two tokens of a stream. */
   public void tokenGap(ServiceClass serviceClass, long millis) {
-    targets.gap(serviceClass.name(), millis, serviceClass.targets().gapMillis(), clock.nowMillis());
+    targetMonitor.gap(
+        serviceClass.name(), millis, serviceClass.targets().gapMillis(), clock.nowMillis());
     timer("curranthaven_token_gap", serviceClass.name()).record(Duration.ofMillis(millis));
   }
 
@@ -69,23 +70,23 @@
     counter("curranthaven_streams_resumed", "class", className).increment();
   }
 
-  /** Counts an attempt that followed a failed one. */
+  /** Counts a retry. */
   public void retried(String className) {
     counter("curranthaven_retries", "class", className).increment();
   }
 
-  /** Shows a figure that is read when the page is asked for. */
-  public void gauge(String name, Supplier<Number> figure) {
-    Gauge.builder(name, figure).strongReference(true).register(registry);
+  /** Registers a gauge whose value is read at each scrape. */
+  public void gauge(String name, Supplier<Number> value) {
+    Gauge.builder(name, value).strongReference(true).register(registry);
   }
 
-  /** Returns the page that Prometheus reads. */
+  /** Returns all metrics in the Prometheus text format. */
   public String scrape() {
     return registry.scrape();
   }
 
-  private Counter counter(String name, String tag, String value) {
-    return Counter.builder(name).tag(tag, value).register(registry);
+  private Counter counter(String name, String tag, String tagValue) {
+    return Counter.builder(name).tag(tag, tagValue).register(registry);
   }
 
   private Timer timer(String name, String className) {
--- a/src/main/java/org/curranthaven/internal/gateway/NonStreamingSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/NonStreamingSink.java
@@ -1,6 +1,6 @@
 package org.curranthaven.internal.gateway;
 
-/** Holds nothing back and sends nothing: the call itself keeps the text of a whole answer. */
+/** Sink of a response that is sent complete; {@link GenerationHandler} collects its text. */
 final class NonStreamingSink implements TokenSink {
   @Override
   public boolean isStreaming() {
--- a/src/main/java/org/curranthaven/internal/gateway/RequestIdSequence.java
+++ b/src/main/java/org/curranthaven/internal/gateway/RequestIdSequence.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Numbers of requests on one host, from 1. Thread-safe. */
+/** Generates the request numbers of one host, from 1. Thread-safe. */
 public final class RequestIdSequence {
   private final AtomicLong next = new AtomicLong(1);
 
-  /** Returns the next number. */
+  /** Returns the next request number. */
   public long next() {
     return next.getAndIncrement();
   }
--- a/src/main/java/org/curranthaven/internal/gateway/RetryBudget.java
+++ b/src/main/java/org/curranthaven/internal/gateway/RetryBudget.java
@@ -5,15 +5,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Bounds the load that retries add: each first attempt earns a share of a retry, per class, and a
- * retry spends a whole one; a class starts with all it can save. Waiting times between attempts
- * have full jitter. Not thread-safe.
+ * Bounds the load that retries add. Per service class, each first attempt adds a fraction of a
+ * retry to the budget and each retry consumes one; the budget of a class starts full. Delays before
+ * retries grow exponentially with full jitter. Not thread-safe.
  */
 public final class RetryBudget {
-  /** Share of a retry that each request earns. */
+  /** Fraction of a retry that each request adds to the budget. */
   static final double RETRIES_PER_REQUEST = 0.1;
 
-  /** Most retries that a class can have saved up. */
+  /** Largest number of retries that a class can accumulate. */
   static final double MAX_SAVED_RETRIES = 10;
 
   private static final long FIRST_BACKOFF_MILLIS = 10;
@@ -22,30 +22,31 @@
   private final Map<String, Double> retriesByClass = new HashMap<>();
   private final RandomGenerator random;
 
-  /** Creates a budget that has saved nothing. */
+  /** Creates a budget that is full for every class. */
   public RetryBudget(RandomGenerator random) {
     this.random = random;
   }
 
-  /** Notes a first attempt. */
+  /** Records a first attempt. */
   public void requested(String className) {
-    double saved = retriesByClass.getOrDefault(className, MAX_SAVED_RETRIES);
-    retriesByClass.put(className, Math.min(MAX_SAVED_RETRIES, saved + RETRIES_PER_REQUEST));
+    double available = retriesByClass.getOrDefault(className, MAX_SAVED_RETRIES);
+    retriesByClass.put(className, Math.min(MAX_SAVED_RETRIES, available + RETRIES_PER_REQUEST));
   }
 
-  /** Takes a retry from the budget; returns whether there was one. */
+  /** Consumes a retry from the budget; returns whether one was available. */
   public boolean tryRetry(String className) {
-    double saved = retriesByClass.getOrDefault(className, MAX_SAVED_RETRIES);
-    if (saved < 1) {
+    double available = retriesByClass.getOrDefault(className, MAX_SAVED_RETRIES);
+    if (available < 1) {
       return false;
     }
-    retriesByClass.put(className, saved - 1);
+    retriesByClass.put(className, available - 1);
     return true;
   }
 
-  /** Returns how long to wait before the attempt after {@code failures} failed ones. */
-  public long backoffMillis(int failures) {
-    long ceiling = Math.min(MAX_BACKOFF_MILLIS, FIRST_BACKOFF_MILLIS << Math.min(failures, 7));
-    return random.nextLong(ceiling + 1);
+  /** Returns the delay before the next attempt, after the given number of failed ones. */
+  public long backoffMillis(int failedAttempts) {
+    long maxDelayMillis =
+        Math.min(MAX_BACKOFF_MILLIS, FIRST_BACKOFF_MILLIS << Math.min(failedAttempts, 7));
+    return random.nextLong(maxDelayMillis + 1);
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/Router.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Router.java
@@ -9,49 +9,54 @@
 import org.curranthaven.internal.routing.RoutingEvent;
 import org.jspecify.annotations.Nullable;
 
-/** The host's decisions, as the calls that need them see them. Thread-safe; callers block. */
+/** Routing decisions of the host, for the threads that handle requests. Thread-safe; blocking. */
 public interface Router {
-  /** Returns a new request number. */
+  /** Returns a new request number; every attempt has its own. */
   long nextRequestId();
 
-  /** Returns the configuration in force on this host. */
+  /** Returns the configuration that is active on this host. */
   Configuration configuration();
 
-  /** Returns whether the host may take new work: its configuration is known to be in force. */
+  /**
+   * Returns whether the host may accept requests, i.e. its configuration is known to be current.
+   */
   boolean mayServe();
 
   /**
-   * Waits until a server is chosen for the request, or it is given up.
+   * Waits until a backend server is chosen for the request or the request is rejected.
    *
-   * @param requestName name by which the decision can be explained later
+   * @param request attributes of the attempt
+   * @param externalRequestId value of X-Request-Id, by which operators look up the decision
    */
-  Outcome<Assignment> route(RequestAttributes request, String requestName)
+  Outcome<Assignment> route(RequestAttributes request, String externalRequestId)
       throws InterruptedException;
 
-  /** Notes that a request has produced {@code tokens} tokens so far. */
+  /** Records that a request has produced {@code tokens} tokens so far. */
   void progressed(long requestId, int tokens);
 
-  /** Notes that a request has ended on its server. */
-  void finished(long requestId, int tokens, RoutingEvent.RequestOutcome ending);
+  /** Records that an attempt has ended on its backend server. */
+  void finished(long requestId, int tokens, RoutingEvent.RequestOutcome outcome);
 
-  /** Returns the server's latest announcement while its lease lasts, in any state. */
-  @Nullable BackendAnnouncement liveBackend(String server);
+  /** Returns a backend server's latest announcement, in any state, or null if its lease expired. */
+  @Nullable BackendAnnouncement liveBackend(String backend);
 
-  /** Returns the servers that cannot continue another server's generation. */
+  /** Returns the backend servers that cannot continue a generation of another one. */
   Set<String> backendsWithoutTakeover();
 
   /**
-   * Takes a request of the workspace from its fleet-wide limit; returns 0 if it is allowed, else
-   * when to come back, in milliseconds.
+   * Counts a request against the fleet-wide rate limit of its workspace. Returns 0 if the request
+   * is allowed, else the delay until a retry, in milliseconds.
    */
   long acquireWorkspacePermit(Workspace workspace);
 
-  /** Notes a first attempt of a class, which earns a share of a retry. */
+  /** Records a first attempt of a class, which adds a fraction of a retry to its budget. */
   void requested(String className);
 
-  /** Takes a retry from the class's budget; returns the time to wait before it, or -1 if spent. */
-  long tryRetry(String className, int failures);
+  /**
+   * Consumes a retry of the class's budget; returns its delay in ms, or -1 if there is none left.
+   */
+  long tryRetry(String className, int failedAttempts);
 
-  /** Returns whether the named process is alive: the host, in the given incarnation. */
+  /** Returns whether the given incarnation of the host is alive. */
   boolean isHostAlive(String host, long incarnation);
 }
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceClient.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceClient.java
@@ -13,19 +13,19 @@
 import java.util.concurrent.Executors;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
-/** Calls to plain services over HTTP. Thread-safe; callers block. */
+/** HTTP client for plain services. Thread-safe; blocking. */
 final class ServiceClient {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final int STATUS_TOO_MANY_REQUESTS = 429;
   private static final int STATUS_UNAVAILABLE = 503;
 
-  /** Header by which a service says that it refused a call before running it. */
+  /** Header in which a service reports whether a request ran; {@code no} if it was rejected. */
   static final String RAN_HEADER = "Curranthaven-Ran";
 
   /**
-   * Idle connections are closed after one second (the system property {@code
-   * jdk.httpclient.keepalive.timeout} that the launcher sets), so that a pooled connection was in
-   * use within the last second.
+   * Client with pooled connections. The launcher sets the system property {@code
+   * jdk.httpclient.keepalive.timeout} to close idle connections after one second, so a pooled
+   * connection was in use within the last second.
    */
   private final HttpClient client = newClient();
 
@@ -38,30 +38,32 @@
   }
 
   /**
-   * A call to a plain service.
+   * A request to a plain service.
    *
    * @param method HTTP method
-   * @param path path and query on the service
-   * @param contentType content type of the body, empty for none
-   * @param key idempotency key, empty for none
+   * @param path path and query of the request at the service
+   * @param contentType content type of the body; empty if there is none
+   * @param body request body
+   * @param key idempotency key; empty if there is none
    */
   record ServiceRequest(
       String method, String path, String contentType, ByteString body, String key) {}
 
-  /** How an attempt ended. */
+  /** Result of an attempt. */
   sealed interface AttemptResult {
-    /** The service answered. */
+    /** The service responded. */
     record Responded(StoredAnswer response) implements AttemptResult {}
 
-    /** No byte left, or the service refused before running. */
+    /** No byte was sent, or the service rejected the request before running it. */
     record Rejected(String reason) implements AttemptResult {}
 
-    /** The call may have run. */
+    /** The request may have run. */
     record OutcomeUnknown(String reason) implements AttemptResult {}
   }
 
-  /** Makes one attempt; {@code fresh} asks for a connection of its own. */
-  AttemptResult send(String address, ServiceRequest request, long timeoutMillis, boolean fresh)
+  /** Makes one attempt, on a new connection if {@code newConnection} is true. */
+  AttemptResult send(
+      String address, ServiceRequest request, long timeoutMillis, boolean newConnection)
       throws InterruptedException {
     HttpRequest.Builder builder =
         HttpRequest.newBuilder(URI.create("http://" + address + request.path()))
@@ -76,23 +78,25 @@
       builder.header("Idempotency-Key", request.key());
     }
     try {
-      HttpClient chosen = fresh ? newClient() : client;
-      return toResult(chosen.send(builder.build(), HttpResponse.BodyHandlers.ofByteArray()));
+      HttpClient selectedClient = newConnection ? newClient() : client;
+      return toResult(
+          selectedClient.send(builder.build(), HttpResponse.BodyHandlers.ofByteArray()));
     } catch (ConnectException | HttpConnectTimeoutException e) {
-      return new AttemptResult.Rejected("no connection: " + e.getMessage());
+      return new AttemptResult.Rejected("connection failed: " + e.getMessage());
     } catch (HttpTimeoutException e) {
-      return new AttemptResult.OutcomeUnknown("no answer within " + timeoutMillis + " ms");
+      return new AttemptResult.OutcomeUnknown("no response within " + timeoutMillis + " ms");
     } catch (IOException e) {
-      return new AttemptResult.OutcomeUnknown("the connection broke: " + e.getMessage());
+      return new AttemptResult.OutcomeUnknown("connection lost: " + e.getMessage());
     }
   }
 
   private static AttemptResult toResult(HttpResponse<byte[]> response) {
-    boolean busy =
+    boolean overloaded =
         response.statusCode() == STATUS_TOO_MANY_REQUESTS
             || response.statusCode() == STATUS_UNAVAILABLE;
-    if (busy && response.headers().firstValue(RAN_HEADER).orElse("").equals("no")) {
-      return new AttemptResult.Rejected("the service refused with status " + response.statusCode());
+    if (overloaded && response.headers().firstValue(RAN_HEADER).orElse("").equals("no")) {
+      return new AttemptResult.Rejected(
+          "the service rejected the request with status " + response.statusCode());
     }
     return new AttemptResult.Responded(
         StoredAnswer.newBuilder()
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
@@ -12,68 +12,77 @@
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
-/** One call of a plain service, with retries where the class and the attempts allow them. */
+/**
+ * Handles one request to a plain service, with retries if the class and the results of earlier
+ * attempts allow them. Runs on the caller's virtual thread.
+ */
 final class ServiceRequestHandler {
-  /** Shortest time that an attempt of a repeatable call gets, in milliseconds. */
-  private static final long MIN_ATTEMPT_MILLIS = 250;
+  /** Smallest timeout of an attempt, in milliseconds. */
+  private static final long MIN_ATTEMPT_TIMEOUT_MILLIS = 250;
 
   private static final int MAX_ATTEMPTS = 4;
 
-  private final GatewayServices context;
+  private final GatewayServices services;
   private final ServiceClient client;
   private final ServiceClass serviceClass;
 
-  ServiceRequestHandler(GatewayServices context, ServiceClient client, ServiceClass serviceClass) {
-    this.context = context;
+  ServiceRequestHandler(GatewayServices services, ServiceClient client, ServiceClass serviceClass) {
+    this.services = services;
     this.client = client;
     this.serviceClass = serviceClass;
   }
 
-  /** Runs the call to its end. */
+  /** Runs the request until it succeeds or fails. */
   Outcome<StoredAnswer> run(
-      String requestName, RequestAttributes first, ServiceClient.ServiceRequest request)
+      String externalRequestId, RequestAttributes attributes, ServiceClient.ServiceRequest request)
       throws InterruptedException {
-    Router router = context.router();
-    Set<String> excluded = new HashSet<>();
+    Router router = services.router();
+    Set<String> excludedBackends = new HashSet<>();
     boolean mayHaveRun = false;
     router.requested(serviceClass.name());
     for (int attempts = 1; ; attempts++) {
-      Outcome<Assignment> routed =
-          router.route(first.attempt(router.nextRequestId(), 0, excluded), requestName);
-      if (routed instanceof Outcome.Failed<Assignment> failed) {
+      Outcome<Assignment> placement =
+          router.route(
+              attributes.attempt(router.nextRequestId(), 0, excludedBackends), externalRequestId);
+      if (placement instanceof Outcome.Failed<Assignment> failed) {
         return Outcome.failed(withEarlierAttempts(failed.failure(), mayHaveRun));
       }
-      Assignment assignment = ((Outcome.Success<Assignment>) routed).value();
-      ServiceClient.AttemptResult attempt = attempt(assignment, first, request, attempts > 1);
+      Assignment assignment = ((Outcome.Success<Assignment>) placement).value();
+      ServiceClient.AttemptResult result = attempt(assignment, attributes, request, attempts > 1);
       String reason;
-      switch (attempt) {
-        case ServiceClient.AttemptResult.Responded answered -> {
-          return Outcome.success(answered.response());
+      switch (result) {
+        case ServiceClient.AttemptResult.Responded responded -> {
+          return Outcome.success(responded.response());
         }
-        case ServiceClient.AttemptResult.Rejected refused -> reason = refused.reason();
+        case ServiceClient.AttemptResult.Rejected rejected -> reason = rejected.reason();
         case ServiceClient.AttemptResult.OutcomeUnknown unknown -> {
           mayHaveRun = true;
           reason = unknown.reason();
           if (!serviceClass.repeatable()) {
-            return Outcome.failed(ResultCode.OUTCOME_UNKNOWN, "the service's outcome: " + reason);
+            return Outcome.failed(
+                ResultCode.OUTCOME_UNKNOWN,
+                "the service may have run the request, which must not be repeated: " + reason);
           }
         }
       }
-      excluded.add(assignment.backend().name());
-      long wait = attempts < MAX_ATTEMPTS ? router.tryRetry(serviceClass.name(), attempts) : -1;
-      if (wait < 0) {
-        Failure spent =
+      excludedBackends.add(assignment.backend().name());
+      long retryDelayMillis =
+          attempts < MAX_ATTEMPTS ? router.tryRetry(serviceClass.name(), attempts) : -1;
+      if (retryDelayMillis < 0) {
+        Failure noRetryLeft =
             Failure.retryLater(
                 ResultCode.RETRY_BUDGET_SPENT,
-                "attempt " + attempts + " failed (" + reason + ") and no retry is left",
+                "attempt %d failed (%s), and class '%s' has no retry left"
+                    .formatted(attempts, reason, serviceClass.name()),
                 1_000);
-        return Outcome.failed(withEarlierAttempts(spent, mayHaveRun));
+        return Outcome.failed(withEarlierAttempts(noRetryLeft, mayHaveRun));
       }
-      context.metrics().retried(serviceClass.name());
-      Thread.sleep(wait);
+      services.metrics().retried(serviceClass.name());
+      Thread.sleep(retryDelayMillis);
     }
   }
 
+  /** Returns the failure, corrected if an earlier attempt may have run. */
   private static Failure withEarlierAttempts(Failure failure, boolean mayHaveRun) {
     return mayHaveRun && failure.ran() == Ran.NO
         ? new Failure(failure.code(), Ran.UNKNOWN, failure.message(), failure.retryAfterMillis())
@@ -82,29 +91,32 @@
 
   private ServiceClient.AttemptResult attempt(
       Assignment assignment,
-      RequestAttributes first,
+      RequestAttributes attributes,
       ServiceClient.ServiceRequest request,
-      boolean fresh)
+      boolean newConnection)
       throws InterruptedException {
-    Clock clock = context.clock();
-    long left = Math.max(MIN_ATTEMPT_MILLIS, first.responseDueMillis() - clock.nowMillis());
-    long timeout =
+    Clock clock = services.clock();
+    long remainingMillis =
+        Math.max(MIN_ATTEMPT_TIMEOUT_MILLIS, attributes.responseDueMillis() - clock.nowMillis());
+    long timeoutMillis =
         serviceClass.repeatable()
-            ? Math.min(left, Math.max(MIN_ATTEMPT_MILLIS, first.targets().firstReplyMillis()))
-            : left;
-    RequestOutcome ending = RequestOutcome.FAILED;
+            ? Math.min(
+                remainingMillis,
+                Math.max(MIN_ATTEMPT_TIMEOUT_MILLIS, attributes.targets().firstReplyMillis()))
+            : remainingMillis;
+    RequestOutcome outcome = RequestOutcome.FAILED;
     try {
-      ServiceClient.AttemptResult attempt =
-          client.send(assignment.backend().address(), request, timeout, fresh);
-      ending =
-          switch (attempt) {
-            case ServiceClient.AttemptResult.Responded answered -> RequestOutcome.COMPLETED;
-            case ServiceClient.AttemptResult.Rejected refused -> RequestOutcome.REFUSED;
+      ServiceClient.AttemptResult result =
+          client.send(assignment.backend().address(), request, timeoutMillis, newConnection);
+      outcome =
+          switch (result) {
+            case ServiceClient.AttemptResult.Responded responded -> RequestOutcome.COMPLETED;
+            case ServiceClient.AttemptResult.Rejected rejected -> RequestOutcome.REFUSED;
             case ServiceClient.AttemptResult.OutcomeUnknown unknown -> RequestOutcome.FAILED;
           };
-      return attempt;
+      return result;
     } finally {
-      context.router().finished(assignment.requestId(), 1, ending);
+      services.router().finished(assignment.requestId(), 1, outcome);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/StoredCompletion.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StoredCompletion.java
@@ -6,11 +6,11 @@
 import java.io.UncheckedIOException;
 import org.curranthaven.internal.settings.Json;
 
-/** Reads a kept whole answer back. */
+/** Parses stored completion responses. */
 final class StoredCompletion {
   private StoredCompletion() {}
 
-  /** Parses an answer that {@link CompletionFormat#response} wrote. */
+  /** Parses a response that {@link CompletionFormat#response} wrote. */
   static Completion parse(ByteString body) {
     try {
       JsonNode node = Json.LENIENT.readTree(body.newInput());
@@ -23,7 +23,7 @@
           node.at("/usage/prompt_tokens").asInt(),
           node.at("/usage/completion_tokens").asInt());
     } catch (IOException e) {
-      throw new UncheckedIOException("a kept answer cannot be read", e);
+      throw new UncheckedIOException("stored completion response cannot be parsed", e);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/StreamRelay.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StreamRelay.java
@@ -3,15 +3,15 @@
 import org.curranthaven.api.ResultCode;
 
 /**
- * Decides what becomes of each event of one generation, so that the caller gets every token once,
- * in order and from one generation. It owns no clock, thread or socket. Not thread-safe.
+ * Decides how to handle each event of one request's generation, so that the caller gets every token
+ * once, in order and from a single generation. Uses no clock, thread or socket. Not thread-safe.
  *
- * <p>A token that was delivered is dropped when it comes again; a token that is ahead of the next
- * one means that some were lost, and the stream is asked for them again. Once a token of a
- * generation was delivered, no other generation is ever delivered.
+ * <p>A token that was already delivered is dropped. A token index beyond the next expected one
+ * means that tokens were lost, and the stream is resumed at the first of them. After a token of a
+ * generation was sent to the caller, no token of another generation is ever delivered.
  */
 final class StreamRelay {
-  /** Resumptions without a new token between them after which an engine counts as lost. */
+  /** Consecutive resumptions without a new token after which an engine counts as lost. */
   static final int MAX_RESUMPTIONS_WITHOUT_PROGRESS = 3;
 
   private final boolean streamed;
@@ -22,51 +22,51 @@
   private int resumptionsWithoutProgress;
   private boolean engineContacted;
 
-  /** What can happen to a generation. */
+  /** An event of a generation. */
   sealed interface Event {
-    /** An engine was asked to run or to continue the generation. */
+    /** A request to run or continue the generation was sent to an engine. */
     record Opened(String generation, boolean canResume) implements Event {}
 
     /** A token arrived. */
     record Token(String generation, int index) implements Event {}
 
-    /** Nothing arrived for longer than the class's gap allows. */
+    /** No token arrived within the token timeout of the class. */
     record TokenTimeout() implements Event {}
 
-    /** The connection broke or ended before the last token. */
+    /** The connection was lost or closed before the last token. */
     record Disconnected() implements Event {}
 
-    /** The engine refused before running. */
+    /** The engine rejected the request before running it. */
     record Rejected() implements Event {}
 
-    /** The engine is lost, or does not know the generation any longer. */
+    /** The engine is lost, or no longer knows the generation. */
     record EngineLost() implements Event {}
   }
 
-  /** What to do next. */
+  /** What the caller of {@link #handle} must do next. */
   enum Action {
     /** Deliver the token. */
     DELIVER,
-    /** Drop the token: it was delivered before. */
+    /** Drop the token: it was already delivered, or belongs to another generation. */
     DROP,
     /** Keep waiting. */
     WAIT,
-    /** Ask the same engine for the next token over a new connection. */
+    /** Resume at the next token on the same engine, over a new connection. */
     RESUME,
-    /** Ask another engine to continue this generation, or fail if there is none. */
+    /** Continue this generation on another engine, or fail if no engine can. */
     TAKE_OVER,
-    /** Run the request again as a new generation; nothing was delivered. */
+    /** Run the request again as a new generation; the caller has received nothing. */
     START_AGAIN,
-    /** End with {@link ResultCode#ENGINE_LOST}: a part was delivered. */
+    /** Fail with {@link ResultCode#ENGINE_LOST}: a part was delivered. */
     FAIL_LOST,
-    /** End with {@link ResultCode#OUTCOME_UNKNOWN}: it may have run and may not be repeated. */
+    /** Fail with {@link ResultCode#OUTCOME_UNKNOWN}: it may have run and must not be repeated. */
     FAIL_UNKNOWN
   }
 
   /**
-   * Creates the relay of one request.
+   * Creates the relay for one request.
    *
-   * @param streamed whether tokens go to the caller as they come
+   * @param streamed whether tokens are sent to the caller as they arrive
    * @param repeatable whether the request may run more than once
    */
   StreamRelay(boolean streamed, boolean repeatable) {
@@ -84,14 +84,14 @@
     return generation;
   }
 
-  /** Handles one event. */
+  /** Handles an event and returns the action to take. */
   Action handle(Event event) {
     return switch (event) {
       case Event.Opened opened -> handleOpened(opened);
       case Event.Token token -> handleToken(token);
-      case Event.TokenTimeout silent -> canResume ? resumeOrFailOver() : Action.WAIT;
-      case Event.Disconnected broken -> canResume ? resumeOrFailOver() : handleEngineLost();
-      case Event.Rejected refused -> handleRejected();
+      case Event.TokenTimeout timeout -> canResume ? resumeOrFailOver() : Action.WAIT;
+      case Event.Disconnected disconnected -> canResume ? resumeOrFailOver() : handleEngineLost();
+      case Event.Rejected rejected -> handleRejected();
       case Event.EngineLost lost -> handleEngineLost();
     };
   }
--- a/src/main/java/org/curranthaven/internal/gateway/StreamingSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StreamingSink.java
@@ -8,17 +8,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sends tokens to the caller as server-sent events. The answer begins with the first token, so that
- * an error before it has a status of its own.
+ * Sends tokens to the caller as server-sent events. The response is started with the first token,
+ * so that an earlier error can still be reported with its HTTP status.
  */
 final class StreamingSink implements TokenSink {
-  private final HttpRequestContext context;
-  private final CompletionFormat form;
-  private @Nullable OutputStream out;
+  private final HttpRequestContext exchange;
+  private final CompletionFormat format;
+  private @Nullable OutputStream body;
 
-  StreamingSink(HttpRequestContext context, CompletionFormat form) {
-    this.context = context;
-    this.form = form;
+  StreamingSink(HttpRequestContext exchange, CompletionFormat format) {
+    this.exchange = exchange;
+    this.format = format;
   }
 
   @Override
@@ -28,44 +28,45 @@
 
   @Override
   public void accept(EngineToken token) throws CallerDisconnectedException {
-    send("data: " + form.chunk(token) + "\n\n");
+    send("data: " + format.chunk(token) + "\n\n");
   }
 
   @Override
   public void checkCaller() throws CallerDisconnectedException {
-    if (out != null) {
+    if (body != null) {
       send(": waiting\n\n");
     }
   }
 
   @Override
   public void reset() {
-    if (out != null) {
-      throw new IllegalStateException("a stream that has begun cannot start again");
+    if (body != null) {
+      throw new IllegalStateException(
+          "cannot restart a response stream after its first token was sent");
     }
   }
 
-  /** Ends a whole stream. */
+  /** Ends a complete stream. */
   void finish(Completion completion, boolean includeUsage) throws CallerDisconnectedException {
     if (includeUsage) {
-      send("data: " + form.usageChunk(completion) + "\n\n");
+      send("data: " + format.usageChunk(completion) + "\n\n");
     }
     send("data: [DONE]\n\n");
   }
 
-  /** Ends a stream that broke off; the caller sees an error and no {@code [DONE]}. */
+  /** Ends an incomplete stream; the caller receives an error instead of {@code [DONE]}. */
   void fail(Failure failure) throws CallerDisconnectedException {
     send("data: " + Json.text(ErrorBodies.json(failure)) + "\n\n");
   }
 
   private void send(String event) throws CallerDisconnectedException {
     try {
-      if (out == null) {
-        context.setHeader("Cache-Control", "no-cache");
-        out = context.startStream("text/event-stream");
+      if (body == null) {
+        exchange.setHeader("Cache-Control", "no-cache");
+        body = exchange.startStream("text/event-stream");
       }
-      out.write(event.getBytes(StandardCharsets.UTF_8));
-      out.flush();
+      body.write(event.getBytes(StandardCharsets.UTF_8));
+      body.flush();
     } catch (IOException e) {
       throw new CallerDisconnectedException(e);
     }
--- a/src/main/java/org/curranthaven/internal/gateway/TokenSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/TokenSink.java
@@ -1,20 +1,20 @@
 package org.curranthaven.internal.gateway;
 
-/** Takes the tokens of one answer. */
+/** Receives the tokens of one response. */
 interface TokenSink {
-  /** Returns whether tokens go to the caller as they come. */
+  /** Returns whether tokens are sent to the caller as they arrive. */
   boolean isStreaming();
 
-  /** Takes the next token. */
+  /** Accepts the next token. */
   void accept(EngineToken token) throws CallerDisconnectedException;
 
-  /** Checks that the caller is still there, while no token comes. */
+  /** Checks that the caller is still connected while no token arrives. */
   void checkCaller() throws CallerDisconnectedException;
 
-  /** Drops what was taken, before another generation starts; only where nothing was delivered. */
+  /** Prepares for another generation; not allowed after a token was sent to the caller. */
   void reset();
 
-  /** The caller has closed its connection. */
+  /** Thrown when the caller has closed its connection. */
   final class CallerDisconnectedException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/org/curranthaven/internal/gateway/package-info.java
+++ b/src/main/java/org/curranthaven/internal/gateway/package-info.java
@@ -1,4 +1,4 @@
-/** Callers' edge: HTTP, streams, retries and plain services. */
+/** Gateway for callers: HTTP API, token streams, retries, idempotent requests, plain services. */
 @NullMarked
 package org.curranthaven.internal.gateway;
 
--- a/src/test/java/org/curranthaven/api/ResultCodeTest.java
+++ b/src/test/java/org/curranthaven/api/ResultCodeTest.java
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void the_table_in_the_docs_is_the_list_in_the_code() throws IOException {
+  void table_in_the_docs_equals_the_list_in_the_code() throws IOException {
     String rows =
         Files.readString(Path.of("docs/RESULT_CODES.md"))
             .lines()
@@ -38,11 +38,11 @@
   }
 
   @Test
-  void a_failure_says_what_happened_and_what_to_do_next() {
+  void full_message_says_what_happened_and_what_to_do_next() {
     Failure failure = Failure.of(ResultCode.UNKNOWN_MODEL, "model 'storyy' is not configured");
 
     assertThat(failure.fullMessage())
         .isEqualTo(
-            "model 'storyy' is not configured [1003] Ask GET /v1/models for the configured models.");
+            "model 'storyy' is not configured [1003] List the configured models with GET /v1/models.");
   }
 }
--- a/src/test/java/org/curranthaven/internal/gateway/IdempotencyKeyTest.java
+++ b/src/test/java/org/curranthaven/internal/gateway/IdempotencyKeyTest.java
@@ -11,21 +11,23 @@
 import org.junit.jupiter.api.Test;
 
 class IdempotencyKeyTest {
-  private static final long NOW = 1_764_800_000_123L;
+  private static final long NOW_EPOCH_MILLIS = 1_764_800_000_123L;
 
-  private static Outcome<IdempotencyKey> key(@Nullable String header, @Nullable String issuedAt) {
-    return IdempotencyKey.of(header, issuedAt, NOW, new SplittableRandom(1));
+  private static Outcome<IdempotencyKey> key(
+      @Nullable String header, @Nullable String issuedAtHeader) {
+    return IdempotencyKey.of(header, issuedAtHeader, NOW_EPOCH_MILLIS, new SplittableRandom(1));
   }
 
   @Test
-  void a_uuid_of_version_7_tells_when_it_was_issued() {
-    String uuid = IdempotencyKey.uuidWithTime(NOW, new SplittableRandom(3)).toString();
+  void issue_time_is_read_from_a_version_7_uuid() {
+    String uuid = IdempotencyKey.uuidWithTime(NOW_EPOCH_MILLIS, new SplittableRandom(3)).toString();
 
-    assertThat(key(uuid, null)).isEqualTo(Outcome.success(new IdempotencyKey(uuid, NOW, true)));
+    assertThat(key(uuid, null))
+        .isEqualTo(Outcome.success(new IdempotencyKey(uuid, NOW_EPOCH_MILLIS, true)));
   }
 
   @Test
-  void another_key_needs_a_header_that_tells_when_it_was_issued() {
+  void other_key_requires_the_issued_at_header() {
     assertThat(key("seat-7", "1764800000000"))
         .isEqualTo(Outcome.success(new IdempotencyKey("seat-7", 1_764_800_000_000L, true)));
     assertThat(key("seat-7", null))
@@ -35,7 +37,7 @@
   }
 
   @Test
-  void a_call_without_a_key_gets_one_of_its_own() {
+  void request_without_a_key_gets_a_generated_key() {
     assertThat(key(null, null))
         .isInstanceOfSatisfying(
             Outcome.Success.class,
@@ -43,9 +45,9 @@
   }
 
   @Test
-  void a_resent_request_that_was_not_looked_up_is_not_said_not_to_have_run() {
-    Failure refused = Failure.of(ResultCode.HOST_DRAINING, "this host is stopping");
+  void resent_request_whose_key_was_not_looked_up_is_not_reported_as_not_run() {
+    Failure rejection = Failure.of(ResultCode.HOST_DRAINING, "this host is draining");
 
-    assertThat(IdempotencyErrors.earlierAttemptMayHaveRun(refused).ran()).isEqualTo(Ran.UNKNOWN);
+    assertThat(IdempotencyErrors.earlierAttemptMayHaveRun(rejection).ran()).isEqualTo(Ran.UNKNOWN);
   }
 }
--- a/src/test/java/org/curranthaven/internal/gateway/RetryBudgetTest.java
+++ b/src/test/java/org/curranthaven/internal/gateway/RetryBudgetTest.java
@@ -9,7 +9,7 @@
   private final RetryBudget budget = new RetryBudget(new SplittableRandom(1));
 
   @Test
-  void when_everything_fails_retries_add_at_most_a_tenth_of_the_load() {
+  void retries_add_at_most_a_tenth_of_the_load_when_every_request_fails() {
     int requests = 10_000;
     int retries = 0;
     for (int i = 0; i < requests; i++) {
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void one_class_does_not_spend_another_ones_retries() {
+  void one_class_does_not_consume_the_retries_of_another() {
     while (budget.tryRetry("draft")) {
       budget.requested("door");
     }
@@ -30,9 +30,9 @@
   }
 
   @Test
-  void waiting_times_are_spread_over_a_range_that_grows_to_a_bound() {
-    for (int failures = 1; failures < 40; failures++) {
-      assertThat(budget.backoffMillis(failures)).isBetween(0L, 1_000L);
+  void retry_delays_are_between_zero_and_the_largest_delay() {
+    for (int failedAttempts = 1; failedAttempts < 40; failedAttempts++) {
+      assertThat(budget.backoffMillis(failedAttempts)).isBetween(0L, 1_000L);
     }
   }
 }
