--- a/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
@@ -21,9 +21,9 @@
 import org.curranthaven.internal.supervision.Clock;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
-/** Callers' requests: completions in the usual form, and plain services. Thread-safe. */
+/** HTTP API for callers: completions in the OpenAI format, and plain services. Thread-safe. */
 public final class CallerApi {
-  /** Header that names the class of work. */
+  /** Header that names the service class of a request. */
   public static final String CLASS_HEADER = "Curranthaven-Class";
 
   private static final String KEY_HEADER = "Idempotency-Key";
@@ -31,17 +31,17 @@
   private static final String SERVICES_PREFIX = "/services/";
   private static final int STATUS_OK = 200;
   private static final int MILLIS_PER_SECOND = 1_000;
-  private static final Set<String> REPEATED_BY_CLIENTS = Set.of("GET", "HEAD");
+  private static final Set<String> METHODS_RETRIED_BY_CLIENTS = Set.of("GET", "HEAD");
 
-  private final RequestContext context;
+  private final GatewayServices services;
   private final Ledger ledger;
-  private final ServiceClient services = new ServiceClient();
+  private final ServiceClient serviceClient = new ServiceClient();
   private final int maxBodyBytes;
   private final BooleanSupplier draining;
   private final RandomGenerator random;
-  private final WorkspaceKeyIndex keys = new WorkspaceKeyIndex();
+  private final WorkspaceKeyIndex workspaceKeys = new WorkspaceKeyIndex();
 
-  /** Creates the callers' part of a host. */
+  /** Creates the callers' API of a host. */
   public CallerApi(
       Router router,
       Ledger ledger,
@@ -50,42 +50,43 @@
       int maxBodyBytes,
       BooleanSupplier draining,
       RandomGenerator random) {
-    this.context = new RequestContext(router, new EngineClient(), clock, metrics);
+    this.services = new GatewayServices(router, new EngineClient(), clock, metrics);
     this.ledger = ledger;
     this.maxBodyBytes = maxBodyBytes;
     this.draining = draining;
     this.random = random;
   }
 
-  /** A request whose caller, class and key are known. */
-  private record Admitted(
+  /** An admitted request: its workspace, class and key are known. */
+  private record AdmittedRequest(
       Workspace workspace, ServiceClass serviceClass, IdempotencyKey key, long arrivedAtMillis) {}
 
-  /** Answers one request. */
+  /** Handles one request. */
   void handle(HttpRequestContext exchange) throws IOException, InterruptedException {
-    long arrivedAtMillis = context.clock().nowMillis();
+    long arrivedAtMillis = services.clock().nowMillis();
     String path = exchange.path();
     if (path.equals("/v1/chat/completions")) {
-      completion(exchange, true, arrivedAtMillis);
+      handleCompletion(exchange, true, arrivedAtMillis);
     } else if (path.equals("/v1/completions")) {
-      completion(exchange, false, arrivedAtMillis);
+      handleCompletion(exchange, false, arrivedAtMillis);
     } else if (path.equals("/v1/models")) {
-      models(exchange);
+      listModels(exchange);
     } else if (path.startsWith(SERVICES_PREFIX)) {
-      service(exchange, arrivedAtMillis);
+      handleService(exchange, arrivedAtMillis);
     } else {
-      exchange.failure(
-          Failure.of(ResultCode.UNKNOWN_PATH, "path '" + path + "' is not served here"));
+      exchange.failure(Failure.of(ResultCode.UNKNOWN_PATH, "path '" + path + "' does not exist"));
     }
   }
 
   // ---- completions ------------------------------------------------------------------------------
 
-  private void completion(HttpRequestContext exchange, boolean chat, long arrivedAtMillis)
+  private void handleCompletion(HttpRequestContext exchange, boolean chat, long arrivedAtMillis)
       throws IOException, InterruptedException {
     if (!exchange.method().equals("POST")) {
       exchange.failure(
-          Failure.of(ResultCode.METHOD_NOT_ALLOWED, "completions are asked for with POST"));
+          Failure.of(
+              ResultCode.METHOD_NOT_ALLOWED,
+              "method " + exchange.method() + " is not allowed: completions require POST"));
       return;
     }
     Outcome<byte[]> body = exchange.body(maxBodyBytes);
@@ -93,14 +94,14 @@
       exchange.failure(failed.failure());
       return;
     }
-    byte[] bytes = ((Outcome.Success<byte[]>) body).value();
-    Configuration configuration = context.router().configuration();
-    Outcome<Admitted> admission = admit(exchange, configuration, "", arrivedAtMillis);
-    if (admission instanceof Outcome.Failed<Admitted> failed) {
-      refuse(exchange, failed.failure());
+    byte[] bodyBytes = ((Outcome.Success<byte[]>) body).value();
+    Configuration configuration = services.router().configuration();
+    Outcome<AdmittedRequest> admission = admit(exchange, configuration, "", arrivedAtMillis);
+    if (admission instanceof Outcome.Failed<AdmittedRequest> failed) {
+      reject(exchange, failed.failure());
       return;
     }
-    Outcome<CompletionRequest> parsed = CompletionRequest.parse(chat, bytes);
+    Outcome<CompletionRequest> parsed = CompletionRequest.parse(chat, bodyBytes);
     if (parsed instanceof Outcome.Failed<CompletionRequest> failed) {
       exchange.failure(failed.failure());
       return;
@@ -113,19 +114,19 @@
               ResultCode.UNKNOWN_MODEL, "model '" + request.model() + "' is not configured"));
       return;
     }
-    Admitted admitted = ((Outcome.Success<Admitted>) admission).value();
-    context.metrics().requested(admitted.serviceClass().name());
-    RequestAttributes facts = facts(admitted, request, model);
+    AdmittedRequest admitted = ((Outcome.Success<AdmittedRequest>) admission).value();
+    services.metrics().requested(admitted.serviceClass().name());
+    RequestAttributes attributes = completionAttributes(admitted, request, model);
     exchange.setHeader("X-Request-Id", admitted.key().key());
     if (admitted.serviceClass().repeatable()) {
-      runCompletion(exchange, admitted, request, facts);
+      runCompletion(exchange, admitted, request, attributes);
     } else {
-      runKeyedCompletion(exchange, admitted, request, facts, bytes);
+      runIdempotentCompletion(exchange, admitted, request, attributes, bodyBytes);
     }
   }
 
-  private static RequestAttributes facts(
-      Admitted admitted, CompletionRequest request, Model model) {
+  private static RequestAttributes completionAttributes(
+      AdmittedRequest admitted, CompletionRequest request, Model model) {
     int limit =
         request.maxTokens() == 0
             ? model.maxOutputTokens()
@@ -143,47 +144,47 @@
         Set.of());
   }
 
-  private CompletionForm form(CompletionRequest request) {
-    return new CompletionForm(request, context.clock().epochMillis() / MILLIS_PER_SECOND);
+  private CompletionFormat completionFormat(CompletionRequest request) {
+    return new CompletionFormat(request, services.clock().epochMillis() / MILLIS_PER_SECOND);
   }
 
   private void runCompletion(
       HttpRequestContext exchange,
-      Admitted admitted,
+      AdmittedRequest admitted,
       CompletionRequest request,
-      RequestAttributes facts)
+      RequestAttributes attributes)
       throws IOException, InterruptedException {
-    CompletionForm form = form(request);
+    CompletionFormat format = completionFormat(request);
     if (!request.stream()) {
-      Outcome<Completion> outcome = generate(admitted, request, facts, new CollectingSink());
+      Outcome<Completion> outcome = generate(admitted, request, attributes, new NonStreamingSink());
       switch (outcome) {
         case Outcome.Success<Completion> success ->
-            exchange.json(STATUS_OK, form.whole(success.value()));
+            exchange.json(STATUS_OK, format.response(success.value()));
         case Outcome.Failed<Completion> failed -> fail(exchange, admitted, failed.failure());
       }
       return;
     }
-    StreamingSink sink = new StreamingSink(exchange, form);
+    StreamingSink sink = new StreamingSink(exchange, format);
     try {
-      streamed(exchange, admitted, request, sink, run(admitted, request, facts, sink));
-    } catch (TokenSink.CallerGoneException e) {
-      // The generation was cancelled; there is nobody to tell.
+      endStream(exchange, admitted, request, sink, run(admitted, request, attributes, sink));
+    } catch (TokenSink.CallerDisconnectedException e) {
+      // The generation was cancelled; no response can be sent.
     }
   }
 
-  private void streamed(
+  private void endStream(
       HttpRequestContext exchange,
-      Admitted admitted,
+      AdmittedRequest admitted,
       CompletionRequest request,
       StreamingSink sink,
       Outcome<Completion> outcome)
-      throws IOException, TokenSink.CallerGoneException {
+      throws IOException, TokenSink.CallerDisconnectedException {
     switch (outcome) {
       case Outcome.Success<Completion> success ->
           sink.finish(success.value(), request.includeUsage());
       case Outcome.Failed<Completion> failed -> {
-        if (exchange.answered()) {
-          context.metrics().failed(admitted.serviceClass().name(), failed.failure().code());
+        if (exchange.responseStarted()) {
+          services.metrics().failed(admitted.serviceClass().name(), failed.failure().code());
           sink.fail(failed.failure());
         } else {
           fail(exchange, admitted, failed.failure());
@@ -193,73 +194,80 @@
   }
 
   private Outcome<Completion> run(
-      Admitted admitted, CompletionRequest request, RequestAttributes facts, TokenSink sink)
-      throws InterruptedException, TokenSink.CallerGoneException {
+      AdmittedRequest admitted,
+      CompletionRequest request,
+      RequestAttributes attributes,
+      TokenSink sink)
+      throws InterruptedException, TokenSink.CallerDisconnectedException {
     return new GenerationHandler(
-            context, admitted.key().key(), request, facts, admitted.serviceClass(), sink)
+            services, admitted.key().key(), request, attributes, admitted.serviceClass(), sink)
         .run();
   }
 
   private Outcome<Completion> generate(
-      Admitted admitted, CompletionRequest request, RequestAttributes facts, CollectingSink sink)
+      AdmittedRequest admitted,
+      CompletionRequest request,
+      RequestAttributes attributes,
+      NonStreamingSink sink)
       throws InterruptedException {
     try {
-      return run(admitted, request, facts, sink);
-    } catch (TokenSink.CallerGoneException e) {
-      throw new IllegalStateException("a collecting sink has no caller to lose", e);
+      return run(admitted, request, attributes, sink);
+    } catch (TokenSink.CallerDisconnectedException e) {
+      throw new IllegalStateException(
+          "a non-streaming sink cannot detect that the caller has disconnected", e);
     }
   }
 
   /**
-   * Runs a completion that may not be repeated. Its answer is held whole and kept; a caller that
-   * asked for a stream gets it as one.
+   * Runs a completion that must not be repeated. The complete response is collected and stored
+   * before it is sent; a caller that requested a stream gets it as a stream of one token.
    */
-  private void runKeyedCompletion(
+  private void runIdempotentCompletion(
       HttpRequestContext exchange,
-      Admitted admitted,
+      AdmittedRequest admitted,
       CompletionRequest request,
-      RequestAttributes facts,
+      RequestAttributes attributes,
       byte[] body)
       throws IOException, InterruptedException {
-    CompletionForm form = form(request);
-    ByteString hash = Hashes.sha256(utf8(exchange.path()), body);
+    CompletionFormat format = completionFormat(request);
+    ByteString requestHash = Hashes.sha256(utf8(exchange.path()), body);
     Outcome<StoredAnswer> outcome =
-        keyed(
+        runIdempotent(
             admitted,
-            hash,
+            requestHash,
             () ->
-                switch (generate(admitted, request, facts, new CollectingSink())) {
+                switch (generate(admitted, request, attributes, new NonStreamingSink())) {
                   case Outcome.Success<Completion> success ->
-                      Outcome.success(storedJson(form.whole(success.value())));
+                      Outcome.success(storedJson(format.response(success.value())));
                   case Outcome.Failed<Completion> failed -> Outcome.failed(failed.failure());
                 });
     switch (outcome) {
       case Outcome.Success<StoredAnswer> success -> {
         if (request.stream() && success.value().getStatus() == STATUS_OK) {
-          sendAsStream(exchange, form, request, success.value());
+          sendStoredAsStream(exchange, format, request, success.value());
         } else {
-          exchange.answer(success.value());
+          exchange.sendStored(success.value());
         }
       }
       case Outcome.Failed<StoredAnswer> failed -> fail(exchange, admitted, failed.failure());
     }
   }
 
-  private static void sendAsStream(
+  private static void sendStoredAsStream(
       HttpRequestContext exchange,
-      CompletionForm form,
+      CompletionFormat format,
       CompletionRequest request,
-      StoredAnswer answer)
+      StoredAnswer response)
       throws IOException {
-    Completion completion = StoredCompletion.parse(answer.getBody());
-    StreamingSink sink = new StreamingSink(exchange, form);
+    Completion completion = StoredCompletion.parse(response.getBody());
+    StreamingSink sink = new StreamingSink(exchange, format);
     try {
-      sink.token(
+      sink.accept(
           new EngineToken(
               completion.generation(), 0, completion.text(), completion.finishReason(), 0));
       sink.finish(completion, request.includeUsage());
-    } catch (TokenSink.CallerGoneException e) {
-      // The answer is kept; the caller can ask for it again.
+    } catch (TokenSink.CallerDisconnectedException e) {
+      // The response is stored; the caller can request it again with the same key.
     }
   }
 
@@ -271,28 +279,29 @@
         .build();
   }
 
-  private void models(HttpRequestContext exchange) throws IOException {
+  private void listModels(HttpRequestContext exchange) throws IOException {
     exchange.json(
         STATUS_OK,
         Map.of(
             "object",
             "list",
             "data",
-            context.router().configuration().models().keySet().stream()
+            services.router().configuration().models().keySet().stream()
                 .map(name -> Map.of("id", name, "object", "model", "owned_by", "curranthaven"))
                 .toList()));
   }
 
   // ---- plain services ---------------------------------------------------------------------------
 
-  private void service(HttpRequestContext exchange, long arrivedAtMillis)
+  private void handleService(HttpRequestContext exchange, long arrivedAtMillis)
       throws IOException, InterruptedException {
-    String[] parts = exchange.path().substring(SERVICES_PREFIX.length()).split("/", 2);
-    Configuration configuration = context.router().configuration();
-    PlainService service = configuration.services().get(parts[0]);
+    String[] pathParts = exchange.path().substring(SERVICES_PREFIX.length()).split("/", 2);
+    Configuration configuration = services.router().configuration();
+    PlainService service = configuration.services().get(pathParts[0]);
     if (service == null) {
       exchange.failure(
-          Failure.of(ResultCode.UNKNOWN_SERVICE, "service '" + parts[0] + "' is not configured"));
+          Failure.of(
+              ResultCode.UNKNOWN_SERVICE, "service '" + pathParts[0] + "' is not configured"));
       return;
     }
     Outcome<byte[]> body = exchange.body(maxBodyBytes);
@@ -300,20 +309,20 @@
       exchange.failure(failed.failure());
       return;
     }
-    Outcome<Admitted> admission =
+    Outcome<AdmittedRequest> admission =
         admit(exchange, configuration, service.defaultClass(), arrivedAtMillis);
-    if (admission instanceof Outcome.Failed<Admitted> failed) {
-      refuse(exchange, failed.failure());
+    if (admission instanceof Outcome.Failed<AdmittedRequest> failed) {
+      reject(exchange, failed.failure());
       return;
     }
-    Admitted admitted = ((Outcome.Success<Admitted>) admission).value();
-    byte[] bytes = ((Outcome.Success<byte[]>) body).value();
-    context.metrics().requested(admitted.serviceClass().name());
-    runService(exchange, admitted, service, bytes);
+    AdmittedRequest admitted = ((Outcome.Success<AdmittedRequest>) admission).value();
+    byte[] bodyBytes = ((Outcome.Success<byte[]>) body).value();
+    services.metrics().requested(admitted.serviceClass().name());
+    runService(exchange, admitted, service, bodyBytes);
   }
 
   private void runService(
-      HttpRequestContext exchange, Admitted admitted, PlainService service, byte[] body)
+      HttpRequestContext exchange, AdmittedRequest admitted, PlainService service, byte[] body)
       throws IOException, InterruptedException {
     String path = exchange.rawPath().substring(SERVICES_PREFIX.length() + service.name().length());
     String contentType = exchange.header("Content-Type");
@@ -325,35 +334,39 @@
             contentType == null ? "" : contentType,
             ByteString.copyFrom(body),
             repeatable ? "" : admitted.key().key());
-    RequestAttributes facts = serviceFacts(admitted, service);
-    ServiceRequestHandler call =
-        new ServiceRequestHandler(context, services, admitted.serviceClass());
+    RequestAttributes attributes = serviceAttributes(admitted, service);
+    ServiceRequestHandler handler =
+        new ServiceRequestHandler(services, serviceClient, admitted.serviceClass());
     exchange.setHeader("X-Request-Id", admitted.key().key());
-    if (!repeatable && REPEATED_BY_CLIENTS.contains(exchange.method())) {
+    if (!repeatable && METHODS_RETRIED_BY_CLIENTS.contains(exchange.method())) {
       exchange.failure(
           Failure.of(
               ResultCode.METHOD_NOT_ALLOWED,
-              exchange.method() + " may be repeated on the way, which the class does not allow"));
+              exchange.method()
+                  + " requests may be retried by clients and proxies, but requests of class '"
+                  + admitted.serviceClass().name()
+                  + "' must not be repeated"));
       return;
     }
     Outcome<StoredAnswer> outcome =
         repeatable
-            ? call.run(admitted.key().key(), facts, request)
-            : keyed(
+            ? handler.run(admitted.key().key(), attributes, request)
+            : runIdempotent(
                 admitted,
                 Hashes.sha256(utf8(exchange.method()), utf8(exchange.rawPath()), body),
-                () -> call.run(admitted.key().key(), facts, request));
+                () -> handler.run(admitted.key().key(), attributes, request));
     switch (outcome) {
       case Outcome.Success<StoredAnswer> success -> {
-        long millis = context.clock().nowMillis() - admitted.arrivedAtMillis();
-        context.metrics().firstReply(admitted.serviceClass(), millis);
-        exchange.answer(success.value());
+        long elapsedMillis = services.clock().nowMillis() - admitted.arrivedAtMillis();
+        services.metrics().firstReply(admitted.serviceClass(), elapsedMillis);
+        exchange.sendStored(success.value());
       }
       case Outcome.Failed<StoredAnswer> failed -> fail(exchange, admitted, failed.failure());
     }
   }
 
-  private static RequestAttributes serviceFacts(Admitted admitted, PlainService service) {
+  private static RequestAttributes serviceAttributes(
+      AdmittedRequest admitted, PlainService service) {
     return new RequestAttributes(
         0,
         admitted.workspace().name(),
@@ -367,10 +380,12 @@
         Set.of());
   }
 
-  // ---- shared -----------------------------------------------------------------------------------
+  // ---- admission and idempotency ----------------------------------------------------------------
 
-  private Outcome<StoredAnswer> keyed(
-      Admitted admitted, ByteString hash, IdempotentRequestHandler.Execution execution)
+  private Outcome<StoredAnswer> runIdempotent(
+      AdmittedRequest admitted,
+      ByteString requestHash,
+      IdempotentRequestHandler.Execution execution)
       throws InterruptedException {
     IdempotencyKey key = admitted.key();
     Ledger.ClaimRequest claim =
@@ -378,43 +393,51 @@
             admitted.workspace().name(),
             key.key(),
             key.issuedAtMillis(),
-            hash,
+            requestHash,
             IdempotencyKey.uuidWithTime(key.issuedAtMillis(), random).toString());
-    return new IdempotentRequestHandler(ledger, context.router(), context.clock())
+    return new IdempotentRequestHandler(ledger, services.router(), services.clock())
         .run(claim, admitted.serviceClass().targets().answerMillis(), execution);
   }
 
-  private Outcome<Admitted> admit(
+  private Outcome<AdmittedRequest> admit(
       HttpRequestContext exchange,
       Configuration configuration,
       String defaultClass,
       long arrivedAtMillis) {
     if (draining.getAsBoolean()) {
       return Outcome.failed(
-          Failure.retryLater(ResultCode.HOST_DRAINING, "this host is stopping", 1));
+          Failure.retryLater(
+              ResultCode.HOST_DRAINING, "this host is draining and accepts no new requests", 1));
     }
-    if (!context.router().mayServe()) {
+    if (!services.router().mayServe()) {
       return Outcome.failed(
           Failure.retryLater(
               ResultCode.HOST_NOT_FRESH,
-              "this host does not know whether its configuration is the one in force",
+              "this host cannot confirm that its configuration is current",
               1));
     }
-    Workspace workspace = keys.workspace(configuration, exchange.header("Authorization"));
+    Workspace workspace =
+        workspaceKeys.findWorkspace(configuration, exchange.header("Authorization"));
     if (workspace == null) {
-      return Outcome.failed(ResultCode.BAD_KEY, "the bearer key belongs to no workspace");
+      return Outcome.failed(
+          ResultCode.BAD_KEY,
+          "the Authorization header is missing, or its bearer key belongs to no workspace");
     }
-    long waitMillis = context.router().takeFromLimit(workspace);
-    if (waitMillis > 0) {
+    long retryAfterMillis = services.router().acquireWorkspacePermit(workspace);
+    if (retryAfterMillis > 0) {
       return Outcome.failed(
           Failure.retryLater(
               ResultCode.WORKSPACE_LIMIT,
-              "workspace '" + workspace.name() + "' is over its requests a second",
-              waitMillis));
+              "workspace '"
+                  + workspace.name()
+                  + "' exceeded its limit of "
+                  + workspace.requestsPerSecond()
+                  + " requests per second",
+              retryAfterMillis));
     }
-    String asked = exchange.header(CLASS_HEADER);
-    String byDefault = defaultClass.isEmpty() ? workspace.defaultClass() : defaultClass;
-    String className = asked == null ? byDefault : asked;
+    String requestedClass = exchange.header(CLASS_HEADER);
+    String fallbackClass = defaultClass.isEmpty() ? workspace.defaultClass() : defaultClass;
+    String className = requestedClass == null ? fallbackClass : requestedClass;
     ServiceClass serviceClass = configuration.classes().get(className);
     if (serviceClass == null) {
       return Outcome.failed(
@@ -424,24 +447,25 @@
         IdempotencyKey.of(
             serviceClass.repeatable() ? null : exchange.header(KEY_HEADER),
             exchange.header(ISSUED_AT_HEADER),
-            context.clock().epochMillis(),
+            services.clock().epochMillis(),
             random);
     return switch (key) {
       case Outcome.Success<IdempotencyKey> success ->
-          Outcome.success(new Admitted(workspace, serviceClass, success.value(), arrivedAtMillis));
+          Outcome.success(
+              new AdmittedRequest(workspace, serviceClass, success.value(), arrivedAtMillis));
       case Outcome.Failed<IdempotencyKey> failed -> Outcome.failed(failed.failure());
     };
   }
 
-  /** Refuses a request that was not admitted; a resent one may have run before. */
-  private void refuse(HttpRequestContext exchange, Failure failure) throws IOException {
+  /** Rejects a request that was not admitted; if it was resent, it may have run before. */
+  private void reject(HttpRequestContext exchange, Failure failure) throws IOException {
     boolean resent = exchange.header(KEY_HEADER) != null;
     exchange.failure(resent ? IdempotencyErrors.earlierAttemptMayHaveRun(failure) : failure);
   }
 
-  private void fail(HttpRequestContext exchange, Admitted admitted, Failure failure)
+  private void fail(HttpRequestContext exchange, AdmittedRequest admitted, Failure failure)
       throws IOException {
-    context.metrics().failed(admitted.serviceClass().name(), failure.code());
+    services.metrics().failed(admitted.serviceClass().name(), failure.code());
     exchange.failure(failure);
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/EngineClient.java
+++ b/src/main/java/org/curranthaven/internal/gateway/EngineClient.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Executors;
 import org.curranthaven.internal.settings.Json;
 
-/** Calls to engines over HTTP. Thread-safe. */
+/** HTTP client for engines. Thread-safe. */
 final class EngineClient {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(2);
@@ -30,13 +30,13 @@
         .build();
   }
 
-  /** Returns a stream of the answer; it reports everything, failures included, as items. */
+  /** Sends a request and returns its response stream; failures are reported as items too. */
   EngineStream open(String address, String path, ObjectNode body) {
     return open(client, address, path, body);
   }
 
-  /** Does the same over a new connection, for when an open one may be silent for good. */
-  EngineStream openFresh(String address, String path, ObjectNode body) {
+  /** Does the same over a new connection, since a pooled one may never deliver data again. */
+  EngineStream openOnNewConnection(String address, String path, ObjectNode body) {
     return open(newClient(), address, path, body);
   }
 
@@ -49,19 +49,19 @@
             .build();
     EngineStream stream = new EngineStream();
     client
-        .sendAsync(request, info -> subscriber(info, stream))
-        .whenComplete((response, failure) -> completed(stream, response, failure));
+        .sendAsync(request, info -> createBodySubscriber(info, stream))
+        .whenComplete((response, failure) -> handleCompletion(stream, response, failure));
     return stream;
   }
 
-  private static HttpResponse.BodySubscriber<String> subscriber(
+  private static HttpResponse.BodySubscriber<String> createBodySubscriber(
       HttpResponse.ResponseInfo info, EngineStream stream) {
     return info.statusCode() == STATUS_OK
         ? BodySubscribers.fromLineSubscriber(stream, s -> "", StandardCharsets.UTF_8, "\n")
         : BodySubscribers.ofString(StandardCharsets.UTF_8);
   }
 
-  private static void completed(
+  private static void handleCompletion(
       EngineStream stream, HttpResponse<String> response, Throwable failure) {
     if (failure != null) {
       Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
@@ -69,16 +69,16 @@
           cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException;
       stream.end(
           notConnected
-              ? new EngineStream.Item.NotConnected(String.valueOf(cause))
-              : new EngineStream.Item.Ended(String.valueOf(cause)));
+              ? new EngineStream.Item.ConnectFailed(String.valueOf(cause))
+              : new EngineStream.Item.Closed(String.valueOf(cause)));
     } else if (response.statusCode() != STATUS_OK) {
-      stream.end(new EngineStream.Item.Rejected(response.statusCode(), response.body()));
+      stream.end(new EngineStream.Item.ErrorResponse(response.statusCode(), response.body()));
     }
   }
 
-  /** Cancels a generation over a connection of its own; the outcome is not waited for. */
-  void cancel(String address, String generation) {
-    ObjectNode body = Json.MAPPER.createObjectNode().put("generation_id", generation);
+  /** Cancels a generation with a separate request; does not wait for the result. */
+  void cancel(String address, String generationId) {
+    ObjectNode body = Json.MAPPER.createObjectNode().put("generation_id", generationId);
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + address + "/v1/cancel"))
             .timeout(CANCEL_TIMEOUT)
--- a/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
@@ -6,9 +6,9 @@
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.transport.wire.StoredAnswer;
 
-/** Words errors for callers: the usual JSON shape with the result code and whether it ran. */
+/** Formats errors for callers as JSON, with the result code and whether the request ran. */
 public final class ErrorBodies {
-  /** Content type of error bodies. */
+  /** Content type of JSON bodies. */
   public static final String JSON = "application/json";
 
   private static final int FIRST_SERVER_ERROR = 500;
@@ -19,7 +19,7 @@
   public static ObjectNode json(Failure failure) {
     ObjectNode body = Json.MAPPER.createObjectNode();
     ObjectNode error = body.putObject("error");
-    error.put("message", failure.sentence());
+    error.put("message", failure.fullMessage());
     error.put("type", type(failure));
     error.put("code", failure.code().number());
     error.put("ran", failure.ran().wireName());
@@ -34,8 +34,8 @@
         : "server_error";
   }
 
-  /** Returns the error as the kept answer of a call. */
-  static StoredAnswer stored(Failure failure) {
+  /** Returns the error as a response that can be stored for a request. */
+  static StoredAnswer storedResponse(Failure failure) {
     return StoredAnswer.newBuilder()
         .setStatus(failure.code().httpStatus())
         .setContentType(JSON)
--- a/src/main/java/org/curranthaven/internal/gateway/RequestContext.java
+++ /dev/null
@@ -1,6 +0,0 @@
-package org.curranthaven.internal.gateway;
-
-import org.curranthaven.internal.supervision.Clock;
-
-/** What calls share on one host. */
-record RequestContext(Router router, EngineClient engines, Clock clock, Metrics metrics) {}
--- a/src/main/java/org/curranthaven/internal/gateway/TokenSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/TokenSink.java
@@ -1,25 +1,25 @@
 package org.curranthaven.internal.gateway;
 
-/** Takes the tokens of one answer. */
+/** Receives the tokens of one response. */
 interface TokenSink {
-  /** Returns whether tokens go to the caller as they come. */
-  boolean streamed();
+  /** Returns whether tokens are sent to the caller as they arrive. */
+  boolean isStreaming();
 
-  /** Takes the next token. */
-  void token(EngineToken token) throws CallerGoneException;
+  /** Accepts the next token. */
+  void accept(EngineToken token) throws CallerDisconnectedException;
 
-  /** Checks that the caller is still there, while no token comes. */
-  void probe() throws CallerGoneException;
+  /** Checks that the caller is still connected while no token arrives. */
+  void checkCaller() throws CallerDisconnectedException;
 
-  /** Drops what was taken, before another generation starts; only where nothing was delivered. */
-  void restart();
+  /** Prepares for another generation; not allowed after a token was sent to the caller. */
+  void reset();
 
-  /** The caller has closed its connection. */
-  final class CallerGoneException extends Exception {
+  /** Thrown when the caller has closed its connection. */
+  final class CallerDisconnectedException extends Exception {
     private static final long serialVersionUID = 1;
 
     /** Creates the exception. */
-    CallerGoneException(Throwable cause) {
+    CallerDisconnectedException(Throwable cause) {
       super(cause);
     }
   }
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -233,7 +233,7 @@
       ControlRequest.ReplaceCatalog replace, Consumer<ControlResponse> callback) {
     switch (protocol.catalogs().decode(replace.document())) {
       case Outcome.Failed<Catalog> failed ->
-          callback.accept(ControlResponse.error(400, failed.failure().sentence()));
+          callback.accept(ControlResponse.error(400, failed.failure().fullMessage()));
       case Outcome.Success<Catalog> success ->
           leaderClient.send(
               LeaderClient.REPLACE_CATALOG,
