--- a/src/main/java/org/curranthaven/internal/configuration/AcceptanceCore.java
+++ b/src/main/java/org/curranthaven/internal/configuration/AcceptanceCore.java
@@ -19,9 +19,9 @@
  */
 public final class AcceptanceCore {
   /** How long a lease given now can last on a host whose clock runs slow, in milliseconds. */
-  public static final long LEASE_BOUND_MILLIS = FreshnessCore.LEASE_MILLIS * 21 / 20;
+  public static final long MAX_LEASE_MILLIS = FreshnessCore.LEASE_MILLIS * 21 / 20;
 
-  private final Map<String, HostLease> hosts = new HashMap<>();
+  private final Map<String, HostLease> leasesByHost = new HashMap<>();
   private final Map<String, Long> revisionByVoter = new HashMap<>();
   private Set<String> voters = Set.of();
   private final TreeMap<Long, List<Long>> waitersByRevision = new TreeMap<>();
@@ -31,9 +31,9 @@
 
   /** Starts leadership: leases given before may last until the bound has passed. */
   public void leadershipStarted(long nowMillis) {
-    hosts.clear();
+    leasesByHost.clear();
     revisionByVoter.clear();
-    unknownLeasesEndMillis = nowMillis + LEASE_BOUND_MILLIS;
+    unknownLeasesEndMillis = nowMillis + MAX_LEASE_MILLIS;
   }
 
   /** Notes the voter set in force; leases given under another one may be unknown. */
@@ -41,7 +41,7 @@
     if (!voters.equals(identities)) {
       voters = Set.copyOf(identities);
       if (unknownLeasesEndMillis != Long.MAX_VALUE) {
-        unknownLeasesEndMillis = nowMillis + LEASE_BOUND_MILLIS;
+        unknownLeasesEndMillis = nowMillis + MAX_LEASE_MILLIS;
       }
     }
   }
@@ -58,7 +58,7 @@
     List<Long> waiters = new ArrayList<>();
     waitersByRevision.values().forEach(waiters::addAll);
     waitersByRevision.clear();
-    hosts.clear();
+    leasesByHost.clear();
     unknownLeasesEndMillis = Long.MAX_VALUE;
     return waiters;
   }
@@ -67,19 +67,20 @@
    * Notes a host's request and returns whether to grant a lease: only for the latest committed
    * revision.
    */
-  public boolean request(String host, long hostRevision, long committedRevision, long nowMillis) {
+  public boolean requestLease(
+      String host, long hostRevision, long committedRevision, long nowMillis) {
     if (hostRevision != committedRevision) {
       return false;
     }
-    hosts.put(host, new HostLease(hostRevision, nowMillis + LEASE_BOUND_MILLIS));
+    leasesByHost.put(host, new HostLease(hostRevision, nowMillis + MAX_LEASE_MILLIS));
     return true;
   }
 
   /** Notes a lease that a control host other than the leader has given to a host. */
-  public void leaseGivenElsewhere(
+  public void leaseGrantedByVoter(
       String host, long revision, long remainingMillis, long nowMillis) {
-    long end = nowMillis + remainingMillis + (LEASE_BOUND_MILLIS - FreshnessCore.LEASE_MILLIS);
-    hosts.merge(
+    long end = nowMillis + remainingMillis + (MAX_LEASE_MILLIS - FreshnessCore.LEASE_MILLIS);
+    leasesByHost.merge(
         host,
         new HostLease(revision, end),
         (known, added) ->
@@ -89,28 +90,29 @@
   }
 
   /** Waits for {@code revision} to be in force everywhere on behalf of {@code waiter}. */
-  public void await(long revision, long waiter) {
+  public void awaitActivation(long revision, long waiter) {
     waitersByRevision.computeIfAbsent(revision, r -> new ArrayList<>()).add(waiter);
   }
 
   /** Returns the waiters whose revision is now in force on every host that may serve. */
-  public List<Long> takeAccepted(long nowMillis) {
+  public List<Long> drainAccepted(long nowMillis) {
     List<Long> accepted = new ArrayList<>();
-    while (!waitersByRevision.isEmpty() && inForce(waitersByRevision.firstKey(), nowMillis)) {
+    while (!waitersByRevision.isEmpty()
+        && isActiveEverywhere(waitersByRevision.firstKey(), nowMillis)) {
       accepted.addAll(waitersByRevision.pollFirstEntry().getValue());
     }
     return accepted;
   }
 
   /** Returns whether no host can be serving a revision below {@code revision}. */
-  public boolean inForce(long revision, long nowMillis) {
-    hosts.values().removeIf(lease -> lease.endMillis() <= nowMillis);
+  public boolean isActiveEverywhere(long revision, long nowMillis) {
+    leasesByHost.values().removeIf(lease -> lease.endMillis() <= nowMillis);
     return nowMillis >= unknownLeasesEndMillis
-        && isKnownToMajority(revision)
-        && hosts.values().stream().allMatch(lease -> lease.revision() >= revision);
+        && isReportedByMajority(revision)
+        && leasesByHost.values().stream().allMatch(lease -> lease.revision() >= revision);
   }
 
-  private boolean isKnownToMajority(long revision) {
+  private boolean isReportedByMajority(long revision) {
     long reported =
         voters.stream().filter(id -> revisionByVoter.getOrDefault(id, 0L) >= revision).count();
     return reported * 2 > voters.size();
@@ -118,7 +120,7 @@
 
   /** Returns the number of hosts that hold a lease. */
   public int leaseCount(long nowMillis) {
-    hosts.values().removeIf(lease -> lease.endMillis() <= nowMillis);
-    return hosts.size();
+    leasesByHost.values().removeIf(lease -> lease.endMillis() <= nowMillis);
+    return leasesByHost.size();
   }
 }
--- a/src/main/java/org/curranthaven/internal/configuration/ConfigurationEditor.java
+++ b/src/main/java/org/curranthaven/internal/configuration/ConfigurationEditor.java
@@ -13,7 +13,7 @@
 /** Applies edits to a configuration and checks the result as a whole. */
 final class ConfigurationEditor {
   /** Gap targets below this cannot be met by the engines known today, in milliseconds. */
-  private static final long SHORTEST_GAP_MILLIS = 5;
+  private static final long MIN_GAP_MILLIS = 5;
 
   private final SortedMap<String, ServiceClass> classes;
   private final SortedMap<String, Workspace> workspaces;
@@ -28,7 +28,7 @@
     services = new TreeMap<>(base.services());
   }
 
-  void edit(Edit edit) {
+  void apply(Edit edit) {
     switch (edit) {
       case Edit.PutClass put -> classes.put(put.value().name(), put.value());
       case Edit.PutWorkspace put -> workspaces.put(put.value().name(), put.value());
@@ -77,11 +77,11 @@
   /** Returns targets that look unreachable. */
   List<String> warnings() {
     return classes.values().stream()
-        .filter(c -> c.targets().gapMillis() < SHORTEST_GAP_MILLIS)
+        .filter(c -> c.targets().gapMillis() < MIN_GAP_MILLIS)
         .map(
             c ->
                 "class %s asks for a gap of %d ms; no engine is known to stay below %d ms"
-                    .formatted(c.name(), c.targets().gapMillis(), SHORTEST_GAP_MILLIS))
+                    .formatted(c.name(), c.targets().gapMillis(), MIN_GAP_MILLIS))
         .toList();
   }
 
--- a/src/main/java/org/curranthaven/internal/configuration/ConfigurationState.java
+++ b/src/main/java/org/curranthaven/internal/configuration/ConfigurationState.java
@@ -14,15 +14,15 @@
  */
 public final class ConfigurationState {
   /** Number of past answers kept for changes that are sent again. */
-  static final int ANSWERS_KEPT = 8_192;
+  static final int MAX_STORED_RESULTS = 8_192;
 
   /** Number of revisions kept in the history. */
-  static final int HISTORY_KEPT = 1_000;
+  static final int MAX_HISTORY_ENTRIES = 1_000;
 
   private Configuration current = Configuration.empty();
-  private final Map<String, ChangeResult> answers = new LinkedHashMap<>();
+  private final Map<String, ChangeResult> resultsByChangeId = new LinkedHashMap<>();
   private final List<HistoryEntry> history = new ArrayList<>();
-  private final RecentChanges recent = new RecentChanges();
+  private final RecentChanges recentChanges = new RecentChanges();
 
   /**
    * State as it stands in snapshots.
@@ -41,7 +41,7 @@
 
   /** Returns the deltas after {@code revision}; an empty list if not all of them are kept. */
   public List<ConfigurationDelta> deltasAfter(long revision) {
-    return recent.after(revision);
+    return recentChanges.after(revision);
   }
 
   /** Returns the revisions kept, oldest first. */
@@ -51,44 +51,44 @@
 
   /** Applies a change, or returns the answer it got before. */
   public ChangeResult apply(ConfigurationChange change) {
-    ChangeResult before = answers.get(change.changeId());
+    ChangeResult before = resultsByChangeId.get(change.changeId());
     if (before != null) {
       return before;
     }
-    ChangeResult result = decide(change);
-    answers.put(change.changeId(), result);
-    if (answers.size() > ANSWERS_KEPT) {
-      answers.remove(answers.keySet().iterator().next());
+    ChangeResult result = applyNew(change);
+    resultsByChangeId.put(change.changeId(), result);
+    if (resultsByChangeId.size() > MAX_STORED_RESULTS) {
+      resultsByChangeId.remove(resultsByChangeId.keySet().iterator().next());
     }
     return result;
   }
 
-  private ChangeResult decide(ConfigurationChange change) {
+  private ChangeResult applyNew(ConfigurationChange change) {
     if (change.baseRevision() != current.revision()) {
-      HistoryEntry winner = revisionAfter(change.baseRevision());
+      HistoryEntry winner = historyEntryAfter(change.baseRevision());
       return new ChangeResult.Conflict(
           current.revision(),
           winner == null ? "" : winner.changeId(),
           winner == null ? "" : winner.operator());
     }
     ConfigurationEditor editor = new ConfigurationEditor(current);
-    change.edits().forEach(editor::edit);
+    change.edits().forEach(editor::apply);
     List<String> faults = editor.faults();
     if (!faults.isEmpty()) {
       return new ChangeResult.Invalid(faults);
     }
     current = editor.build(current.revision() + 1);
-    recent.add(current.revision(), change.edits());
+    recentChanges.add(current.revision(), change.edits());
     history.add(
         new HistoryEntry(
             current.revision(), change.changeId(), change.operator(), change.edits().size()));
-    if (history.size() > HISTORY_KEPT) {
+    if (history.size() > MAX_HISTORY_ENTRIES) {
       history.removeFirst();
     }
     return new ChangeResult.Committed(current.revision(), editor.warnings());
   }
 
-  private @Nullable HistoryEntry revisionAfter(long revision) {
+  private @Nullable HistoryEntry historyEntryAfter(long revision) {
     return history.stream()
         .filter(entry -> entry.revision() == revision + 1)
         .findFirst()
@@ -97,15 +97,15 @@
 
   /** Returns the whole state. */
   public Snapshot snapshot() {
-    return new Snapshot(current, new LinkedHashMap<>(answers), List.copyOf(history));
+    return new Snapshot(current, new LinkedHashMap<>(resultsByChangeId), List.copyOf(history));
   }
 
   /** Replaces the whole state. */
   public void restore(Snapshot snapshot) {
     current = snapshot.current();
-    recent.clear();
-    answers.clear();
-    answers.putAll(snapshot.answers());
+    recentChanges.clear();
+    resultsByChangeId.clear();
+    resultsByChangeId.putAll(snapshot.answers());
     history.clear();
     history.addAll(snapshot.history());
   }
--- a/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
@@ -32,31 +32,31 @@
  */
 public final class FleetCoordinator implements GroupObserver {
   /** Number of the group that holds the configuration. */
-  public static final int GROUP = 0;
+  public static final int GROUP_ID = 0;
 
   /** Silence after which a host is no longer listed, in milliseconds. */
-  static final long HOST_GONE_MILLIS = 10_000;
+  static final long HOST_TIMEOUT_MILLIS = 10_000;
 
   private final ConsensusLoop consensus;
   private final PeerNetwork network;
   private final Clock clock;
   private final AcceptanceCore acceptance = new AcceptanceCore();
-  private final Map<String, SeenHost> hosts = new HashMap<>();
-  private final Map<Long, Waiter> waiters = new HashMap<>();
-  private final Map<String, Long> leasesGiven = new ConcurrentHashMap<>();
-  private long nextWaiter = 1;
-  private long announcedRevision;
+  private final Map<String, KnownHost> hosts = new HashMap<>();
+  private final Map<Long, PendingChange> pendingChanges = new HashMap<>();
+  private final Map<String, Long> leasesGranted = new ConcurrentHashMap<>();
+  private long nextPendingId = 1;
+  private long lastAppliedRevision;
   private ByteString configurationJson = ByteString.EMPTY;
   private long configurationJsonRevision;
 
-  private record SeenHost(HostRecord host, long revision, long seenAtMillis) {}
+  private record KnownHost(HostRecord host, long revision, long lastRequestMillis) {}
 
-  private record Waiter(ChangeResult result, CompletableFuture<ChangeOutcome> future) {}
+  private record PendingChange(ChangeResult result, CompletableFuture<ChangeOutcome> future) {}
 
   /** What became of a change. */
   public sealed interface ChangeOutcome {
     /** The change was answered; a committed one is in force on every host that may serve. */
-    record Answered(ChangeResult result) implements ChangeOutcome {}
+    record Completed(ChangeResult result) implements ChangeOutcome {}
 
     /** This host does not lead; {@code leaderHost} may, or is empty. */
     record NotLeader(String leaderHost) implements ChangeOutcome {}
@@ -73,9 +73,9 @@
   }
 
   /** Returns the leases that this host gave as a voter and that may still run. Thread-safe. */
-  public List<PeerLease> leasesGiven(long nowMillis) {
-    leasesGiven.values().removeIf(end -> end <= nowMillis);
-    return leasesGiven.entrySet().stream()
+  public List<PeerLease> leasesGranted(long nowMillis) {
+    leasesGranted.values().removeIf(end -> end <= nowMillis);
+    return leasesGranted.entrySet().stream()
         .map(
             entry ->
                 PeerLease.newBuilder()
@@ -87,14 +87,14 @@
 
   /** Answers a host's request. Thread-safe. */
   public void receive(HostRecord from, FreshnessRequest request) {
-    consensus.execute(() -> answer(from, request, clock.nowMillis()));
+    consensus.execute(() -> handleRequest(from, request, clock.nowMillis()));
   }
 
   /** Makes a change; the future completes on the consensus thread. Thread-safe. */
   public CompletableFuture<ChangeOutcome> change(ConfigurationChange change) {
     CompletableFuture<ChangeOutcome> future = new CompletableFuture<>();
     ByteString command = Json.write(new FleetCommand.Change(change));
-    consensus.propose(GROUP, command, reply -> changeReplied(reply, future));
+    consensus.propose(GROUP_ID, command, reply -> handleCommandReply(reply, future));
     return future;
   }
 
@@ -102,7 +102,7 @@
   public void withState(Consumer<FleetState> reader) {
     consensus.execute(
         () -> {
-          if (consensus.stateMachine(GROUP) instanceof FleetState state) {
+          if (consensus.stateMachine(GROUP_ID) instanceof FleetState state) {
             reader.accept(state);
           }
         });
@@ -110,12 +110,12 @@
 
   @Override
   public void applied(int groupId, long index, long nowMillis) {
-    if (groupId != GROUP || !(consensus.stateMachine(GROUP) instanceof FleetState state)) {
+    if (groupId != GROUP_ID || !(consensus.stateMachine(GROUP_ID) instanceof FleetState state)) {
       return;
     }
-    if (state.current().revision() > announcedRevision) {
-      announcedRevision = state.current().revision();
-      if (leads(nowMillis)) {
+    if (state.current().revision() > lastAppliedRevision) {
+      lastAppliedRevision = state.current().revision();
+      if (isLeader(nowMillis)) {
         pushConfiguration(state);
       }
     }
@@ -123,7 +123,7 @@
 
   @Override
   public void roleChanged(int groupId, RaftDecision.RoleChanged change, long nowMillis) {
-    if (groupId != GROUP) {
+    if (groupId != GROUP_ID) {
       return;
     }
     if (change.role() == RaftRole.LEADER) {
@@ -131,7 +131,7 @@
       return;
     }
     for (long waiter : acceptance.leadershipEnded()) {
-      Waiter ended = waiters.remove(waiter);
+      PendingChange ended = pendingChanges.remove(waiter);
       if (ended != null) {
         ended.future().complete(new ChangeOutcome.Unknown());
       }
@@ -140,14 +140,14 @@
 
   @Override
   public void tick(long nowMillis) {
-    RaftCore core = consensus.core(GROUP);
+    RaftCore core = consensus.core(GROUP_ID);
     if (core == null || !core.hasLease(nowMillis)) {
       return;
     }
     if (core.votersCommitted()) {
       acceptance.setVoters(VoterSets.voterIds(core.voters()), nowMillis);
     }
-    hosts.values().removeIf(host -> nowMillis - host.seenAtMillis() > HOST_GONE_MILLIS);
+    hosts.values().removeIf(host -> nowMillis - host.lastRequestMillis() > HOST_TIMEOUT_MILLIS);
     completeAccepted(nowMillis);
   }
 
@@ -158,58 +158,58 @@
     return result;
   }
 
-  private boolean leads(long nowMillis) {
-    RaftCore core = consensus.core(GROUP);
+  private boolean isLeader(long nowMillis) {
+    RaftCore core = consensus.core(GROUP_ID);
     return core != null && core.hasLease(nowMillis);
   }
 
-  private void answer(HostRecord from, FreshnessRequest request, long nowMillis) {
-    RaftCore core = consensus.core(GROUP);
-    if (core == null || !(consensus.stateMachine(GROUP) instanceof FleetState state)) {
+  private void handleRequest(HostRecord from, FreshnessRequest request, long nowMillis) {
+    RaftCore core = consensus.core(GROUP_ID);
+    if (core == null || !(consensus.stateMachine(GROUP_ID) instanceof FleetState state)) {
       return;
     }
     if (core.hasLease(nowMillis)) {
-      answerAsLeader(from, request, state, nowMillis);
+      replyAsLeader(from, request, state, nowMillis);
     } else {
-      answerAsVoter(from, request, core, state, nowMillis);
+      replyAsVoter(from, request, core, state, nowMillis);
     }
   }
 
-  private void answerAsLeader(
+  private void replyAsLeader(
       HostRecord from, FreshnessRequest request, FleetState state, long nowMillis) {
     long revision = state.current().revision();
-    hosts.put(from.getName(), new SeenHost(request.getHost(), request.getRevision(), nowMillis));
+    hosts.put(from.getName(), new KnownHost(request.getHost(), request.getRevision(), nowMillis));
     for (PeerLease lease : request.getPeerLeasesList()) {
-      acceptance.leaseGivenElsewhere(
+      acceptance.leaseGrantedByVoter(
           lease.getHost(), request.getRevision() - 1, lease.getRemainingMillis(), nowMillis);
     }
     if (!from.getIdentity().isEmpty()) {
       acceptance.voterReported(from.getIdentity(), request.getRevision());
     }
     boolean granted =
-        acceptance.request(from.getName(), request.getRevision(), revision, nowMillis);
+        acceptance.requestLease(from.getName(), request.getRevision(), revision, nowMillis);
     FreshnessGrant.Builder grant =
         FreshnessGrant.newBuilder()
             .setRevision(revision)
             .setEchoedSentAtMillis(request.getSentAtMillis())
             .setGranted(granted);
-    bringUpToDate(grant, state, request.getRevision());
+    addMissingRevisions(grant, state, request.getRevision());
     hosts.values().forEach(host -> grant.addHosts(host.host()));
     network.send(from.getName(), Envelope.newBuilder().setFreshnessGrant(grant));
     completeAccepted(nowMillis);
   }
 
-  private void answerAsVoter(
+  private void replyAsVoter(
       HostRecord from, FreshnessRequest request, RaftCore core, FleetState state, long nowMillis) {
     long revision = state.current().revision();
     boolean votes = VoterSets.isVoter(core.voters(), consensus.identity());
     boolean granted =
         votes
-            && consensus.isFullyApplied(GROUP)
+            && consensus.isFullyApplied(GROUP_ID)
             && request.getRevision() == revision
             && revision > 0;
     if (granted) {
-      leasesGiven.merge(from.getName(), nowMillis + FreshnessCore.LEASE_MILLIS, Math::max);
+      leasesGranted.merge(from.getName(), nowMillis + FreshnessCore.LEASE_MILLIS, Math::max);
     }
     RevisionAnswer answer =
         RevisionAnswer.newBuilder()
@@ -222,7 +222,7 @@
     network.send(from.getName(), Envelope.newBuilder().setRevisionAnswer(answer));
   }
 
-  private ByteString json(FleetState state) {
+  private ByteString currentConfigurationJson(FleetState state) {
     if (configurationJsonRevision != state.current().revision()) {
       configurationJson = Json.write(state.current());
       configurationJsonRevision = state.current().revision();
@@ -230,13 +230,14 @@
     return configurationJson;
   }
 
-  private void bringUpToDate(FreshnessGrant.Builder grant, FleetState state, long hostRevision) {
+  private void addMissingRevisions(
+      FreshnessGrant.Builder grant, FleetState state, long hostRevision) {
     if (hostRevision >= state.current().revision()) {
       return;
     }
     List<ConfigurationDelta> deltas = state.configuration().deltasAfter(hostRevision);
     if (deltas.isEmpty()) {
-      grant.setConfiguration(json(state));
+      grant.setConfiguration(currentConfigurationJson(state));
     } else {
       grant.addAllDeltas(deltas);
     }
@@ -256,15 +257,15 @@
     network.send(network.selfName(), Envelope.newBuilder().setFreshnessGrant(push));
   }
 
-  private void changeReplied(CommandReply reply, CompletableFuture<ChangeOutcome> future) {
+  private void handleCommandReply(CommandReply reply, CompletableFuture<ChangeOutcome> future) {
     if (reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED) {
       ChangeResult result = Json.read(reply.getResult(), ChangeResult.class);
       if (result instanceof ChangeResult.Committed committed) {
-        long waiter = nextWaiter++;
-        waiters.put(waiter, new Waiter(result, future));
-        acceptance.await(committed.revision(), waiter);
+        long waiter = nextPendingId++;
+        pendingChanges.put(waiter, new PendingChange(result, future));
+        acceptance.awaitActivation(committed.revision(), waiter);
       } else {
-        future.complete(new ChangeOutcome.Answered(result));
+        future.complete(new ChangeOutcome.Completed(result));
       }
     } else if (reply.getStatus() == CommandStatus.COMMAND_STATUS_UNKNOWN) {
       future.complete(new ChangeOutcome.Unknown());
@@ -274,10 +275,10 @@
   }
 
   private void completeAccepted(long nowMillis) {
-    for (long waiter : acceptance.takeAccepted(nowMillis)) {
-      Waiter accepted = waiters.remove(waiter);
+    for (long waiter : acceptance.drainAccepted(nowMillis)) {
+      PendingChange accepted = pendingChanges.remove(waiter);
       if (accepted != null) {
-        accepted.future().complete(new ChangeOutcome.Answered(accepted.result()));
+        accepted.future().complete(new ChangeOutcome.Completed(accepted.result()));
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/configuration/FreshnessCore.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FreshnessCore.java
@@ -16,11 +16,11 @@
   /** Length of a lease, in milliseconds. */
   public static final long LEASE_MILLIS = 2_000;
 
-  private final Map<String, WitnessLease> witnesses = new HashMap<>();
+  private final Map<String, VoterLease> voterLeases = new HashMap<>();
   private long revision;
   private long leaderLeaseEndMillis = Long.MIN_VALUE;
 
-  private record WitnessLease(long setVersion, int setSize, long endMillis) {}
+  private record VoterLease(long setVersion, int setSize, long endMillis) {}
 
   /** Returns the revision in force on this host. */
   public long revision() {
@@ -28,12 +28,12 @@
   }
 
   /** Notes that a configuration is in force here; returns false for one that is not newer. */
-  public boolean install(long newRevision) {
+  public boolean activate(long newRevision) {
     if (newRevision <= revision) {
       return false;
     }
     revision = newRevision;
-    witnesses.clear();
+    voterLeases.clear();
     leaderLeaseEndMillis = Long.MIN_VALUE;
     return true;
   }
@@ -57,13 +57,13 @@
   public void grantedByVoter(
       String identity, long seenRevision, long setVersion, int setSize, long sentAtMillis) {
     if (seenRevision == revision) {
-      witnesses.put(identity, new WitnessLease(setVersion, setSize, sentAtMillis + LEASE_MILLIS));
+      voterLeases.put(identity, new VoterLease(setVersion, setSize, sentAtMillis + LEASE_MILLIS));
     }
   }
 
   /** Notes that a voter gives no lease. */
-  public void refusedByVoter(String identity) {
-    witnesses.remove(identity);
+  public void deniedByVoter(String identity) {
+    voterLeases.remove(identity);
   }
 
   /** Returns the time until which this host may take new work, unless it hears more. */
@@ -72,8 +72,8 @@
       return Long.MIN_VALUE;
     }
     long end = leaderLeaseEndMillis;
-    for (WitnessLease lease : witnesses.values()) {
-      if (lease.endMillis() > Math.max(end, nowMillis) && isHeldByMajority(lease)) {
+    for (VoterLease lease : voterLeases.values()) {
+      if (lease.endMillis() > Math.max(end, nowMillis) && isGrantedByMajority(lease)) {
         end = lease.endMillis();
       }
     }
@@ -81,9 +81,9 @@
   }
 
   /** Returns whether a majority of the lease's voter set gave leases that last as long as it. */
-  private boolean isHeldByMajority(WitnessLease lease) {
+  private boolean isGrantedByMajority(VoterLease lease) {
     long holders =
-        witnesses.values().stream()
+        voterLeases.values().stream()
             .filter(other -> other.setVersion() == lease.setVersion())
             .filter(other -> other.endMillis() >= lease.endMillis())
             .count();
--- a/src/main/java/org/curranthaven/internal/configuration/RecentChanges.java
+++ b/src/main/java/org/curranthaven/internal/configuration/RecentChanges.java
@@ -14,7 +14,7 @@
  */
 final class RecentChanges {
   /** Revisions kept; a host that is further behind gets the whole configuration. */
-  static final int KEPT = 512;
+  static final int MAX_DELTAS = 512;
 
   private final Deque<ConfigurationDelta> deltas = new ArrayDeque<>();
 
@@ -26,7 +26,7 @@
             .setRevision(revision)
             .setEdits(Json.write(new Edits(edits)))
             .build());
-    if (deltas.size() > KEPT) {
+    if (deltas.size() > MAX_DELTAS) {
       deltas.removeFirst();
     }
   }
@@ -55,7 +55,7 @@
       return base;
     }
     ConfigurationEditor editor = new ConfigurationEditor(base);
-    Json.read(delta.getEdits(), Edits.class).edits().forEach(editor::edit);
+    Json.read(delta.getEdits(), Edits.class).edits().forEach(editor::apply);
     return editor.build(delta.getRevision());
   }
 }
--- a/src/main/java/org/curranthaven/internal/host/AdminApi.java
+++ b/src/main/java/org/curranthaven/internal/host/AdminApi.java
@@ -27,8 +27,8 @@
   private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
   private static final int STATUS_OK = 200;
   private static final int STATUS_UNAVAILABLE = 503;
-  private static final String EXPLAIN_PREFIX = "/admin/v1/explain/";
-  private static final long DUMP_MILLIS = 2_000;
+  private static final String EXPLAIN_PATH_PREFIX = "/admin/v1/explain/";
+  private static final long VIEW_TIMEOUT_MILLIS = 2_000;
 
   private final DecisionLoop decisions;
   private final ChangeClient changes;
@@ -60,29 +60,29 @@
     String path = exchange.path();
     switch (path) {
       case "/healthz" -> exchange.json(STATUS_OK, Map.of("alive", true));
-      case "/readyz" -> ready(exchange);
+      case "/readyz" -> handleReadiness(exchange);
       case "/metrics" -> exchange.text(STATUS_OK, "text/plain; version=0.0.4", metrics.page());
-      case "/backend/v1/announce" -> announce(exchange);
-      case "/backend/v1/cache-events" -> cacheEvents(exchange);
+      case "/backend/v1/announce" -> handleAnnouncement(exchange);
+      case "/backend/v1/cache-events" -> handleCacheEvents(exchange);
       case "/admin/v1/configuration" -> exchange.json(STATUS_OK, decisions.configuration());
-      case "/admin/v1/history" -> reply(exchange, changes.history());
-      case "/admin/v1/changes" -> change(exchange);
+      case "/admin/v1/history" -> sendOutcome(exchange, changes.history());
+      case "/admin/v1/changes" -> handleChange(exchange);
       case "/admin/v1/dump" -> exchange.json(STATUS_OK, dump.get());
-      case "/admin/v1/backends" -> backends(exchange);
+      case "/admin/v1/backends" -> handleBackends(exchange);
       case "/admin/v1/hosts" -> exchange.json(STATUS_OK, hosts.get());
       case "/admin/v1/status" -> exchange.json(STATUS_OK, metrics.targetStatuses());
       default -> {
-        if (!path.startsWith(EXPLAIN_PREFIX)) {
+        if (!path.startsWith(EXPLAIN_PATH_PREFIX)) {
           return false;
         }
-        String name = path.substring(EXPLAIN_PREFIX.length());
+        String name = path.substring(EXPLAIN_PATH_PREFIX.length());
         exchange.json(STATUS_OK, Map.of("request", name, "decisions", explainLog.entries(name)));
       }
     }
     return true;
   }
 
-  private void ready(HttpRequestContext exchange) throws IOException {
+  private void handleReadiness(HttpRequestContext exchange) throws IOException {
     boolean fresh = decisions.mayServe();
     boolean ready = fresh && !draining.getAsBoolean();
     exchange.json(
@@ -90,13 +90,13 @@
         Map.of("ready", ready, "draining", draining.getAsBoolean(), "fresh", fresh));
   }
 
-  private void announce(HttpRequestContext exchange) throws IOException {
+  private void handleAnnouncement(HttpRequestContext exchange) throws IOException {
     Outcome<byte[]> body = exchange.body(MAX_BODY_BYTES);
     switch (body) {
       case Outcome.Failed<byte[]> failed -> exchange.failure(failed.failure());
       case Outcome.Success<byte[]> success -> {
         try {
-          decisions.announced(
+          decisions.backendAnnounced(
               Json.LENIENT.readValue(success.value(), BackendAnnouncement.class), 0, true);
           exchange.json(STATUS_OK, Map.of("taken", true));
         } catch (JsonProcessingException e) {
@@ -113,7 +113,7 @@
   /** A prefix that came into the cache, or left it. */
   record CacheEvent(long prefixHash, boolean present) {}
 
-  private void cacheEvents(HttpRequestContext exchange) throws IOException {
+  private void handleCacheEvents(HttpRequestContext exchange) throws IOException {
     Outcome<byte[]> body = exchange.body(MAX_BODY_BYTES);
     switch (body) {
       case Outcome.Failed<byte[]> failed -> exchange.failure(failed.failure());
@@ -132,15 +132,15 @@
     }
   }
 
-  private void change(HttpRequestContext exchange) throws IOException, InterruptedException {
+  private void handleChange(HttpRequestContext exchange) throws IOException, InterruptedException {
     Outcome<byte[]> body = exchange.body(MAX_BODY_BYTES);
     switch (body) {
       case Outcome.Failed<byte[]> failed -> exchange.failure(failed.failure());
-      case Outcome.Success<byte[]> success -> change(exchange, success.value());
+      case Outcome.Success<byte[]> success -> handleChange(exchange, success.value());
     }
   }
 
-  private void change(HttpRequestContext exchange, byte[] body)
+  private void handleChange(HttpRequestContext exchange, byte[] body)
       throws IOException, InterruptedException {
     ConfigurationChange change;
     try {
@@ -152,11 +152,12 @@
     }
     switch (changes.change(change)) {
       case Outcome.Failed<ChangeResult> failed -> exchange.failure(failed.failure());
-      case Outcome.Success<ChangeResult> success -> answer(exchange, success.value());
+      case Outcome.Success<ChangeResult> success -> sendResult(exchange, success.value());
     }
   }
 
-  private static void answer(HttpRequestContext exchange, ChangeResult result) throws IOException {
+  private static void sendResult(HttpRequestContext exchange, ChangeResult result)
+      throws IOException {
     switch (result) {
       case ChangeResult.Committed committed -> exchange.json(STATUS_OK, committed);
       case ChangeResult.Conflict conflict ->
@@ -172,7 +173,7 @@
     }
   }
 
-  private static void reply(HttpRequestContext exchange, Outcome<ObjectNode> outcome)
+  private static void sendOutcome(HttpRequestContext exchange, Outcome<ObjectNode> outcome)
       throws IOException {
     switch (outcome) {
       case Outcome.Failed<ObjectNode> failed -> exchange.failure(failed.failure());
@@ -180,9 +181,11 @@
     }
   }
 
-  private void backends(HttpRequestContext exchange) throws IOException, InterruptedException {
+  private void handleBackends(HttpRequestContext exchange)
+      throws IOException, InterruptedException {
     try {
-      exchange.json(STATUS_OK, decisions.view().get(DUMP_MILLIS, TimeUnit.MILLISECONDS).servers());
+      exchange.json(
+          STATUS_OK, decisions.view().get(VIEW_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).servers());
     } catch (ExecutionException | TimeoutException e) {
       exchange.failure(Failure.of(ResultCode.INTERNAL, "the decision thread does not answer"));
     }
--- a/src/main/java/org/curranthaven/internal/host/AdminService.java
+++ b/src/main/java/org/curranthaven/internal/host/AdminService.java
@@ -13,7 +13,7 @@
 final class AdminService {
   private AdminService() {}
 
-  static void answer(
+  static void handle(
       FleetCoordinator coordinator, AdminRequest request, Consumer<AdminReply> answer) {
     if (request.getPath().equals(ChangeClient.CHANGE_PATH)) {
       ConfigurationChange change = Json.read(request.getJson(), ConfigurationChange.class);
@@ -33,7 +33,7 @@
 
   private static AdminReply changeReply(long requestId, FleetCoordinator.ChangeOutcome outcome) {
     return switch (outcome) {
-      case FleetCoordinator.ChangeOutcome.Answered answered ->
+      case FleetCoordinator.ChangeOutcome.Completed answered ->
           reply(requestId, ChangeClient.STATUS_OK, Json.write(answered.result()));
       case FleetCoordinator.ChangeOutcome.NotLeader notLeader ->
           reply(requestId, ChangeClient.STATUS_NOT_LEADER, ByteString.EMPTY);
--- a/src/main/java/org/curranthaven/internal/host/ChangeClient.java
+++ b/src/main/java/org/curranthaven/internal/host/ChangeClient.java
@@ -33,14 +33,14 @@
   static final int STATUS_NOT_LEADER = 421;
   static final int STATUS_UNKNOWN = 503;
 
-  private static final long TOTAL_MILLIS = 15_000;
-  private static final long TRY_MILLIS = 5_000;
-  private static final long PAUSE_MILLIS = 50;
+  private static final long TIMEOUT_MILLIS = 15_000;
+  private static final long ATTEMPT_TIMEOUT_MILLIS = 5_000;
+  private static final long RETRY_DELAY_MILLIS = 50;
 
   private final PeerNetwork network;
   private final ControlClient control;
   private final Clock clock;
-  private final Map<Long, CompletableFuture<AdminReply>> open = new ConcurrentHashMap<>();
+  private final Map<Long, CompletableFuture<AdminReply>> pendingReplies = new ConcurrentHashMap<>();
   private final AtomicLong nextRequestId = new AtomicLong(1);
 
   ChangeClient(PeerNetwork network, ControlClient control, Clock clock) {
@@ -50,14 +50,14 @@
   }
 
   void received(AdminReply reply) {
-    CompletableFuture<AdminReply> future = open.remove(reply.getRequestId());
+    CompletableFuture<AdminReply> future = pendingReplies.remove(reply.getRequestId());
     if (future != null) {
       future.complete(reply);
     }
   }
 
   Outcome<ChangeResult> change(ConfigurationChange change) throws InterruptedException {
-    Outcome<ByteString> answer = ask(CHANGE_PATH, Json.write(change));
+    Outcome<ByteString> answer = request(CHANGE_PATH, Json.write(change));
     return switch (answer) {
       case Outcome.Success<ByteString> success ->
           Outcome.success(Json.read(success.value(), ChangeResult.class));
@@ -66,7 +66,7 @@
   }
 
   Outcome<ObjectNode> history() throws InterruptedException {
-    Outcome<ByteString> answer = ask(HISTORY_PATH, ByteString.EMPTY);
+    Outcome<ByteString> answer = request(HISTORY_PATH, ByteString.EMPTY);
     return switch (answer) {
       case Outcome.Success<ByteString> success ->
           Outcome.success(Json.read(success.value(), ObjectNode.class));
@@ -74,29 +74,29 @@
     };
   }
 
-  private Outcome<ByteString> ask(String path, ByteString json) throws InterruptedException {
-    long deadline = clock.nowMillis() + TOTAL_MILLIS;
+  private Outcome<ByteString> request(String path, ByteString json) throws InterruptedException {
+    long deadline = clock.nowMillis() + TIMEOUT_MILLIS;
     int turn = 0;
     while (clock.nowMillis() < deadline) {
       List<String> hosts = control.controlHosts();
       if (!hosts.isEmpty()) {
-        AdminReply reply = tryOnce(hosts.get(turn++ % hosts.size()), path, json);
+        AdminReply reply = attempt(hosts.get(turn++ % hosts.size()), path, json);
         if (reply.getStatus() == STATUS_OK) {
           return Outcome.success(reply.getJson());
         }
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(RETRY_DELAY_MILLIS);
     }
     return Outcome.failed(
         ResultCode.CHANGE_UNKNOWN,
-        "no leader told within " + TOTAL_MILLIS + " ms that the change is in force everywhere");
+        "no leader told within " + TIMEOUT_MILLIS + " ms that the change is in force everywhere");
   }
 
-  private AdminReply tryOnce(String host, String path, ByteString json)
+  private AdminReply attempt(String host, String path, ByteString json)
       throws InterruptedException {
     long requestId = nextRequestId.getAndIncrement();
     CompletableFuture<AdminReply> future = new CompletableFuture<>();
-    open.put(requestId, future);
+    pendingReplies.put(requestId, future);
     AdminRequest request =
         AdminRequest.newBuilder().setRequestId(requestId).setPath(path).setJson(json).build();
     AdminReply unknown = AdminReply.newBuilder().setStatus(STATUS_UNKNOWN).build();
@@ -104,11 +104,11 @@
       if (!network.send(host, Envelope.newBuilder().setAdminRequest(request))) {
         return unknown;
       }
-      return future.get(TRY_MILLIS, TimeUnit.MILLISECONDS);
+      return future.get(ATTEMPT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (TimeoutException | ExecutionException e) {
       return unknown;
     } finally {
-      open.remove(requestId);
+      pendingReplies.remove(requestId);
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
+++ b/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
@@ -44,9 +44,9 @@
  * public methods are thread-safe.
  */
 public final class DecisionLoop implements Child, Router {
-  private static final long TICK_MILLIS = 20;
-  private static final int MAX_BATCH = 4_096;
-  private static final long FORGET_MILLIS = 60_000;
+  private static final long TICK_INTERVAL_MILLIS = 20;
+  private static final int MAX_TASKS_PER_BATCH = 4_096;
+  private static final long EVICTION_INTERVAL_MILLIS = 60_000;
 
   private final Clock clock;
   private final Supplier<RoutingCore> routingFactory;
@@ -54,10 +54,10 @@
   private final ExplainLog explainLog;
   private final LivePeers livePeers;
   private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
-  private final Map<Long, Pending> pending = new HashMap<>();
-  private final Set<String> routable = new HashSet<>();
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+  private final Set<String> routableBackends = new HashSet<>();
   private final Map<String, Long> readySinceMillis = new HashMap<>();
-  private final Set<String> heardDirectly = new HashSet<>();
+  private final Set<String> directlyAnnounced = new HashSet<>();
   private final FreshnessCore freshness = new FreshnessCore();
   private final BackendView backends = new BackendView();
   private final RetryBudget retryBudget;
@@ -68,9 +68,9 @@
   private volatile Configuration configuration = Configuration.empty();
   private volatile long servesUntilMillis = Long.MIN_VALUE;
   private long nextTickMillis;
-  private long nextForgetMillis;
+  private long nextEvictionMillis;
 
-  private record Pending(
+  private record PendingRequest(
       RequestAttributes request, String name, CompletableFuture<Outcome<Assignment>> future) {}
 
   /** Tells which hosts' processes are alive. */
@@ -106,29 +106,29 @@
 
   @Override
   public void run() throws InterruptedException {
-    startAfresh();
+    reset();
     while (true) {
       long wait = Math.max(0, nextTickMillis - clock.nowMillis());
       Runnable task = tasks.poll(wait, TimeUnit.MILLISECONDS);
-      for (int i = 0; task != null && i < MAX_BATCH; i++) {
+      for (int i = 0; task != null && i < MAX_TASKS_PER_BATCH; i++) {
         task.run();
-        task = i + 1 < MAX_BATCH ? tasks.poll() : null;
+        task = i + 1 < MAX_TASKS_PER_BATCH ? tasks.poll() : null;
       }
       long nowMillis = clock.nowMillis();
       if (nowMillis >= nextTickMillis) {
-        nextTickMillis = nowMillis + TICK_MILLIS;
+        nextTickMillis = nowMillis + TICK_INTERVAL_MILLIS;
         tick(nowMillis);
       }
     }
   }
 
   /** Forgets the routing state; requests that waited in it get an answer. */
-  private void startAfresh() {
+  private void reset() {
     routing = routingFactory.get();
-    routable.clear();
+    routableBackends.clear();
     readySinceMillis.clear();
-    List<Pending> open = List.copyOf(pending.values());
-    pending.clear();
+    List<PendingRequest> open = List.copyOf(pendingRequests.values());
+    pendingRequests.clear();
     Failure failure =
         Failure.retryLater(ResultCode.NO_BACKEND, "the host's routing was started again", 1);
     open.forEach(request -> request.future().complete(Outcome.failed(failure)));
@@ -142,10 +142,10 @@
   // ---- configuration ----------------------------------------------------------------------------
 
   /** Puts a configuration into force, unless a newer one is. */
-  public void install(Configuration newer) {
+  public void activate(Configuration newer) {
     execute(
         () -> {
-          if (freshness.install(newer.revision())) {
+          if (freshness.activate(newer.revision())) {
             configuration = newer;
             publishFreshness();
           }
@@ -153,11 +153,11 @@
   }
 
   /** Puts the configuration with the deltas applied into force. */
-  public void installDeltas(List<ConfigurationDelta> deltas) {
+  public void activateDeltas(List<ConfigurationDelta> deltas) {
     execute(
         () -> {
           Configuration newer = Deltas.apply(configuration, deltas);
-          if (freshness.install(newer.revision())) {
+          if (freshness.activate(newer.revision())) {
             configuration = newer;
             publishFreshness();
           }
@@ -174,14 +174,14 @@
   }
 
   /** Notes a voter's answer: a lease if {@code granted}. */
-  public void answeredByVoter(
+  public void voterReplied(
       String identity, long revision, boolean granted, long setVersion, int setSize, long sentAt) {
     execute(
         () -> {
           if (granted) {
             freshness.grantedByVoter(identity, revision, setVersion, setSize, sentAt);
           } else {
-            freshness.refusedByVoter(identity);
+            freshness.deniedByVoter(identity);
           }
           publishFreshness();
         });
@@ -209,7 +209,7 @@
    * @param ageMillis time since the backend server sent it
    * @param direct whether it came from the backend server itself
    */
-  public void announced(BackendAnnouncement announcement, long ageMillis, boolean direct) {
+  public void backendAnnounced(BackendAnnouncement announcement, long ageMillis, boolean direct) {
     execute(
         () -> {
           long nowMillis = clock.nowMillis();
@@ -217,10 +217,10 @@
             return;
           }
           if (direct) {
-            heardDirectly.add(announcement.name());
+            directlyAnnounced.add(announcement.name());
           }
           aliveBackends.put(announcement.name(), announcement);
-          report(announcement.name(), nowMillis);
+          updateRouting(announcement.name(), nowMillis);
         });
   }
 
@@ -235,7 +235,7 @@
   }
 
   /** Notes that another host has gone. */
-  public void hostGone(String host) {
+  public void hostDisconnected(String host) {
     execute(() -> handle(new RoutingEvent.HostRemoved(host)));
   }
 
@@ -248,30 +248,30 @@
   }
 
   /** Takes what was heard directly since the last call, with what is open now. */
-  public CompletableFuture<Outgoing> takeOutgoing() {
-    return call(
+  public CompletableFuture<Outgoing> drainOutgoing() {
+    return submit(
         () -> {
-          List<BackendView.Aged> aged = backends.aged(heardDirectly, clock.nowMillis());
-          heardDirectly.clear();
+          List<BackendView.Aged> aged = backends.aged(directlyAnnounced, clock.nowMillis());
+          directlyAnnounced.clear();
           return new Outgoing(aged, routing.nextShareUpdate(clock.nowMillis()));
         });
   }
 
-  private void report(String name, long nowMillis) {
+  private void updateRouting(String name, long nowMillis) {
     BackendAnnouncement usable = backends.usable(name, nowMillis);
     if (usable == null) {
-      withdraw(name);
+      removeFromRouting(name);
       return;
     }
     long sentAt = backends.sentAtMillis(name);
-    routable.add(name);
+    routableBackends.add(name);
     long readyAt = readySinceMillis.computeIfAbsent(name, n -> nowMillis);
     handle(new RoutingEvent.BackendReported(BackendReports.of(usable, sentAt, readyAt)));
   }
 
-  private void withdraw(String name) {
+  private void removeFromRouting(String name) {
     readySinceMillis.remove(name);
-    if (routable.remove(name)) {
+    if (routableBackends.remove(name)) {
       handle(new RoutingEvent.BackendRemoved(name));
     }
   }
@@ -289,7 +289,7 @@
     CompletableFuture<Outcome<Assignment>> future = new CompletableFuture<>();
     execute(
         () -> {
-          pending.put(request.id(), new Pending(request, requestName, future));
+          pendingRequests.put(request.id(), new PendingRequest(request, requestName, future));
           handle(new RoutingEvent.Arrived(request));
         });
     try {
@@ -303,7 +303,7 @@
   }
 
   private void abandon(long requestId) {
-    pending.remove(requestId);
+    pendingRequests.remove(requestId);
     handle(new RoutingEvent.Abandoned(requestId));
   }
 
@@ -341,7 +341,8 @@
       return 0;
     }
     int hosts = livePeers.count() + 1;
-    return call(() -> limiter.tryAcquire(workspace.name(), limit, hosts, clock.nowMillis())).join();
+    return submit(() -> limiter.tryAcquire(workspace.name(), limit, hosts, clock.nowMillis()))
+        .join();
   }
 
   @Override
@@ -351,7 +352,7 @@
 
   @Override
   public long tryRetry(String className, int failures) {
-    return call(() -> retryBudget.tryRetry(className) ? retryBudget.backoffMillis(failures) : -1L)
+    return submit(() -> retryBudget.tryRetry(className) ? retryBudget.backoffMillis(failures) : -1L)
         .join();
   }
 
@@ -366,17 +367,17 @@
       recorder.record(event, nowMillis);
     }
     for (RoutingDecision decision : routing.handle(event, nowMillis)) {
-      carryOut(decision, nowMillis);
+      apply(decision, nowMillis);
     }
   }
 
-  private void carryOut(RoutingDecision decision, long nowMillis) {
+  private void apply(RoutingDecision decision, long nowMillis) {
     switch (decision) {
       case RoutingDecision.Dispatch dispatch -> dispatch(dispatch, nowMillis);
       case RoutingDecision.Shed shed -> {
-        Pending request = pending.remove(shed.requestId());
+        PendingRequest request = pendingRequests.remove(shed.requestId());
         if (request != null) {
-          explain(request.name(), "given up: " + shed.reason(), shed);
+          recordExplanation(request.name(), "given up: " + shed.reason(), shed);
           request.future().complete(Outcome.failed(ShedMessages.failure(shed)));
         }
       }
@@ -384,21 +385,21 @@
   }
 
   private void dispatch(RoutingDecision.Dispatch dispatch, long nowMillis) {
-    Pending request = pending.remove(dispatch.requestId());
+    PendingRequest request = pendingRequests.remove(dispatch.requestId());
     BackendAnnouncement server = backends.usable(dispatch.server(), nowMillis);
     if (request == null) {
       execute(() -> cancelPlacement(dispatch.requestId()));
     } else if (server == null) {
       // The lease ended since the last tick: choose again without the server.
-      pending.put(dispatch.requestId(), request);
+      pendingRequests.put(dispatch.requestId(), request);
       execute(
           () -> {
             cancelPlacement(dispatch.requestId());
-            withdraw(dispatch.server());
+            removeFromRouting(dispatch.server());
             handle(new RoutingEvent.Arrived(request.request()));
           });
     } else {
-      explain(request.name(), "sent to " + dispatch.server(), dispatch);
+      recordExplanation(request.name(), "sent to " + dispatch.server(), dispatch);
       request
           .future()
           .complete(
@@ -410,19 +411,19 @@
     handle(new RoutingEvent.Finished(requestId, 0, RoutingEvent.RequestOutcome.CANCELLED));
   }
 
-  private void explain(String requestName, String decision, Object figures) {
+  private void recordExplanation(String requestName, String decision, Object figures) {
     explainLog.add(requestName, new ExplainLog.Entry(clock.epochMillis(), decision, figures));
   }
 
   private void tick(long nowMillis) {
-    for (String name : List.copyOf(routable)) {
+    for (String name : List.copyOf(routableBackends)) {
       if (backends.usable(name, nowMillis) == null) {
-        withdraw(name);
+        removeFromRouting(name);
       }
     }
     aliveBackends.keySet().removeIf(name -> backends.alive(name, nowMillis) == null);
-    if (nowMillis >= nextForgetMillis) {
-      nextForgetMillis = nowMillis + FORGET_MILLIS;
+    if (nowMillis >= nextEvictionMillis) {
+      nextEvictionMillis = nowMillis + EVICTION_INTERVAL_MILLIS;
       backends.forgetOld(nowMillis);
     }
     handle(new RoutingEvent.Tick());
@@ -447,7 +448,7 @@
 
   /** Returns the state of the loop. */
   public CompletableFuture<View> view() {
-    return call(
+    return submit(
         () -> {
           long nowMillis = clock.nowMillis();
           List<BackendAnnouncement> alive = new ArrayList<>(aliveBackends.values());
@@ -462,7 +463,7 @@
         });
   }
 
-  private <T> CompletableFuture<T> call(Supplier<T> supplier) {
+  private <T> CompletableFuture<T> submit(Supplier<T> supplier) {
     CompletableFuture<T> future = new CompletableFuture<>();
     execute(
         () -> {
--- a/src/main/java/org/curranthaven/internal/host/HostProcess.java
+++ b/src/main/java/org/curranthaven/internal/host/HostProcess.java
@@ -67,42 +67,42 @@
  * }</pre>
  */
 public final class HostProcess implements PeerListener {
-  private static final long SHARE_MILLIS = 50;
-  private static final long FRESHNESS_MILLIS = 300;
-  private static final long DUMP_MILLIS = 2_000;
-  private static final long DRAIN_POLL_MILLIS = 20;
-  private static final long HANDOVER_MILLIS = 300;
+  private static final long SOFT_STATE_INTERVAL_MILLIS = 50;
+  private static final long FRESHNESS_INTERVAL_MILLIS = 300;
+  private static final long DUMP_TIMEOUT_MILLIS = 2_000;
+  private static final long DRAIN_POLL_INTERVAL_MILLIS = 20;
+  private static final long LEADERSHIP_TRANSFER_MILLIS = 300;
 
   private final HostSettings settings;
   private final Clock clock;
   private final long incarnation;
-  private final @Nullable DataFolder folder;
+  private final @Nullable DataFolder dataFolder;
   private final @Nullable ConsensusLoop consensus;
   private final @Nullable FleetCoordinator coordinator;
   private final PeerNetwork network;
-  private final ControlClient control;
-  private final ChangeClient changes;
+  private final ControlClient controlClient;
+  private final ChangeClient changeClient;
   private final Ledger ledger;
   private final DecisionLoop decisions;
   private final CallerServer server;
-  private final Supervisor root;
+  private final Supervisor rootSupervisor;
   private final Metrics metrics;
   private volatile boolean draining;
-  private @Nullable Thread thread;
+  private @Nullable Thread supervisorThread;
 
   private HostProcess(
       HostSettings settings, Clock clock, @Nullable DataFolder folder, @Nullable Path record) {
     this.settings = settings;
     this.clock = clock;
-    this.folder = folder;
+    this.dataFolder = folder;
     this.incarnation = clock.epochMillis();
     this.metrics = new Metrics(clock);
     RandomGenerator random = new SplittableRandom(settings.name().hashCode() ^ incarnation);
     ExplainLog explainLog = new ExplainLog();
     this.network =
-        new PeerNetwork(settings.peerAddress(), settings.controlHosts(), this::describe, this);
-    this.control = new ControlClient(network, clock);
-    this.changes = new ChangeClient(network, control, clock);
+        new PeerNetwork(settings.peerAddress(), settings.controlHosts(), this::hostRecord, this);
+    this.controlClient = new ControlClient(network, clock);
+    this.changeClient = new ChangeClient(network, controlClient, clock);
     this.consensus = folder == null ? null : newConsensus(folder);
     this.coordinator = consensus == null ? null : new FleetCoordinator(consensus, network, clock);
     if (consensus != null && coordinator != null) {
@@ -119,10 +119,14 @@
                     new SplittableRandom(incarnation)),
             record == null ? null : RoutingRecorder.start(record, settings.name(), incarnation),
             explainLog,
-            new Peers());
+            new ConnectedPeers());
     this.ledger =
         new ReplicatedLedger(
-            control, settings.ledgerGroups(), settings.name(), incarnation, clock::epochMillis);
+            controlClient,
+            settings.ledgerGroups(),
+            settings.name(),
+            incarnation,
+            clock::epochMillis);
     CallerApi callers =
         new CallerApi(
             decisions,
@@ -134,9 +138,15 @@
             RandomGenerator.getDefault());
     AdminApi admin =
         new AdminApi(
-            decisions, changes, metrics, explainLog, this::dump, this::listHosts, () -> draining);
+            decisions,
+            changeClient,
+            metrics,
+            explainLog,
+            this::dump,
+            this::listHosts,
+            () -> draining);
     this.server = new CallerServer(Addresses.parse(settings.httpAddress()), callers, admin);
-    this.root = new Supervisor(settings.name(), clock);
+    this.rootSupervisor = new Supervisor(settings.name(), clock);
     addChildren();
   }
 
@@ -163,13 +173,14 @@
     metrics.gauge("curranthaven_open_requests", server::openRequests);
     metrics.gauge("curranthaven_peer_bytes_sent", network::bytesSent);
     metrics.gauge("curranthaven_peer_messages_sent", network::messagesSent);
-    thread = Thread.ofPlatform().daemon(true).name(settings.name()).start(this::runRoot);
+    supervisorThread =
+        Thread.ofPlatform().daemon(true).name(settings.name()).start(this::runSupervisor);
     return this;
   }
 
-  private void runRoot() {
+  private void runSupervisor() {
     try {
-      root.run();
+      rootSupervisor.run();
     } catch (InterruptedException e) {
       Logger.info("{} stopped", settings.name());
     } catch (IllegalStateException e) {
@@ -185,7 +196,7 @@
             Set.copyOf(settings.controlHosts()),
             settings.votersWanted(),
             groupId -> groupId == 0 ? new FleetState() : new LedgerState(),
-            this::describe,
+            this::hostRecord,
             this::connectedControlHosts,
             (identity, batch) ->
                 network.sendToIdentity(identity, Envelope.newBuilder().setConsensus(batch)),
@@ -195,20 +206,26 @@
 
   private void addChildren() {
     if (consensus != null) {
-      root.add("consensus", RestartPolicy.standard(), consensus);
-    }
-    root.add("decisions", RestartPolicy.standard(), decisions);
-    root.add("network", RestartPolicy.standard(), network);
-    root.add("gossip", RestartPolicy.standard(), periodic(SHARE_MILLIS, this::shareSoftState));
-    root.add("freshness", RestartPolicy.standard(), periodic(FRESHNESS_MILLIS, this::askFreshness));
-    root.add("http", RestartPolicy.standard(), server);
-  }
-
-  private interface Step {
+      rootSupervisor.add("consensus", RestartPolicy.standard(), consensus);
+    }
+    rootSupervisor.add("decisions", RestartPolicy.standard(), decisions);
+    rootSupervisor.add("network", RestartPolicy.standard(), network);
+    rootSupervisor.add(
+        "gossip",
+        RestartPolicy.standard(),
+        periodic(SOFT_STATE_INTERVAL_MILLIS, this::sendSoftState));
+    rootSupervisor.add(
+        "freshness",
+        RestartPolicy.standard(),
+        periodic(FRESHNESS_INTERVAL_MILLIS, this::requestFreshness));
+    rootSupervisor.add("http", RestartPolicy.standard(), server);
+  }
+
+  private interface PeriodicTask {
     void run() throws Exception;
   }
 
-  private static Child periodic(long periodMillis, Step step) {
+  private static Child periodic(long periodMillis, PeriodicTask step) {
     return () -> {
       while (true) {
         step.run();
@@ -256,7 +273,7 @@
 
   /** Returns why the host went down, or null while it runs. */
   public @Nullable String failureReason() {
-    return root.failureReason();
+    return rootSupervisor.failureReason();
   }
 
   /**
@@ -269,18 +286,18 @@
     draining = true;
     long deadline = clock.nowMillis() + settings.drainMillis();
     while (server.openRequests() > 0 && clock.nowMillis() < deadline) {
-      Thread.sleep(DRAIN_POLL_MILLIS);
+      Thread.sleep(DRAIN_POLL_INTERVAL_MILLIS);
     }
     if (consensus != null) {
       consensus.transferLeadership();
-      Thread.sleep(HANDOVER_MILLIS);
+      Thread.sleep(LEADERSHIP_TRANSFER_MILLIS);
     }
     return server.openRequests();
   }
 
   /** Stops the host; whatever is open is cut off. */
   public void stop() {
-    Thread running = thread;
+    Thread running = supervisorThread;
     if (running != null) {
       running.interrupt();
       try {
@@ -290,8 +307,8 @@
       }
     }
     try {
-      if (folder != null) {
-        folder.close();
+      if (dataFolder != null) {
+        dataFolder.close();
       }
     } catch (IOException e) {
       Logger.warn("the data folder's lock could not be released: {}", e.getMessage());
@@ -300,13 +317,13 @@
 
   /** Waits until the host goes down by itself. */
   public void join() throws InterruptedException {
-    Thread running = thread;
+    Thread running = supervisorThread;
     if (running != null) {
       running.join();
     }
   }
 
-  private HostRecord describe() {
+  private HostRecord hostRecord() {
     HostRecord.Builder record =
         HostRecord.newBuilder()
             .setName(settings.name())
@@ -316,8 +333,8 @@
             .setIncarnation(incarnation)
             .setControl(settings.control())
             .setDraining(draining);
-    if (folder != null) {
-      record.setIdentity(folder.identity());
+    if (dataFolder != null) {
+      record.setIdentity(dataFolder.identity());
     }
     if (consensus != null) {
       record.setFormed(consensus.hasReplicas());
@@ -340,7 +357,7 @@
 
   private List<HostView> listHosts() {
     List<HostView> hosts = new ArrayList<>();
-    hosts.add(HostView.of(describe()));
+    hosts.add(HostView.of(hostRecord()));
     network.connected().forEach(host -> hosts.add(HostView.of(host)));
     hosts.sort(java.util.Comparator.comparing(HostView::name));
     return hosts;
@@ -351,7 +368,7 @@
   }
 
   /** The other hosts' processes, as the connections tell. */
-  private final class Peers implements DecisionLoop.LivePeers {
+  private final class ConnectedPeers implements DecisionLoop.LivePeers {
     @Override
     public boolean isAlive(String host, long hostIncarnation) {
       if (host.equals(settings.name())) {
@@ -370,24 +387,24 @@
 
   // ---- periodic messages ------------------------------------------------------------------------
 
-  private void askFreshness() {
+  private void requestFreshness() {
     long nowMillis = clock.nowMillis();
     FreshnessRequest.Builder request =
         FreshnessRequest.newBuilder()
-            .setHost(describe())
+            .setHost(hostRecord())
             .setRevision(decisions.configuration().revision())
             .setSentAtMillis(nowMillis);
     if (coordinator != null) {
       // Read after the revision: leases for an older one are all in the list by then.
-      request.addAllPeerLeases(coordinator.leasesGiven(nowMillis));
+      request.addAllPeerLeases(coordinator.leasesGranted(nowMillis));
     }
-    for (String host : control.controlHosts()) {
+    for (String host : controlClient.controlHosts()) {
       network.send(host, Envelope.newBuilder().setFreshnessRequest(request));
     }
   }
 
-  private void shareSoftState() throws InterruptedException, ExecutionException {
-    DecisionLoop.Outgoing outgoing = decisions.takeOutgoing().get();
+  private void sendSoftState() throws InterruptedException, ExecutionException {
+    DecisionLoop.Outgoing outgoing = decisions.drainOutgoing().get();
     if (outgoing.isEmpty()) {
       return;
     }
@@ -399,14 +416,14 @@
               .setAgeMillis(aged.ageMillis() + BackendView.HOP_ALLOWANCE_MILLIS));
     }
     for (HostShare share : outgoing.shares().shares()) {
-      state.addShares(wire(share));
+      state.addShares(toWire(share));
     }
     for (HostRecord host : network.connected()) {
       network.send(host.getName(), Envelope.newBuilder().setSoftState(state));
     }
   }
 
-  private static DispatchShare wire(HostShare share) {
+  private static DispatchShare toWire(HostShare share) {
     DispatchShare.Builder wire =
         DispatchShare.newBuilder().setBackend(share.server()).setRunning(share.running());
     for (double mean : share.forecast().means()) {
@@ -428,23 +445,24 @@
           consensus.receive(message.getFromIdentity(), message.getConsensus());
         }
       }
-      case COMMAND_REQUEST -> command(from, message.getCommandRequest());
-      case COMMAND_REPLY -> control.received(message.getCommandReply());
+      case COMMAND_REQUEST -> handleCommand(from, message.getCommandRequest());
+      case COMMAND_REPLY -> controlClient.received(message.getCommandReply());
       case FRESHNESS_REQUEST -> {
         if (coordinator != null) {
           coordinator.receive(from, message.getFreshnessRequest());
         }
       }
-      case FRESHNESS_GRANT -> granted(message.getFreshnessGrant());
-      case REVISION_ANSWER -> answered(message.getFromIdentity(), message.getRevisionAnswer());
-      case SOFT_STATE -> softState(from, message.getSoftState());
-      case ADMIN_REQUEST -> admin(from, message.getAdminRequest());
-      case ADMIN_REPLY -> changes.received(message.getAdminReply());
+      case FRESHNESS_GRANT -> handleFreshnessGrant(message.getFreshnessGrant());
+      case REVISION_ANSWER ->
+          handleRevisionReply(message.getFromIdentity(), message.getRevisionAnswer());
+      case SOFT_STATE -> handleSoftState(from, message.getSoftState());
+      case ADMIN_REQUEST -> handleAdminRequest(from, message.getAdminRequest());
+      case ADMIN_REPLY -> changeClient.received(message.getAdminReply());
       default -> {}
     }
   }
 
-  private void command(HostRecord from, CommandRequest request) {
+  private void handleCommand(HostRecord from, CommandRequest request) {
     if (consensus == null) {
       return;
     }
@@ -458,19 +476,19 @@
                     .setCommandReply(reply.toBuilder().setRequestId(request.getRequestId()))));
   }
 
-  private void granted(FreshnessGrant grant) {
+  private void handleFreshnessGrant(FreshnessGrant grant) {
     boolean newer = grant.getRevision() > decisions.configuration().revision();
     if (newer && !grant.getConfiguration().isEmpty()) {
-      decisions.install(Json.read(grant.getConfiguration(), Configuration.class));
+      decisions.activate(Json.read(grant.getConfiguration(), Configuration.class));
     }
     if (newer && grant.getDeltasCount() > 0) {
-      decisions.installDeltas(grant.getDeltasList());
+      decisions.activateDeltas(grant.getDeltasList());
     }
     if (grant.getGranted()) {
       decisions.grantedByLeader(grant.getRevision(), grant.getEchoedSentAtMillis());
     } else if (newer) {
       // Tells the leader at once that the new revision is in force here.
-      decisions.execute(this::askFreshness);
+      decisions.execute(this::requestFreshness);
     }
     for (HostRecord host : grant.getHostsList()) {
       if (!host.getName().equals(settings.name())) {
@@ -479,8 +497,8 @@
     }
   }
 
-  private void answered(String identity, RevisionAnswer answer) {
-    decisions.answeredByVoter(
+  private void handleRevisionReply(String identity, RevisionAnswer answer) {
+    decisions.voterReplied(
         identity,
         answer.getRevision(),
         answer.getGranted(),
@@ -489,10 +507,10 @@
         answer.getEchoedSentAtMillis());
   }
 
-  private void softState(HostRecord from, SoftState state) {
+  private void handleSoftState(HostRecord from, SoftState state) {
     for (BackendAnnouncementOrBuilder aged : state.getAnnouncementsList()) {
       BackendAnnouncement announcement = Json.read(aged.getJson(), BackendAnnouncement.class);
-      decisions.announced(announcement, aged.getAgeMillis(), false);
+      decisions.backendAnnounced(announcement, aged.getAgeMillis(), false);
     }
     List<HostShare> shares = new ArrayList<>();
     for (DispatchShare share : state.getSharesList()) {
@@ -501,20 +519,20 @@
               share.getBackend(),
               share.getRunning(),
               MemoryForecast.of(
-                  doubles(share.getMeanBlocksList()), doubles(share.getVarianceBlocksList()))));
+                  toDoubles(share.getMeanBlocksList()), toDoubles(share.getVarianceBlocksList()))));
     }
     decisions.sharesReported(from.getName(), new ShareUpdate(state.getFullShares(), shares));
   }
 
-  private static double[] doubles(List<Float> values) {
+  private static double[] toDoubles(List<Float> values) {
     return values.stream().mapToDouble(Float::doubleValue).toArray();
   }
 
-  private void admin(HostRecord from, AdminRequest request) {
+  private void handleAdminRequest(HostRecord from, AdminRequest request) {
     if (coordinator == null) {
       return;
     }
-    AdminService.answer(
+    AdminService.handle(
         coordinator,
         request,
         reply -> network.send(from.getName(), Envelope.newBuilder().setAdminReply(reply)));
@@ -528,7 +546,7 @@
   @Override
   public void disconnected(HostRecord host) {
     Logger.info("{}: connection to {} is gone", settings.name(), host.getName());
-    decisions.hostGone(host.getName());
+    decisions.hostDisconnected(host.getName());
   }
 
   // ---- dump -------------------------------------------------------------------------------------
@@ -542,19 +560,19 @@
     dump.put("draining", draining);
     dump.put("ready", isReady());
     dump.put("openRequests", server.openRequests());
-    dump.put("children", root.statuses());
+    dump.put("children", rootSupervisor.statuses());
     dump.put("peers", network.connected().stream().map(HostRecord::getName).sorted().toList());
-    dump.put("decisions", await(decisions.view()));
+    dump.put("decisions", awaitValue(decisions.view()));
     if (consensus != null) {
       dump.put("storageFailure", consensus.storageFailure());
-      dump.put("groups", await(ConsensusDump.of(consensus, settings.ledgerGroups() + 1)));
+      dump.put("groups", awaitValue(ConsensusDump.of(consensus, settings.ledgerGroups() + 1)));
     }
     return dump;
   }
 
-  private static Object await(java.util.concurrent.CompletableFuture<?> future) {
+  private static Object awaitValue(java.util.concurrent.CompletableFuture<?> future) {
     try {
-      return future.get(DUMP_MILLIS, TimeUnit.MILLISECONDS);
+      return future.get(DUMP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
       return "does not answer";
     } catch (InterruptedException e) {
--- a/src/main/java/org/curranthaven/internal/supervision/Supervisor.java
+++ b/src/main/java/org/curranthaven/internal/supervision/Supervisor.java
@@ -19,16 +19,16 @@
  * }</pre>
  */
 public final class Supervisor implements Child {
-  private static final long STOP_WAIT_MILLIS = 5_000;
+  private static final long STOP_TIMEOUT_MILLIS = 5_000;
 
   private final String name;
   private final Clock clock;
-  private final Map<String, Spec> specs = new LinkedHashMap<>();
+  private final Map<String, ChildSpec> specs = new LinkedHashMap<>();
   private final Map<String, ChildStatus> statuses = new ConcurrentHashMap<>();
-  private final CountDownLatch down = new CountDownLatch(1);
+  private final CountDownLatch failed = new CountDownLatch(1);
   private volatile @Nullable String failureReason;
 
-  private record Spec(RestartPolicy policy, Child child) {}
+  private record ChildSpec(RestartPolicy policy, Child child) {}
 
   /**
    * State of a child for the dump.
@@ -47,7 +47,7 @@
 
   /** Adds a child; to be called before {@link #run}. */
   public Supervisor add(String childName, RestartPolicy policy, Child child) {
-    specs.put(childName, new Spec(policy, child));
+    specs.put(childName, new ChildSpec(policy, child));
     return this;
   }
 
@@ -66,21 +66,21 @@
     Map<String, Thread> threads = new LinkedHashMap<>();
     specs.forEach((childName, spec) -> threads.put(childName, start(childName, spec)));
     try {
-      down.await();
+      failed.await();
     } finally {
       stop(threads);
     }
     throw new IllegalStateException(name + ": " + failureReason);
   }
 
-  private Thread start(String childName, Spec spec) {
+  private Thread start(String childName, ChildSpec spec) {
     return Thread.ofPlatform()
         .daemon(true)
         .name(name + "/" + childName)
         .start(() -> supervise(childName, spec));
   }
 
-  private void supervise(String childName, Spec spec) {
+  private void supervise(String childName, ChildSpec spec) {
     RestartIntensity intensity = new RestartIntensity(spec.policy());
     int restarts = 0;
     String lastFailure = "";
@@ -131,7 +131,7 @@
     if (failureReason == null) {
       failureReason = reason;
       Logger.error("{} goes down: {}", name, reason);
-      down.countDown();
+      failed.countDown();
     }
   }
 
@@ -141,7 +141,7 @@
     for (int i = all.length - 1; i >= 0; i--) {
       all[i].interrupt();
       try {
-        all[i].join(STOP_WAIT_MILLIS);
+        all[i].join(STOP_TIMEOUT_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
--- a/src/test/java/org/curranthaven/internal/configuration/ConfigurationStateTest.java
+++ b/src/test/java/org/curranthaven/internal/configuration/ConfigurationStateTest.java
@@ -109,11 +109,11 @@
 
   @Test
   void a_host_that_is_too_far_behind_is_not_served_by_deltas() {
-    for (int i = 0; i < RecentChanges.KEPT + 2; i++) {
+    for (int i = 0; i < RecentChanges.MAX_DELTAS + 2; i++) {
       state.apply(change("c" + i, i, "ama", putClass("door", 100 + i)));
     }
 
     assertThat(state.deltasAfter(0)).isEmpty();
-    assertThat(state.deltasAfter(5)).hasSize(RecentChanges.KEPT + 2 - 5);
+    assertThat(state.deltasAfter(5)).hasSize(RecentChanges.MAX_DELTAS + 2 - 5);
   }
 }
--- a/src/test/java/org/curranthaven/internal/configuration/FreshnessTest.java
+++ b/src/test/java/org/curranthaven/internal/configuration/FreshnessTest.java
@@ -12,8 +12,8 @@
   private final AcceptanceCore leader = new AcceptanceCore();
 
   private void leadSince(long nowMillis, String... voters) {
-    leader.leadershipStarted(nowMillis - AcceptanceCore.LEASE_BOUND_MILLIS);
-    leader.setVoters(Set.of(voters), nowMillis - AcceptanceCore.LEASE_BOUND_MILLIS);
+    leader.leadershipStarted(nowMillis - AcceptanceCore.MAX_LEASE_MILLIS);
+    leader.setVoters(Set.of(voters), nowMillis - AcceptanceCore.MAX_LEASE_MILLIS);
   }
 
   @Test
@@ -25,7 +25,7 @@
 
   @Test
   void a_host_serves_while_the_leaders_lease_lasts_from_when_it_asked() {
-    host.install(1);
+    host.activate(1);
     host.grantedByLeader(1, 1_000);
 
     assertThat(host.mayServe(2_999)).isTrue();
@@ -34,15 +34,15 @@
 
   @Test
   void a_revision_never_goes_down() {
-    host.install(5);
+    host.activate(5);
 
-    assertThat(host.install(4)).isFalse();
+    assertThat(host.activate(4)).isFalse();
     assertThat(host.revision()).isEqualTo(5);
   }
 
   @Test
   void a_grant_for_an_older_revision_counts_for_nothing() {
-    host.install(2);
+    host.activate(2);
     host.grantedByLeader(1, 1_000);
 
     assertThat(host.mayServe(1_100)).isFalse();
@@ -50,7 +50,7 @@
 
   @Test
   void a_host_serves_on_leases_from_a_majority_of_voters_when_no_leader_answers() {
-    host.install(1);
+    host.activate(1);
     host.grantedByVoter("a", 1, SET, 3, 1_000);
     assertThat(host.mayServe(1_100)).isFalse();
 
@@ -62,7 +62,7 @@
 
   @Test
   void voters_of_different_voter_sets_do_not_make_a_majority() {
-    host.install(1);
+    host.activate(1);
     host.grantedByVoter("a", 1, SET, 3, 1_000);
     host.grantedByVoter("b", 1, SET + 1, 3, 1_000);
 
@@ -72,25 +72,25 @@
   @Test
   void a_change_is_accepted_when_every_host_that_may_serve_has_it() {
     leadSince(0, "a");
-    leader.request("host-1", 1, 1, 0);
+    leader.requestLease("host-1", 1, 1, 0);
     leader.voterReported("a", 2);
-    leader.await(2, 77);
-    assertThat(leader.takeAccepted(10)).isEmpty();
+    leader.awaitActivation(2, 77);
+    assertThat(leader.drainAccepted(10)).isEmpty();
 
-    leader.request("host-1", 2, 2, 20);
+    leader.requestLease("host-1", 2, 2, 20);
 
-    assertThat(leader.takeAccepted(20)).containsExactly(77L);
+    assertThat(leader.drainAccepted(20)).containsExactly(77L);
   }
 
   @Test
   void a_change_waits_for_the_lease_of_a_host_that_is_cut_off_to_end() {
     leadSince(0, "a");
-    leader.request("host-1", 1, 1, 0);
+    leader.requestLease("host-1", 1, 1, 0);
     leader.voterReported("a", 2);
-    leader.await(2, 77);
+    leader.awaitActivation(2, 77);
 
-    assertThat(leader.takeAccepted(FreshnessCore.LEASE_MILLIS)).isEmpty();
-    assertThat(leader.takeAccepted(AcceptanceCore.LEASE_BOUND_MILLIS)).containsExactly(77L);
+    assertThat(leader.drainAccepted(FreshnessCore.LEASE_MILLIS)).isEmpty();
+    assertThat(leader.drainAccepted(AcceptanceCore.MAX_LEASE_MILLIS)).containsExactly(77L);
   }
 
   @Test
@@ -99,20 +99,22 @@
     leader.setVoters(Set.of("a"), 0);
     leader.voterReported("a", 2);
 
-    assertThat(leader.inForce(2, AcceptanceCore.LEASE_BOUND_MILLIS - 1)).isFalse();
-    assertThat(leader.inForce(2, AcceptanceCore.LEASE_BOUND_MILLIS)).isTrue();
+    assertThat(leader.isActiveEverywhere(2, AcceptanceCore.MAX_LEASE_MILLIS - 1)).isFalse();
+    assertThat(leader.isActiveEverywhere(2, AcceptanceCore.MAX_LEASE_MILLIS)).isTrue();
   }
 
   @Test
   void a_change_waits_for_leases_that_voters_gave_while_the_leader_was_out_of_reach() {
     leadSince(0, "a", "b", "c");
     leader.voterReported("a", 2);
-    assertThat(leader.inForce(2, 0)).as("only one of three voters has told its leases").isFalse();
+    assertThat(leader.isActiveEverywhere(2, 0))
+        .as("only one of three voters has told its leases")
+        .isFalse();
 
-    leader.leaseGivenElsewhere("host-9", 1, 500, 0);
+    leader.leaseGrantedByVoter("host-9", 1, 500, 0);
     leader.voterReported("b", 2);
 
-    assertThat(leader.inForce(2, 500)).isFalse();
-    assertThat(leader.inForce(2, 700)).isTrue();
+    assertThat(leader.isActiveEverywhere(2, 500)).isFalse();
+    assertThat(leader.isActiveEverywhere(2, 700)).isTrue();
   }
 }
--- a/src/test/java/org/curranthaven/internal/host/FleetClient.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetClient.java
@@ -22,10 +22,10 @@
 
 /** Calls a fleet on loopback as callers and operators do, and awaits conditions. */
 final class FleetClient {
-  static final long PATIENCE_MILLIS = 120_000;
+  static final long CONDITION_TIMEOUT_MILLIS = 120_000;
 
   /** A call that waits longer is given up and, where a condition is awaited, made again. */
-  private static final Duration ANSWER_WAIT = Duration.ofSeconds(30);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(30);
 
   private final LocalFleet fleet;
   private final HttpClient client = HttpClient.newHttpClient();
@@ -39,7 +39,7 @@
   }
 
   static void await(Condition condition) throws InterruptedException {
-    boolean held = LocalFleet.await(PATIENCE_MILLIS, () -> holds(condition));
+    boolean held = LocalFleet.await(CONDITION_TIMEOUT_MILLIS, () -> holds(condition));
     assertThat(held).isTrue();
   }
 
@@ -76,7 +76,8 @@
   }
 
   HttpResponse<String> send(HttpRequest.Builder request) throws IOException, InterruptedException {
-    return client.send(request.timeout(ANSWER_WAIT).build(), HttpResponse.BodyHandlers.ofString());
+    return client.send(
+        request.timeout(REQUEST_TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
   }
 
   HttpResponse<String> change(int host, String id, long base, List<Edit> edits)
@@ -87,17 +88,17 @@
             .POST(HttpRequest.BodyPublishers.ofString(body)));
   }
 
-  HttpRequest.Builder call(int host, String path, String className, String body) {
+  HttpRequest.Builder callerRequest(int host, String path, String className, String body) {
     return HttpRequest.newBuilder(URI.create(url(host, path)))
         .header("Authorization", "Bearer " + Workloads.KEY)
         .header("Curranthaven-Class", className)
         .POST(HttpRequest.BodyPublishers.ofString(body));
   }
 
-  HttpResponse<String> hold(int host, String key, String nonce)
+  HttpResponse<String> sendHold(int host, String key, String nonce)
       throws IOException, InterruptedException {
     return send(
-        call(host, "/services/desk/hold", "hold", "{\"nonce\":\"" + nonce + "\"}")
+        callerRequest(host, "/services/desk/hold", "hold", "{\"nonce\":\"" + nonce + "\"}")
             .header("Idempotency-Key", key));
   }
 
--- a/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
@@ -33,7 +33,7 @@
     desk = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
     FleetClient.await(
         () -> client.change(3, "setup", 0, Workloads.configuration()).statusCode() == 200);
-    assertThat(fleet.awaitReady(FleetClient.PATIENCE_MILLIS)).isTrue();
+    assertThat(fleet.awaitReady(FleetClient.CONDITION_TIMEOUT_MILLIS)).isTrue();
     FleetClient.await(() -> voters(3) == 3);
   }
 
@@ -74,7 +74,7 @@
       throws IOException, InterruptedException {
     String key = FleetClient.key();
     String nonce = UUID.randomUUID().toString();
-    FleetClient.await(() -> client.hold(3, key, nonce).statusCode() == 200);
+    FleetClient.await(() -> client.sendHold(3, key, nonce).statusCode() == 200);
     int lost = leader();
 
     fleet.host(lost).stop();
@@ -86,7 +86,7 @@
                     .statusCode()
                 == 200);
     int other = lost == 0 ? 1 : 0;
-    FleetClient.await(() -> client.hold(other, key, nonce).statusCode() == 200);
+    FleetClient.await(() -> client.sendHold(other, key, nonce).statusCode() == 200);
     assertThat(runLog.runs(nonce)).isEqualTo(1);
     assertThat(fleet.host(3).configuration().models()).containsKeys("new", Workloads.STORY);
   }
@@ -96,7 +96,7 @@
       throws IOException, InterruptedException {
     String key = FleetClient.key();
     String nonce = UUID.randomUUID().toString();
-    FleetClient.await(() -> client.hold(3, key, nonce).statusCode() == 200);
+    FleetClient.await(() -> client.sendHold(3, key, nonce).statusCode() == 200);
     fleet.host(1).stop();
     fleet.wipe(1);
     fleet.restart(1);
@@ -117,7 +117,7 @@
                     .change(3, "after", 1, List.of(new Edit.PutModel(new Model("new", 100))))
                     .statusCode()
                 == 200);
-    FleetClient.await(() -> client.hold(1, key, nonce).statusCode() == 200);
+    FleetClient.await(() -> client.sendHold(1, key, nonce).statusCode() == 200);
     assertThat(runLog.runs(nonce)).isEqualTo(1);
   }
 
@@ -136,7 +136,7 @@
               .start(
                   () -> {
                     try {
-                      load.run(FleetClient.PATIENCE_MILLIS, 40, 3);
+                      load.run(FleetClient.CONDITION_TIMEOUT_MILLIS, 40, 3);
                     } catch (InterruptedException e) {
                       Thread.currentThread().interrupt();
                     }
@@ -146,11 +146,11 @@
         assertThat(fleet.host(host).drain()).isZero();
         fleet.host(host).stop();
         fleet.restart(host);
-        assertThat(fleet.awaitReady(FleetClient.PATIENCE_MILLIS)).isTrue();
+        assertThat(fleet.awaitReady(FleetClient.CONDITION_TIMEOUT_MILLIS)).isTrue();
       }
       sender.interrupt();
       sender.join();
-      assertThat(load.awaitEnd(FleetClient.PATIENCE_MILLIS)).isZero();
+      assertThat(load.awaitEnd(FleetClient.CONDITION_TIMEOUT_MILLIS)).isZero();
 
       assertThat(load.promises().allKept()).as(load.promises().toString()).isTrue();
       assertThat(load.classes().values())
--- a/src/test/java/org/curranthaven/internal/host/FleetTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetTest.java
@@ -41,7 +41,7 @@
     desk = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
     FleetClient.await(
         () -> client.change(1, "setup", 0, Workloads.configuration()).statusCode() == 200);
-    assertThat(fleet.awaitReady(FleetClient.PATIENCE_MILLIS)).isTrue();
+    assertThat(fleet.awaitReady(FleetClient.CONDITION_TIMEOUT_MILLIS)).isTrue();
     FleetClient.await(() -> client.get(0, "/admin/v1/backends").size() == 3);
     FleetClient.await(() -> client.get(1, "/admin/v1/backends").size() == 3);
   }
@@ -69,7 +69,7 @@
     String nonce = nonce();
 
     HttpResponse<String> response =
-        client.send(client.call(0, "/v1/completions", "draft", prompt(nonce, 50, true)));
+        client.send(client.callerRequest(0, "/v1/completions", "draft", prompt(nonce, 50, true)));
 
     PromiseTally tally = new PromiseTally();
     AnswerCheck check = new AnswerCheck(tally, nonce);
@@ -88,7 +88,8 @@
   void a_whole_answer_has_usage_figures_and_a_finish_reason()
       throws IOException, InterruptedException {
     HttpResponse<String> response =
-        client.send(client.call(1, "/v1/completions", "draft", prompt(nonce(), 12, false)));
+        client.send(
+            client.callerRequest(1, "/v1/completions", "draft", prompt(nonce(), 12, false)));
 
     JsonNode answer = Json.LENIENT.readTree(response.body());
     assertThat(answer.at("/usage/completion_tokens").asInt()).isEqualTo(12);
@@ -111,7 +112,7 @@
                 });
 
     HttpResponse<String> response =
-        client.send(client.call(0, "/v1/completions", "draft", prompt(nonce, 200, false)));
+        client.send(client.callerRequest(0, "/v1/completions", "draft", prompt(nonce, 200, false)));
     silencer.interrupt();
 
     JsonNode answer = Json.LENIENT.readTree(response.body());
@@ -134,7 +135,7 @@
       HttpResponse<String> response =
           client.send(
               client
-                  .call(i % 3, "/services/desk/hold", "hold", body)
+                  .callerRequest(i % 3, "/services/desk/hold", "hold", body)
                   .header("Idempotency-Key", key));
       assertThat(response.statusCode()).isEqualTo(200);
       assertThat(response.body()).contains(nonce);
@@ -152,10 +153,14 @@
 
     HttpResponse<String> first =
         client.send(
-            client.call(0, "/services/desk/hold", "hold", body).header("Idempotency-Key", key));
+            client
+                .callerRequest(0, "/services/desk/hold", "hold", body)
+                .header("Idempotency-Key", key));
     HttpResponse<String> second =
         client.send(
-            client.call(1, "/services/desk/hold", "hold", body).header("Idempotency-Key", key));
+            client
+                .callerRequest(1, "/services/desk/hold", "hold", body)
+                .header("Idempotency-Key", key));
 
     assertThat(Json.LENIENT.readTree(first.body()).path("ran").asText()).isEqualTo("unknown");
     assertThat(Json.LENIENT.readTree(second.body()).path("ran").asText()).isEqualTo("unknown");
@@ -167,13 +172,13 @@
     String key = FleetClient.key();
     client.send(
         client
-            .call(0, "/services/desk/hold", "hold", "{\"nonce\":\"a1\"}")
+            .callerRequest(0, "/services/desk/hold", "hold", "{\"nonce\":\"a1\"}")
             .header("Idempotency-Key", key));
 
     HttpResponse<String> other =
         client.send(
             client
-                .call(1, "/services/desk/hold", "hold", "{\"nonce\":\"a2\"}")
+                .callerRequest(1, "/services/desk/hold", "hold", "{\"nonce\":\"a2\"}")
                 .header("Idempotency-Key", key));
 
     assertThat(Json.LENIENT.readTree(other.body()).path("code").asInt()).isEqualTo(1008);
@@ -182,27 +187,29 @@
 
   @Test
   void bad_input_gets_a_numbered_code_and_did_not_run() throws IOException, InterruptedException {
-    assertThat(codeOf(client.call(0, "/v1/completions", "draft", "{not json"))).isEqualTo(1001);
-    assertThat(codeOf(client.call(0, "/v1/completions", "nosuch", prompt("n", 1, false))))
+    assertThat(codeOf(client.callerRequest(0, "/v1/completions", "draft", "{not json")))
+        .isEqualTo(1001);
+    assertThat(codeOf(client.callerRequest(0, "/v1/completions", "nosuch", prompt("n", 1, false))))
         .isEqualTo(1002);
     assertThat(
             codeOf(
-                client.call(0, "/v1/completions", "draft", "{\"model\":\"x\",\"prompt\":\"y\"}")))
+                client.callerRequest(
+                    0, "/v1/completions", "draft", "{\"model\":\"x\",\"prompt\":\"y\"}")))
         .isEqualTo(1003);
-    assertThat(codeOf(client.call(0, "/v1/completions", "draft", "\u0000\u0001binary")))
+    assertThat(codeOf(client.callerRequest(0, "/v1/completions", "draft", "\u0000\u0001binary")))
         .isEqualTo(1001);
     assertThat(
             codeOf(
-                client.call(
+                client.callerRequest(
                     0,
                     "/v1/completions",
                     "draft",
                     "{\"model\":\"story\",\"prompt\":\"x\",\"max_tokens\":-4}")))
         .isEqualTo(1006);
-    assertThat(codeOf(client.call(0, "/v1/completions", "draft", "x".repeat(1_100_000))))
+    assertThat(codeOf(client.callerRequest(0, "/v1/completions", "draft", "x".repeat(1_100_000))))
         .isEqualTo(1005);
-    assertThat(codeOf(client.call(0, "/services/nosuch/x", "hold", "{}"))).isEqualTo(1007);
-    assertThat(codeOf(client.call(0, "/nowhere", "hold", "{}"))).isEqualTo(1012);
+    assertThat(codeOf(client.callerRequest(0, "/services/nosuch/x", "hold", "{}"))).isEqualTo(1007);
+    assertThat(codeOf(client.callerRequest(0, "/nowhere", "hold", "{}"))).isEqualTo(1012);
   }
 
   private int codeOf(HttpRequest.Builder request) throws IOException, InterruptedException {
