--- a/src/main/java/org/curranthaven/internal/configuration/AcceptanceCore.java
+++ b/src/main/java/org/curranthaven/internal/configuration/AcceptanceCore.java
@@ -8,35 +8,41 @@
 import java.util.TreeMap;
 
 /**
- * On the leader of group 0: decides when a committed revision is in force on every host that may
- * serve, so that the operator can be told that it is accepted.
+ * Decides, on the leader of group 0, when a committed configuration revision is active on every
+ * host that may serve, so that the change can be reported to the operator as accepted.
  *
- * <p>A host may serve an older revision until the lease it was last granted for it has ended.
- * Leases also come from voters that do not lead; a majority of the voters must have reported theirs
- * after the revision reached them, since any majority that gave leases for an older one shares a
- * member with it. Leases given before this leadership, or under an earlier voter set, are unknown,
- * and the leader waits until they must have ended. Not thread-safe.
+ * <p>A host may serve an older revision until the last lease granted to it for that revision has
+ * expired. Voters other than the leader grant leases too. A majority of the voters must have
+ * reported their leases after the revision reached them: any majority that granted leases for an
+ * older revision shares a member with it. Leases granted before the current leadership or under an
+ * earlier voter set are unknown, so the leader waits until they must have expired. Not thread-safe.
  */
 public final class AcceptanceCore {
-  /** How long a lease given now can last on a host whose clock runs slow, in milliseconds. */
+  /**
+   * Longest time that a lease granted now can last, in milliseconds: 5% above its nominal length,
+   * for hosts whose clock runs slow.
+   */
   public static final long MAX_LEASE_MILLIS = FreshnessCore.LEASE_MILLIS * 21 / 20;
 
   private final Map<String, HostLease> leasesByHost = new HashMap<>();
   private final Map<String, Long> revisionByVoter = new HashMap<>();
   private Set<String> voters = Set.of();
-  private final TreeMap<Long, List<Long>> waitersByRevision = new TreeMap<>();
+  private final TreeMap<Long, List<Long>> pendingIdsByRevision = new TreeMap<>();
   private long unknownLeasesEndMillis = Long.MAX_VALUE;
 
   private record HostLease(long revision, long endMillis) {}
 
-  /** Starts leadership: leases given before may last until the bound has passed. */
+  /** Starts leadership; leases granted earlier may last for another {@link #MAX_LEASE_MILLIS}. */
   public void leadershipStarted(long nowMillis) {
     leasesByHost.clear();
     revisionByVoter.clear();
     unknownLeasesEndMillis = nowMillis + MAX_LEASE_MILLIS;
   }
 
-  /** Notes the voter set in force; leases given under another one may be unknown. */
+  /**
+   * Records the active voter set. If it has changed, leases granted under the previous one may be
+   * unknown.
+   */
   public void setVoters(Set<String> identities, long nowMillis) {
     if (!voters.equals(identities)) {
       voters = Set.copyOf(identities);
@@ -47,25 +53,26 @@
   }
 
   /**
-   * Notes that a voter has {@code revision} and has told every lease that it gave for an older one.
+   * Records that a voter has {@code revision} and has reported every lease that it granted for an
+   * older one.
    */
   public void voterReported(String identity, long revision) {
     revisionByVoter.merge(identity, revision, Math::max);
   }
 
-  /** Ends leadership and returns the waiters, whose changes have an open fate. */
+  /** Ends leadership and returns the ids of the pending changes; their outcome is unknown. */
   public List<Long> leadershipEnded() {
-    List<Long> waiters = new ArrayList<>();
-    waitersByRevision.values().forEach(waiters::addAll);
-    waitersByRevision.clear();
+    List<Long> pendingIds = new ArrayList<>();
+    pendingIdsByRevision.values().forEach(pendingIds::addAll);
+    pendingIdsByRevision.clear();
     leasesByHost.clear();
     unknownLeasesEndMillis = Long.MAX_VALUE;
-    return waiters;
+    return pendingIds;
   }
 
   /**
-   * Notes a host's request and returns whether to grant a lease: only for the latest committed
-   * revision.
+   * Handles a host's lease request and returns whether the lease is granted, which it is only for
+   * the latest committed revision.
    */
   public boolean requestLease(
       String host, long hostRevision, long committedRevision, long nowMillis) {
@@ -76,35 +83,38 @@
     return true;
   }
 
-  /** Notes a lease that a control host other than the leader has given to a host. */
+  /** Records a lease that a control host other than the leader granted to a host. */
   public void leaseGrantedByVoter(
       String host, long revision, long remainingMillis, long nowMillis) {
-    long end = nowMillis + remainingMillis + (MAX_LEASE_MILLIS - FreshnessCore.LEASE_MILLIS);
+    long endMillis = nowMillis + remainingMillis + (MAX_LEASE_MILLIS - FreshnessCore.LEASE_MILLIS);
     leasesByHost.merge(
         host,
-        new HostLease(revision, end),
+        new HostLease(revision, endMillis),
         (known, added) ->
             known.revision() > added.revision() || known.endMillis() > added.endMillis()
                 ? known
                 : added);
   }
 
-  /** Waits for {@code revision} to be in force everywhere on behalf of {@code waiter}. */
-  public void awaitActivation(long revision, long waiter) {
-    waitersByRevision.computeIfAbsent(revision, r -> new ArrayList<>()).add(waiter);
+  /** Registers a change that is pending until {@code revision} is active on every host. */
+  public void awaitActivation(long revision, long pendingId) {
+    pendingIdsByRevision.computeIfAbsent(revision, r -> new ArrayList<>()).add(pendingId);
   }
 
-  /** Returns the waiters whose revision is now in force on every host that may serve. */
+  /**
+   * Removes and returns the ids of the pending changes whose revision is now active on every host
+   * that may serve.
+   */
   public List<Long> drainAccepted(long nowMillis) {
     List<Long> accepted = new ArrayList<>();
-    while (!waitersByRevision.isEmpty()
-        && isActiveEverywhere(waitersByRevision.firstKey(), nowMillis)) {
-      accepted.addAll(waitersByRevision.pollFirstEntry().getValue());
+    while (!pendingIdsByRevision.isEmpty()
+        && isActiveEverywhere(pendingIdsByRevision.firstKey(), nowMillis)) {
+      accepted.addAll(pendingIdsByRevision.pollFirstEntry().getValue());
     }
     return accepted;
   }
 
-  /** Returns whether no host can be serving a revision below {@code revision}. */
+  /** Returns whether no host can still be serving a revision below {@code revision}. */
   public boolean isActiveEverywhere(long revision, long nowMillis) {
     leasesByHost.values().removeIf(lease -> lease.endMillis() <= nowMillis);
     return nowMillis >= unknownLeasesEndMillis
--- a/src/main/java/org/curranthaven/internal/configuration/ChangeResult.java
+++ b/src/main/java/org/curranthaven/internal/configuration/ChangeResult.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
 
-/** Answer to a {@link ConfigurationChange}. */
+/** Result of a {@link ConfigurationChange}. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "result")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = ChangeResult.Committed.class, name = "committed"),
@@ -13,13 +13,26 @@
 })
 public sealed interface ChangeResult {
   /**
-   * The change is revision {@code revision}; {@code warnings} name targets that look unreachable.
+   * The change was committed.
+   *
+   * @param revision revision that the change created
+   * @param warnings targets that probably cannot be met
    */
   record Committed(long revision, List<String> warnings) implements ChangeResult {}
 
-  /** Another change was first; {@code operator} made it, with id {@code changeId}. */
+  /**
+   * The change was rejected because the configuration has changed since its base revision.
+   *
+   * @param currentRevision latest revision
+   * @param changeId id of the change that followed the base revision; empty if no longer known
+   * @param operator operator who made that change; empty if no longer known
+   */
   record Conflict(long currentRevision, String changeId, String operator) implements ChangeResult {}
 
-  /** The change would leave the configuration unsound; every fault is listed. */
+  /**
+   * The change was rejected because it would make the configuration invalid.
+   *
+   * @param faults every fault found
+   */
   record Invalid(List<String> faults) implements ChangeResult {}
 }
--- a/src/main/java/org/curranthaven/internal/configuration/ConfigurationEditor.java
+++ b/src/main/java/org/curranthaven/internal/configuration/ConfigurationEditor.java
@@ -10,9 +10,12 @@
 import org.curranthaven.api.ServiceClass;
 import org.curranthaven.api.Workspace;
 
-/** Applies edits to a configuration and checks the result as a whole. */
+/**
+ * Applies edits to a configuration and validates the result as a whole. The texts of faults and
+ * warnings are part of the replicated state, so every replica must produce the same ones.
+ */
 final class ConfigurationEditor {
-  /** Gap targets below this cannot be met by the engines known today, in milliseconds. */
+  /** Shortest token gap target that known engines can meet, in milliseconds. */
   private static final long MIN_GAP_MILLIS = 5;
 
   private final SortedMap<String, ServiceClass> classes;
@@ -39,49 +42,57 @@
   }
 
   private void remove(Edit.Kind kind, String name) {
-    SortedMap<String, ?> map =
+    SortedMap<String, ?> items =
         switch (kind) {
           case CLASS -> classes;
           case WORKSPACE -> workspaces;
           case MODEL -> models;
           case SERVICE -> services;
         };
-    if (map.remove(name) == null) {
+    if (items.remove(name) == null) {
       faults.add("there is no " + kind.name().toLowerCase(java.util.Locale.ROOT) + " " + name);
     }
   }
 
-  /** Returns everything that is wrong with the edited configuration. */
+  /** Returns all faults of the edited configuration, empty if it is valid. */
   List<String> faults() {
     List<String> result = new ArrayList<>(faults);
     workspaces
         .values()
-        .forEach(w -> requireClass(result, "workspace " + w.name(), w.defaultClass()));
-    services.values().forEach(s -> requireClass(result, "service " + s.name(), s.defaultClass()));
-    TreeMap<String, String> keyOwners = new TreeMap<>();
+        .forEach(
+            workspace ->
+                requireClass(result, "workspace " + workspace.name(), workspace.defaultClass()));
+    services
+        .values()
+        .forEach(
+            service -> requireClass(result, "service " + service.name(), service.defaultClass()));
+    TreeMap<String, String> workspaceByKeyHash = new TreeMap<>();
     for (Workspace workspace : workspaces.values()) {
-      String other = keyOwners.putIfAbsent(workspace.keySha256(), workspace.name());
-      if (other != null) {
-        result.add("workspaces " + other + " and " + workspace.name() + " have the same key");
+      String otherWorkspace =
+          workspaceByKeyHash.putIfAbsent(workspace.keySha256(), workspace.name());
+      if (otherWorkspace != null) {
+        result.add(
+            "workspaces " + otherWorkspace + " and " + workspace.name() + " have the same key");
       }
     }
     return result;
   }
 
-  private void requireClass(List<String> result, String user, String name) {
-    if (!classes.containsKey(name)) {
-      result.add(user + " names class " + name + ", which does not exist");
+  private void requireClass(List<String> result, String referrer, String className) {
+    if (!classes.containsKey(className)) {
+      result.add(referrer + " names class " + className + ", which does not exist");
     }
   }
 
-  /** Returns targets that look unreachable. */
+  /** Returns a warning for each target that probably cannot be met. */
   List<String> warnings() {
     return classes.values().stream()
-        .filter(c -> c.targets().gapMillis() < MIN_GAP_MILLIS)
+        .filter(serviceClass -> serviceClass.targets().gapMillis() < MIN_GAP_MILLIS)
         .map(
-            c ->
+            serviceClass ->
                 "class %s asks for a gap of %d ms; no engine is known to stay below %d ms"
-                    .formatted(c.name(), c.targets().gapMillis(), MIN_GAP_MILLIS))
+                    .formatted(
+                        serviceClass.name(), serviceClass.targets().gapMillis(), MIN_GAP_MILLIS))
         .toList();
   }
 
--- a/src/main/java/org/curranthaven/internal/configuration/ConfigurationState.java
+++ b/src/main/java/org/curranthaven/internal/configuration/ConfigurationState.java
@@ -10,13 +10,13 @@
 
 /**
  * Replicated configuration. A change applies only to the revision that it was made from; a change
- * that was seen before gets its first answer. Not thread-safe.
+ * whose id was seen before gets the result of the first attempt. Not thread-safe.
  */
 public final class ConfigurationState {
-  /** Number of past answers kept for changes that are sent again. */
+  /** Number of past results stored for changes that are sent again. */
   static final int MAX_STORED_RESULTS = 8_192;
 
-  /** Number of revisions kept in the history. */
+  /** Number of revisions stored in the history. */
   static final int MAX_HISTORY_ENTRIES = 1_000;
 
   private Configuration current = Configuration.empty();
@@ -25,11 +25,11 @@
   private final RecentChanges recentChanges = new RecentChanges();
 
   /**
-   * State as it stands in snapshots.
+   * State as written to snapshots.
    *
-   * @param current the configuration in force
-   * @param answers past answers by change id, oldest first
-   * @param history revisions, oldest first
+   * @param current latest configuration
+   * @param answers past results by change id, oldest first
+   * @param history stored revisions, oldest first
    */
   public record Snapshot(
       Configuration current, Map<String, ChangeResult> answers, List<HistoryEntry> history) {}
@@ -39,21 +39,21 @@
     return current;
   }
 
-  /** Returns the deltas after {@code revision}; an empty list if not all of them are kept. */
+  /** Returns the deltas after {@code revision}, or an empty list if some are no longer stored. */
   public List<ConfigurationDelta> deltasAfter(long revision) {
     return recentChanges.after(revision);
   }
 
-  /** Returns the revisions kept, oldest first. */
+  /** Returns the stored revisions, oldest first. */
   public List<HistoryEntry> history() {
     return List.copyOf(history);
   }
 
-  /** Applies a change, or returns the answer it got before. */
+  /** Applies a change, or returns its stored result if it was seen before. */
   public ChangeResult apply(ConfigurationChange change) {
-    ChangeResult before = resultsByChangeId.get(change.changeId());
-    if (before != null) {
-      return before;
+    ChangeResult storedResult = resultsByChangeId.get(change.changeId());
+    if (storedResult != null) {
+      return storedResult;
     }
     ChangeResult result = applyNew(change);
     resultsByChangeId.put(change.changeId(), result);
@@ -65,11 +65,11 @@
 
   private ChangeResult applyNew(ConfigurationChange change) {
     if (change.baseRevision() != current.revision()) {
-      HistoryEntry winner = historyEntryAfter(change.baseRevision());
+      HistoryEntry conflicting = historyEntryAfter(change.baseRevision());
       return new ChangeResult.Conflict(
           current.revision(),
-          winner == null ? "" : winner.changeId(),
-          winner == null ? "" : winner.operator());
+          conflicting == null ? "" : conflicting.changeId(),
+          conflicting == null ? "" : conflicting.operator());
     }
     ConfigurationEditor editor = new ConfigurationEditor(current);
     change.edits().forEach(editor::apply);
@@ -95,12 +95,12 @@
         .orElse(null);
   }
 
-  /** Returns the whole state. */
+  /** Returns a copy of the whole state. */
   public Snapshot snapshot() {
     return new Snapshot(current, new LinkedHashMap<>(resultsByChangeId), List.copyOf(history));
   }
 
-  /** Replaces the whole state. */
+  /** Replaces the whole state; the deltas of earlier changes are not part of a snapshot. */
   public void restore(Snapshot snapshot) {
     current = snapshot.current();
     recentChanges.clear();
--- a/src/main/java/org/curranthaven/internal/configuration/Deltas.java
+++ b/src/main/java/org/curranthaven/internal/configuration/Deltas.java
@@ -4,11 +4,14 @@
 import org.curranthaven.api.Configuration;
 import org.curranthaven.internal.transport.wire.ConfigurationDelta;
 
-/** Brings a configuration up to date by deltas. */
+/** Updates a configuration with deltas. */
 public final class Deltas {
   private Deltas() {}
 
-  /** Returns the configuration with every delta that follows it applied, in order. */
+  /**
+   * Returns the configuration with the deltas applied in order. A delta that does not directly
+   * follow the revision reached so far is skipped.
+   */
   public static Configuration apply(Configuration base, List<ConfigurationDelta> deltas) {
     Configuration result = base;
     for (ConfigurationDelta delta : deltas) {
--- a/src/main/java/org/curranthaven/internal/configuration/Edit.java
+++ b/src/main/java/org/curranthaven/internal/configuration/Edit.java
@@ -7,7 +7,7 @@
 import org.curranthaven.api.ServiceClass;
 import org.curranthaven.api.Workspace;
 
-/** One edit of the configuration. */
+/** Edit of one item of the configuration. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "edit")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = Edit.PutClass.class, name = "putClass"),
@@ -29,10 +29,10 @@
   /** Adds or replaces a plain service. */
   record PutService(PlainService value) implements Edit {}
 
-  /** Removes the named item of a kind. */
+  /** Removes an item. */
   record Remove(Kind kind, String name) implements Edit {}
 
-  /** Kinds of items. */
+  /** Kind of a configuration item. */
   enum Kind {
     CLASS,
     WORKSPACE,
--- a/src/main/java/org/curranthaven/internal/configuration/FleetCommand.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetCommand.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import org.curranthaven.internal.placement.PlacementCommand;
 
-/** A command of group 0. */
+/** Command that is replicated in group 0. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "command")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = FleetCommand.Change.class, name = "change"),
@@ -16,13 +16,13 @@
   /** Changes the configuration. */
   record Change(ConfigurationChange change) implements FleetCommand {}
 
-  /** Replaces the catalog document, unless its revision is not above the one held. */
+  /** Replaces the catalog document if its revision is higher than the current one. */
   @SuppressWarnings("ArrayRecordComponent")
   record ReplaceCatalog(long revision, byte[] document) implements FleetCommand {}
 
-  /** Changes nothing; once it is applied, the leader's state is known to be the newest. */
+  /** Changes nothing; once it has been applied, the leader's state is known to be the latest. */
   record ReadCatalog() implements FleetCommand {}
 
-  /** Changes who may order engines, or what was ordered. */
+  /** Acquires or renews the placement lease, or records a load of model weights. */
   record Placement(PlacementCommand placement) implements FleetCommand {}
 }
--- a/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
@@ -27,14 +27,15 @@
 import org.curranthaven.internal.transport.wire.RevisionAnswer;
 
 /**
- * On a control host: gives hosts their freshness leases and the configuration, and tells operators
- * when a change is in force everywhere. Runs on the consensus thread, except where said.
+ * Grants freshness leases and sends the configuration to hosts, and completes an operator's change
+ * once it is active on every host; runs on control hosts. Confined to the consensus thread, except
+ * for methods marked as thread-safe.
  */
 public final class FleetCoordinator implements GroupObserver {
-  /** Number of the group that holds the configuration. */
+  /** Id of the consensus group that holds the configuration. */
   public static final int GROUP_ID = 0;
 
-  /** Silence after which a host is no longer listed, in milliseconds. */
+  /** Time without a request after which a host is no longer listed, in milliseconds. */
   static final long HOST_TIMEOUT_MILLIS = 10_000;
 
   private final ConsensusLoop consensus;
@@ -53,15 +54,15 @@
 
   private record PendingChange(ChangeResult result, CompletableFuture<ChangeOutcome> future) {}
 
-  /** What became of a change. */
+  /** Outcome of a change. */
   public sealed interface ChangeOutcome {
-    /** The change was answered; a committed one is in force on every host that may serve. */
+    /** The change has a result; if committed, it is active on every host that may serve. */
     record Completed(ChangeResult result) implements ChangeOutcome {}
 
-    /** This host does not lead; {@code leaderHost} may, or is empty. */
+    /** This host is not the leader; {@code leaderHost} may be, or is empty if unknown. */
     record NotLeader(String leaderHost) implements ChangeOutcome {}
 
-    /** The change may or may not come into force; a resend with its id will tell. */
+    /** The change may or may not take effect; sending it again with its id tells which. */
     record Unknown() implements ChangeOutcome {}
   }
 
@@ -72,25 +73,25 @@
     this.clock = clock;
   }
 
-  /** Returns the leases that this host gave as a voter and that may still run. Thread-safe. */
+  /** Returns the unexpired leases that this host has granted as a voter. Thread-safe. */
   public List<PeerLease> leasesGranted(long nowMillis) {
-    leasesGranted.values().removeIf(end -> end <= nowMillis);
+    leasesGranted.values().removeIf(endMillis -> endMillis <= nowMillis);
     return leasesGranted.entrySet().stream()
         .map(
-            entry ->
+            lease ->
                 PeerLease.newBuilder()
-                    .setHost(entry.getKey())
-                    .setRemainingMillis(entry.getValue() - nowMillis)
+                    .setHost(lease.getKey())
+                    .setRemainingMillis(lease.getValue() - nowMillis)
                     .build())
         .toList();
   }
 
-  /** Answers a host's request. Thread-safe. */
+  /** Handles a host's freshness request. Thread-safe. */
   public void receive(HostRecord from, FreshnessRequest request) {
     consensus.execute(() -> handleRequest(from, request, clock.nowMillis()));
   }
 
-  /** Makes a change; the future completes on the consensus thread. Thread-safe. */
+  /** Proposes a change. The future completes on the consensus thread. Thread-safe. */
   public CompletableFuture<ChangeOutcome> change(ConfigurationChange change) {
     CompletableFuture<ChangeOutcome> future = new CompletableFuture<>();
     ByteString command = Json.write(new FleetCommand.Change(change));
@@ -98,7 +99,10 @@
     return future;
   }
 
-  /** Reads the state of group 0 on the consensus thread. Thread-safe. */
+  /**
+   * Passes the state of group 0 to {@code reader} on the consensus thread, if this host has a
+   * replica. Thread-safe.
+   */
   public void withState(Consumer<FleetState> reader) {
     consensus.execute(
         () -> {
@@ -130,8 +134,8 @@
       acceptance.leadershipStarted(nowMillis);
       return;
     }
-    for (long waiter : acceptance.leadershipEnded()) {
-      PendingChange ended = pendingChanges.remove(waiter);
+    for (long pendingId : acceptance.leadershipEnded()) {
+      PendingChange ended = pendingChanges.remove(pendingId);
       if (ended != null) {
         ended.future().complete(new ChangeOutcome.Unknown());
       }
@@ -151,10 +155,10 @@
     completeAccepted(nowMillis);
   }
 
-  /** Returns the hosts seen lately, with the revision each has in force. */
+  /** Returns the revision that is active on each host, for hosts that sent a request lately. */
   public Map<String, Long> hostRevisions() {
     Map<String, Long> result = new java.util.TreeMap<>();
-    hosts.forEach((name, seen) -> result.put(name, seen.revision()));
+    hosts.forEach((name, host) -> result.put(name, host.revision()));
     return result;
   }
 
@@ -202,16 +206,16 @@
   private void replyAsVoter(
       HostRecord from, FreshnessRequest request, RaftCore core, FleetState state, long nowMillis) {
     long revision = state.current().revision();
-    boolean votes = VoterSets.isVoter(core.voters(), consensus.identity());
+    boolean voter = VoterSets.isVoter(core.voters(), consensus.identity());
     boolean granted =
-        votes
+        voter
             && consensus.isFullyApplied(GROUP_ID)
             && request.getRevision() == revision
             && revision > 0;
     if (granted) {
       leasesGranted.merge(from.getName(), nowMillis + FreshnessCore.LEASE_MILLIS, Math::max);
     }
-    RevisionAnswer answer =
+    RevisionAnswer reply =
         RevisionAnswer.newBuilder()
             .setRevision(revision)
             .setEchoedSentAtMillis(request.getSentAtMillis())
@@ -219,7 +223,7 @@
             .setWitnessSetVersion(core.votersIndex())
             .setWitnessSetSize(core.voters().getVotersCount())
             .build();
-    network.send(from.getName(), Envelope.newBuilder().setRevisionAnswer(answer));
+    network.send(from.getName(), Envelope.newBuilder().setRevisionAnswer(reply));
   }
 
   private ByteString currentConfigurationJson(FleetState state) {
@@ -243,7 +247,10 @@
     }
   }
 
-  /** Sends the latest change to every host; one that cannot use it asks for what it lacks. */
+  /**
+   * Sends the latest change to every host. A host that misses earlier revisions gets them with the
+   * reply to its next freshness request.
+   */
   private void pushConfiguration(FleetState state) {
     long revision = state.current().revision();
     FreshnessGrant push =
@@ -261,9 +268,9 @@
     if (reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED) {
       ChangeResult result = Json.read(reply.getResult(), ChangeResult.class);
       if (result instanceof ChangeResult.Committed committed) {
-        long waiter = nextPendingId++;
-        pendingChanges.put(waiter, new PendingChange(result, future));
-        acceptance.awaitActivation(committed.revision(), waiter);
+        long pendingId = nextPendingId++;
+        pendingChanges.put(pendingId, new PendingChange(result, future));
+        acceptance.awaitActivation(committed.revision(), pendingId);
       } else {
         future.complete(new ChangeOutcome.Completed(result));
       }
@@ -275,8 +282,8 @@
   }
 
   private void completeAccepted(long nowMillis) {
-    for (long waiter : acceptance.drainAccepted(nowMillis)) {
-      PendingChange accepted = pendingChanges.remove(waiter);
+    for (long pendingId : acceptance.drainAccepted(nowMillis)) {
+      PendingChange accepted = pendingChanges.remove(pendingId);
       if (accepted != null) {
         accepted.future().complete(new ChangeOutcome.Completed(accepted.result()));
       }
--- a/src/main/java/org/curranthaven/internal/configuration/FleetState.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetState.java
@@ -8,7 +8,10 @@
 import org.curranthaven.internal.settings.Json;
 import org.jspecify.annotations.Nullable;
 
-/** State of group 0: the configuration, the placement lease and the catalog. Not thread-safe. */
+/**
+ * Replicated state of group 0: the configuration, the placement lease and the catalog. Not
+ * thread-safe.
+ */
 public final class FleetState implements StateMachine {
   private final ConfigurationState configuration = new ConfigurationState();
   private final PlacementState placement = new PlacementState();
@@ -24,17 +27,17 @@
     return configuration.current();
   }
 
-  /** Returns the configuration with its history. */
+  /** Returns the state of the configuration, with its history. */
   public ConfigurationState configuration() {
     return configuration;
   }
 
-  /** Returns the catalog document. */
+  /** Returns the state of the catalog. */
   public CatalogState catalog() {
     return catalog;
   }
 
-  /** Returns the placement lease. */
+  /** Returns the state of the placement lease. */
   public PlacementState placement() {
     return placement;
   }
--- a/src/main/java/org/curranthaven/internal/configuration/FreshnessCore.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FreshnessCore.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * Decides whether a host may serve: its configuration is known to be the one in force.
+ * Decides whether a host may serve, which it may only while its configuration is known to be the
+ * latest.
  *
  * <p>A host serves while it holds a lease from the leader of group 0, or leases from a majority of
- * one voter set of group 0, none of whose members has seen a higher revision. A lease is counted
- * from the sending of the request that it answers, on the requesting host's own clock, so that it
- * always ends here before it ends at the one that gave it. Revisions never go down. Not
- * thread-safe.
+ * one voter set of group 0, none of whose members has seen a higher revision. A lease starts when
+ * the host sent the request for it, measured on that host's own clock, so that it always expires
+ * here before it expires at its grantor. Revisions never decrease. Not thread-safe.
  */
 public final class FreshnessCore {
-  /** Length of a lease, in milliseconds. */
+  /** Duration of a lease, in milliseconds. */
   public static final long LEASE_MILLIS = 2_000;
 
   private final Map<String, VoterLease> voterLeases = new HashMap<>();
@@ -22,12 +22,16 @@
 
   private record VoterLease(long setVersion, int setSize, long endMillis) {}
 
-  /** Returns the revision in force on this host. */
+  /** Returns the revision that is active on this host; 0 if none is. */
   public long revision() {
     return revision;
   }
 
-  /** Notes that a configuration is in force here; returns false for one that is not newer. */
+  /**
+   * Makes a revision the active one and drops the leases for the previous one.
+   *
+   * @return false, without any change, if the revision is not newer than the active one
+   */
   public boolean activate(long newRevision) {
     if (newRevision <= revision) {
       return false;
@@ -39,8 +43,9 @@
   }
 
   /**
-   * Notes the leader's grant for {@code grantedRevision}, answering a request sent at {@code
-   * sentAtMillis}. A grant for another revision than the one in force here counts for nothing.
+   * Records a lease granted by the leader. A lease for any revision but the active one is ignored.
+   *
+   * @param sentAtMillis when this host sent the request for the lease
    */
   public void grantedByLeader(long grantedRevision, long sentAtMillis) {
     if (grantedRevision == revision) {
@@ -49,10 +54,11 @@
   }
 
   /**
-   * Notes a lease from a voter of group 0 that has seen no revision above {@code seenRevision}.
+   * Records a lease from a voter of group 0 that has seen no revision above {@code seenRevision}.
    *
-   * @param setVersion log index of the voter set that the voter has in force
+   * @param setVersion log index of the voter set that is active at the voter
    * @param setSize number of voters in that set
+   * @param sentAtMillis when this host sent the request for the lease
    */
   public void grantedByVoter(
       String identity, long seenRevision, long setVersion, int setSize, long sentAtMillis) {
@@ -61,36 +67,38 @@
     }
   }
 
-  /** Notes that a voter gives no lease. */
+  /** Records that a voter has denied a lease, and drops any earlier lease from it. */
   public void deniedByVoter(String identity) {
     voterLeases.remove(identity);
   }
 
-  /** Returns the time until which this host may take new work, unless it hears more. */
+  /** Returns the time until which this host may accept new work with the leases it holds. */
   public long servesUntilMillis(long nowMillis) {
     if (revision == 0) {
       return Long.MIN_VALUE;
     }
-    long end = leaderLeaseEndMillis;
+    long endMillis = leaderLeaseEndMillis;
     for (VoterLease lease : voterLeases.values()) {
-      if (lease.endMillis() > Math.max(end, nowMillis) && isGrantedByMajority(lease)) {
-        end = lease.endMillis();
+      if (lease.endMillis() > Math.max(endMillis, nowMillis) && isGrantedByMajority(lease)) {
+        endMillis = lease.endMillis();
       }
     }
-    return end;
+    return endMillis;
   }
 
-  /** Returns whether a majority of the lease's voter set gave leases that last as long as it. */
+  /**
+   * Returns whether a majority of the lease's voter set granted leases that last at least as long.
+   */
   private boolean isGrantedByMajority(VoterLease lease) {
-    long holders =
+    long grantors =
         voterLeases.values().stream()
             .filter(other -> other.setVersion() == lease.setVersion())
             .filter(other -> other.endMillis() >= lease.endMillis())
             .count();
-    return holders * 2 > lease.setSize();
+    return grantors * 2 > lease.setSize();
   }
 
-  /** Returns whether this host may take new work. */
+  /** Returns whether this host may accept new work. */
   public boolean mayServe(long nowMillis) {
     return nowMillis < servesUntilMillis(nowMillis);
   }
--- a/src/main/java/org/curranthaven/internal/configuration/HistoryEntry.java
+++ b/src/main/java/org/curranthaven/internal/configuration/HistoryEntry.java
@@ -1,11 +1,11 @@
 package org.curranthaven.internal.configuration;
 
 /**
- * One revision in the history.
+ * Revision in the history of the configuration.
  *
  * @param revision number of the revision
- * @param changeId id of the change that made it
- * @param operator who asked for it
- * @param edits number of edits in it
+ * @param changeId id of the change that created it
+ * @param operator name of the operator who made the change
+ * @param edits number of edits in the change
  */
 public record HistoryEntry(long revision, String changeId, String operator, int edits) {}
--- a/src/main/java/org/curranthaven/internal/configuration/RecentChanges.java
+++ b/src/main/java/org/curranthaven/internal/configuration/RecentChanges.java
@@ -9,11 +9,11 @@
 import org.curranthaven.internal.transport.wire.ConfigurationDelta;
 
 /**
- * The latest changes as deltas, so that a host that is a few revisions behind is sent those and not
- * the whole configuration. Not thread-safe.
+ * Latest configuration changes as deltas, so that a host that is a few revisions behind gets these
+ * instead of the whole configuration. Not thread-safe.
  */
 final class RecentChanges {
-  /** Revisions kept; a host that is further behind gets the whole configuration. */
+  /** Number of deltas stored; a host that is further behind gets the whole configuration. */
   static final int MAX_DELTAS = 512;
 
   private final Deque<ConfigurationDelta> deltas = new ArrayDeque<>();
@@ -35,7 +35,7 @@
     deltas.clear();
   }
 
-  /** Returns the deltas after {@code revision}; an empty list if not all of them are kept. */
+  /** Returns the deltas after {@code revision}, or an empty list if some are no longer stored. */
   List<ConfigurationDelta> after(long revision) {
     if (deltas.isEmpty() || deltas.getFirst().getRevision() > revision + 1) {
       return List.of();
@@ -49,7 +49,10 @@
     return result;
   }
 
-  /** Returns the configuration with the delta applied; the same one if it does not follow it. */
+  /**
+   * Returns the configuration with the delta applied, or {@code base} itself if the delta does not
+   * directly follow it.
+   */
   static Configuration apply(Configuration base, ConfigurationDelta delta) {
     if (delta.getRevision() != base.revision() + 1) {
       return base;
--- a/src/main/java/org/curranthaven/internal/configuration/package-info.java
+++ b/src/main/java/org/curranthaven/internal/configuration/package-info.java
@@ -1,4 +1,7 @@
-/** Classes, workspaces, models and services, their revisions and freshness. */
+/**
+ * Configuration of service classes, workspaces, models and services: its revisions, their
+ * replication, and the leases that keep hosts from serving an outdated one.
+ */
 @NullMarked
 package org.curranthaven.internal.configuration;
 
--- a/src/test/java/org/curranthaven/internal/configuration/ConfigurationStateTest.java
+++ b/src/test/java/org/curranthaven/internal/configuration/ConfigurationStateTest.java
@@ -11,8 +11,9 @@
 class ConfigurationStateTest {
   private final ConfigurationState state = new ConfigurationState();
 
-  private static ConfigurationChange change(String id, long base, String operator, Edit... edits) {
-    return new ConfigurationChange(id, base, operator, List.of(edits));
+  private static ConfigurationChange change(
+      String changeId, long baseRevision, String operator, Edit... edits) {
+    return new ConfigurationChange(changeId, baseRevision, operator, List.of(edits));
   }
 
   private static Edit putClass(String name, long gapMillis) {
@@ -25,35 +26,35 @@
 
     assertThat(result).isEqualTo(new ChangeResult.Committed(1, List.of()));
     assertThat(state.current().classes().values())
-        .extracting(door -> door.targets().firstReplyMillis())
+        .extracting(serviceClass -> serviceClass.targets().firstReplyMillis())
         .containsExactly(400L);
   }
 
   @Test
-  void of_two_operators_with_equal_numbers_one_wins_and_the_loser_is_told_who() {
+  void of_two_changes_from_the_same_revision_the_second_conflicts_and_names_the_first() {
     state.apply(change("c1", 0, "ama", putClass("door", 100)));
 
     ChangeResult result = state.apply(change("c2", 0, "kofi", putClass("door", 50)));
 
     assertThat(result).isEqualTo(new ChangeResult.Conflict(1, "c1", "ama"));
     assertThat(state.current().classes().values())
-        .extracting(door -> door.targets().gapMillis())
+        .extracting(serviceClass -> serviceClass.targets().gapMillis())
         .containsExactly(100L);
   }
 
   @Test
-  void a_change_that_is_sent_again_gets_its_first_answer() {
+  void a_change_that_is_sent_again_gets_its_first_result() {
     ChangeResult first = state.apply(change("c1", 0, "ama", putClass("door", 100)));
     state.apply(change("c2", 1, "kofi", putClass("note", 100)));
 
-    ChangeResult again = state.apply(change("c1", 0, "ama", putClass("door", 100)));
+    ChangeResult repeated = state.apply(change("c1", 0, "ama", putClass("door", 100)));
 
-    assertThat(again).isEqualTo(first);
+    assertThat(repeated).isEqualTo(first);
     assertThat(state.current().revision()).isEqualTo(2);
   }
 
   @Test
-  void an_unsound_change_is_refused_whole_with_every_fault() {
+  void an_invalid_change_is_rejected_as_a_whole_with_every_fault() {
     ChangeResult result =
         state.apply(
             change(
@@ -70,7 +71,7 @@
   }
 
   @Test
-  void a_target_that_no_engine_can_meet_is_warned_of() {
+  void a_target_that_no_engine_can_meet_gives_a_warning() {
     ChangeResult result = state.apply(change("c1", 0, "ama", putClass("door", 1)));
 
     assertThat(((ChangeResult.Committed) result).warnings())
@@ -80,13 +81,13 @@
   }
 
   @Test
-  void a_snapshot_keeps_answers_and_history() {
+  void a_snapshot_contains_results_and_history() {
     state.apply(change("c1", 0, "ama", putClass("door", 100)));
-    ConfigurationState.Snapshot written =
+    ConfigurationState.Snapshot snapshot =
         Json.read(Json.write(state.snapshot()), ConfigurationState.Snapshot.class);
 
     ConfigurationState restored = new ConfigurationState();
-    restored.restore(written);
+    restored.restore(snapshot);
 
     assertThat(restored.current()).isEqualTo(state.current());
     assertThat(restored.apply(change("c1", 0, "ama", putClass("door", 100))))
@@ -95,20 +96,20 @@
   }
 
   @Test
-  void deltas_bring_a_host_that_is_behind_to_the_same_configuration() {
+  void deltas_update_an_older_configuration_to_the_latest() {
     state.apply(change("c1", 0, "ama", putClass("door", 100)));
-    org.curranthaven.api.Configuration behind = state.current();
+    org.curranthaven.api.Configuration older = state.current();
     state.apply(change("c2", 1, "ama", putClass("note", 100)));
     state.apply(change("c3", 2, "ama", new Edit.Remove(Edit.Kind.CLASS, "door")));
 
-    assertThat(Deltas.apply(behind, state.deltasAfter(1))).isEqualTo(state.current());
-    assertThat(Deltas.apply(behind, state.deltasAfter(2)))
-        .as("a delta that does not follow is left out")
-        .isEqualTo(behind);
+    assertThat(Deltas.apply(older, state.deltasAfter(1))).isEqualTo(state.current());
+    assertThat(Deltas.apply(older, state.deltasAfter(2)))
+        .as("a delta that does not directly follow the base is skipped")
+        .isEqualTo(older);
   }
 
   @Test
-  void a_host_that_is_too_far_behind_is_not_served_by_deltas() {
+  void no_deltas_are_returned_when_some_are_no_longer_stored() {
     for (int i = 0; i < RecentChanges.MAX_DELTAS + 2; i++) {
       state.apply(change("c" + i, i, "ama", putClass("door", 100 + i)));
     }
--- a/src/test/java/org/curranthaven/internal/configuration/FreshnessTest.java
+++ b/src/test/java/org/curranthaven/internal/configuration/FreshnessTest.java
@@ -6,12 +6,13 @@
 import org.junit.jupiter.api.Test;
 
 class FreshnessTest {
-  private static final long SET = 1;
+  private static final long VOTER_SET_VERSION = 1;
 
   private final FreshnessCore host = new FreshnessCore();
   private final AcceptanceCore leader = new AcceptanceCore();
 
-  private void leadSince(long nowMillis, String... voters) {
+  /** Makes the leader one whose predecessors' leases have all expired by {@code nowMillis}. */
+  private void startLeadershipBefore(long nowMillis, String... voters) {
     leader.leadershipStarted(nowMillis - AcceptanceCore.MAX_LEASE_MILLIS);
     leader.setVoters(Set.of(voters), nowMillis - AcceptanceCore.MAX_LEASE_MILLIS);
   }
@@ -24,7 +25,7 @@
   }
 
   @Test
-  void a_host_serves_while_the_leaders_lease_lasts_from_when_it_asked() {
+  void a_lease_from_the_leader_lasts_from_the_sending_of_the_request() {
     host.activate(1);
     host.grantedByLeader(1, 1_000);
 
@@ -33,7 +34,7 @@
   }
 
   @Test
-  void a_revision_never_goes_down() {
+  void a_revision_never_decreases() {
     host.activate(5);
 
     assertThat(host.activate(4)).isFalse();
@@ -41,7 +42,7 @@
   }
 
   @Test
-  void a_grant_for_an_older_revision_counts_for_nothing() {
+  void a_lease_for_an_older_revision_is_ignored() {
     host.activate(2);
     host.grantedByLeader(1, 1_000);
 
@@ -49,29 +50,29 @@
   }
 
   @Test
-  void a_host_serves_on_leases_from_a_majority_of_voters_when_no_leader_answers() {
+  void a_host_serves_with_leases_from_a_majority_of_voters_when_no_leader_replies() {
     host.activate(1);
-    host.grantedByVoter("a", 1, SET, 3, 1_000);
+    host.grantedByVoter("a", 1, VOTER_SET_VERSION, 3, 1_000);
     assertThat(host.mayServe(1_100)).isFalse();
 
-    host.grantedByVoter("b", 1, SET, 3, 1_050);
+    host.grantedByVoter("b", 1, VOTER_SET_VERSION, 3, 1_050);
 
     assertThat(host.mayServe(2_999)).isTrue();
     assertThat(host.mayServe(3_001)).isFalse();
   }
 
   @Test
-  void voters_of_different_voter_sets_do_not_make_a_majority() {
+  void voters_of_different_voter_sets_do_not_form_a_majority() {
     host.activate(1);
-    host.grantedByVoter("a", 1, SET, 3, 1_000);
-    host.grantedByVoter("b", 1, SET + 1, 3, 1_000);
+    host.grantedByVoter("a", 1, VOTER_SET_VERSION, 3, 1_000);
+    host.grantedByVoter("b", 1, VOTER_SET_VERSION + 1, 3, 1_000);
 
     assertThat(host.mayServe(1_100)).isFalse();
   }
 
   @Test
-  void a_change_is_accepted_when_every_host_that_may_serve_has_it() {
-    leadSince(0, "a");
+  void a_change_is_accepted_once_it_is_active_on_every_host_that_may_serve() {
+    startLeadershipBefore(0, "a");
     leader.requestLease("host-1", 1, 1, 0);
     leader.voterReported("a", 2);
     leader.awaitActivation(2, 77);
@@ -83,8 +84,8 @@
   }
 
   @Test
-  void a_change_waits_for_the_lease_of_a_host_that_is_cut_off_to_end() {
-    leadSince(0, "a");
+  void a_change_is_accepted_only_after_the_lease_of_a_disconnected_host_has_expired() {
+    startLeadershipBefore(0, "a");
     leader.requestLease("host-1", 1, 1, 0);
     leader.voterReported("a", 2);
     leader.awaitActivation(2, 77);
@@ -94,7 +95,7 @@
   }
 
   @Test
-  void a_new_leader_waits_until_its_predecessors_leases_must_have_ended() {
+  void a_new_leader_waits_until_leases_of_its_predecessor_must_have_expired() {
     leader.leadershipStarted(0);
     leader.setVoters(Set.of("a"), 0);
     leader.voterReported("a", 2);
@@ -104,11 +105,11 @@
   }
 
   @Test
-  void a_change_waits_for_leases_that_voters_gave_while_the_leader_was_out_of_reach() {
-    leadSince(0, "a", "b", "c");
+  void a_change_is_accepted_only_after_leases_granted_by_other_voters_have_expired() {
+    startLeadershipBefore(0, "a", "b", "c");
     leader.voterReported("a", 2);
     assertThat(leader.isActiveEverywhere(2, 0))
-        .as("only one of three voters has told its leases")
+        .as("only one of three voters has reported its leases")
         .isFalse();
 
     leader.leaseGrantedByVoter("host-9", 1, 500, 0);
