--- a/src/main/java/org/curranthaven/internal/host/AdminService.java
+++ b/src/main/java/org/curranthaven/internal/host/AdminService.java
@@ -9,21 +9,21 @@
 import org.curranthaven.internal.transport.wire.AdminReply;
 import org.curranthaven.internal.transport.wire.AdminRequest;
 
-/** Answers other hosts' requests on behalf of operators, on a control host. */
+/** Handles, on a control host, operators' requests that other hosts forward. */
 final class AdminService {
   private AdminService() {}
 
   static void handle(
-      FleetCoordinator coordinator, AdminRequest request, Consumer<AdminReply> answer) {
+      FleetCoordinator coordinator, AdminRequest request, Consumer<AdminReply> replyTo) {
     if (request.getPath().equals(ChangeClient.CHANGE_PATH)) {
       ConfigurationChange change = Json.read(request.getJson(), ConfigurationChange.class);
       coordinator
           .change(change)
-          .thenAccept(outcome -> answer.accept(changeReply(request.getRequestId(), outcome)));
+          .thenAccept(outcome -> replyTo.accept(changeReply(request.getRequestId(), outcome)));
     } else if (request.getPath().equals(ChangeClient.HISTORY_PATH)) {
       coordinator.withState(
           state ->
-              answer.accept(
+              replyTo.accept(
                   reply(
                       request.getRequestId(),
                       ChangeClient.STATUS_OK,
@@ -33,8 +33,8 @@
 
   private static AdminReply changeReply(long requestId, FleetCoordinator.ChangeOutcome outcome) {
     return switch (outcome) {
-      case FleetCoordinator.ChangeOutcome.Completed answered ->
-          reply(requestId, ChangeClient.STATUS_OK, Json.write(answered.result()));
+      case FleetCoordinator.ChangeOutcome.Completed completed ->
+          reply(requestId, ChangeClient.STATUS_OK, Json.write(completed.result()));
       case FleetCoordinator.ChangeOutcome.NotLeader notLeader ->
           reply(requestId, ChangeClient.STATUS_NOT_LEADER, ByteString.EMPTY);
       case FleetCoordinator.ChangeOutcome.Unknown unknown ->
--- a/src/main/java/org/curranthaven/internal/host/BackendReports.java
+++ b/src/main/java/org/curranthaven/internal/host/BackendReports.java
@@ -5,29 +5,30 @@
 import org.curranthaven.internal.membership.BackendAnnouncement;
 import org.curranthaven.internal.routing.BackendReport;
 
-/** Turns announcements into reports for the routing core. */
+/** Converts backend server announcements to reports for the routing core. */
 final class BackendReports {
   private BackendReports() {}
 
   /**
-   * Returns the report.
+   * Converts an announcement to a report.
    *
-   * @param readyAtMillis since when the server has been ready
+   * @param sentAtMillis when the backend server sent the announcement
+   * @param readyAtMillis when the backend server became ready
    */
-  static BackendReport of(BackendAnnouncement server, long sentAtMillis, long readyAtMillis) {
-    Set<String> models = new HashSet<>(server.models());
-    if (!server.service().isEmpty()) {
-      models.add("service:" + server.service());
+  static BackendReport of(BackendAnnouncement announcement, long sentAtMillis, long readyAtMillis) {
+    Set<String> models = new HashSet<>(announcement.models());
+    if (!announcement.service().isEmpty()) {
+      models.add("service:" + announcement.service());
     }
     return new BackendReport(
-        server.name(),
-        server.dataCentre(),
+        announcement.name(),
+        announcement.dataCentre(),
         models,
-        server.blocksTotal(),
-        server.blocksTotal() - server.blocksFree(),
-        server.running(),
-        server.waiting(),
-        server.maxBatch(),
+        announcement.blocksTotal(),
+        announcement.blocksTotal() - announcement.blocksFree(),
+        announcement.running(),
+        announcement.waiting(),
+        announcement.maxBatch(),
         sentAtMillis,
         readyAtMillis);
   }
--- a/src/main/java/org/curranthaven/internal/host/ChangeClient.java
+++ b/src/main/java/org/curranthaven/internal/host/ChangeClient.java
@@ -23,8 +23,9 @@
 import org.curranthaven.internal.transport.wire.Envelope;
 
 /**
- * Brings operators' changes to the leader of group 0, from any host, until they are in force. A
- * change is sent again with its id when an answer is lost. Thread-safe; callers block.
+ * Sends operators' changes from any host to the leader of group 0 and waits until they are active
+ * on every host; also reads the history of changes from a control host. A change whose reply is
+ * lost is sent again with the same id. Thread-safe; callers block.
  */
 final class ChangeClient {
   static final String CHANGE_PATH = "change";
@@ -57,8 +58,8 @@
   }
 
   Outcome<ChangeResult> change(ConfigurationChange change) throws InterruptedException {
-    Outcome<ByteString> answer = request(CHANGE_PATH, Json.write(change));
-    return switch (answer) {
+    Outcome<ByteString> reply = request(CHANGE_PATH, Json.write(change));
+    return switch (reply) {
       case Outcome.Success<ByteString> success ->
           Outcome.success(Json.read(success.value(), ChangeResult.class));
       case Outcome.Failed<ByteString> failed -> Outcome.failed(failed.failure());
@@ -66,8 +67,8 @@
   }
 
   Outcome<ObjectNode> history() throws InterruptedException {
-    Outcome<ByteString> answer = request(HISTORY_PATH, ByteString.EMPTY);
-    return switch (answer) {
+    Outcome<ByteString> reply = request(HISTORY_PATH, ByteString.EMPTY);
+    return switch (reply) {
       case Outcome.Success<ByteString> success ->
           Outcome.success(Json.read(success.value(), ObjectNode.class));
       case Outcome.Failed<ByteString> failed -> Outcome.failed(failed.failure());
@@ -75,12 +76,12 @@
   }
 
   private Outcome<ByteString> request(String path, ByteString json) throws InterruptedException {
-    long deadline = clock.nowMillis() + TIMEOUT_MILLIS;
-    int turn = 0;
-    while (clock.nowMillis() < deadline) {
-      List<String> hosts = control.controlHosts();
-      if (!hosts.isEmpty()) {
-        AdminReply reply = attempt(hosts.get(turn++ % hosts.size()), path, json);
+    long deadlineMillis = clock.nowMillis() + TIMEOUT_MILLIS;
+    int attempts = 0;
+    while (clock.nowMillis() < deadlineMillis) {
+      List<String> controlHosts = control.controlHosts();
+      if (!controlHosts.isEmpty()) {
+        AdminReply reply = attempt(controlHosts.get(attempts++ % controlHosts.size()), path, json);
         if (reply.getStatus() == STATUS_OK) {
           return Outcome.success(reply.getJson());
         }
@@ -89,7 +90,10 @@
     }
     return Outcome.failed(
         ResultCode.CHANGE_UNKNOWN,
-        "no leader told within " + TIMEOUT_MILLIS + " ms that the change is in force everywhere");
+        "no leader confirmed within "
+            + TIMEOUT_MILLIS
+            + " ms that the change is active on every host; send it again with the same id to learn"
+            + " its result");
   }
 
   private AdminReply attempt(String host, String path, ByteString json)
--- a/src/main/java/org/curranthaven/internal/host/ConsensusDump.java
+++ b/src/main/java/org/curranthaven/internal/host/ConsensusDump.java
@@ -8,11 +8,16 @@
 import org.curranthaven.internal.consensus.VoterSets;
 import org.curranthaven.internal.ledger.LedgerState;
 
-/** Figures of the replicated groups for the state dump. */
+/** Collects the state of the consensus groups' replicas on this host for the state dump. */
 final class ConsensusDump {
   private ConsensusDump() {}
 
-  /** State of one group's replica on this host. */
+  /**
+   * State of one group's replica on this host.
+   *
+   * @param records number of ledger records; 0 for a group that holds no ledger
+   * @param recordBytes total size of the ledger records, in bytes
+   */
   record GroupView(
       String role,
       long term,
--- a/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
+++ b/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
@@ -40,8 +40,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The thread that owns a host's decisions: freshness, the view of backend servers and routing. All
- * public methods are thread-safe.
+ * Event loop that owns a host's freshness, its view of the backend servers and its routing. State
+ * is confined to the decision thread; all public methods are thread-safe.
  */
 public final class DecisionLoop implements Child, Router {
   private static final long TICK_INTERVAL_MILLIS = 20;
@@ -73,7 +73,7 @@
   private record PendingRequest(
       RequestAttributes request, String name, CompletableFuture<Outcome<Assignment>> future) {}
 
-  /** Tells which hosts' processes are alive. */
+  /** Knows which hosts' processes are alive. */
   public interface LivePeers {
     /** Returns whether the host is alive in the given incarnation. */
     boolean isAlive(String host, long incarnation);
@@ -85,8 +85,8 @@
   /**
    * Creates the loop.
    *
-   * @param routingFactory makes its routing core, also after a failure
-   * @param recorder records the core's events; null for none
+   * @param routingFactory creates the routing core, at the start and after each restart of the loop
+   * @param recorder records the events of the routing core; null for none
    */
   public DecisionLoop(
       Clock clock,
@@ -108,8 +108,8 @@
   public void run() throws InterruptedException {
     reset();
     while (true) {
-      long wait = Math.max(0, nextTickMillis - clock.nowMillis());
-      Runnable task = tasks.poll(wait, TimeUnit.MILLISECONDS);
+      long timeoutMillis = Math.max(0, nextTickMillis - clock.nowMillis());
+      Runnable task = tasks.poll(timeoutMillis, TimeUnit.MILLISECONDS);
       for (int i = 0; task != null && i < MAX_TASKS_PER_BATCH; i++) {
         task.run();
         task = i + 1 < MAX_TASKS_PER_BATCH ? tasks.poll() : null;
@@ -122,16 +122,19 @@
     }
   }
 
-  /** Forgets the routing state; requests that waited in it get an answer. */
+  /** Discards the routing state and fails the requests that were queued in it. */
   private void reset() {
     routing = routingFactory.get();
     routableBackends.clear();
     readySinceMillis.clear();
-    List<PendingRequest> open = List.copyOf(pendingRequests.values());
+    List<PendingRequest> discarded = List.copyOf(pendingRequests.values());
     pendingRequests.clear();
     Failure failure =
-        Failure.retryLater(ResultCode.NO_BACKEND, "the host's routing was started again", 1);
-    open.forEach(request -> request.future().complete(Outcome.failed(failure)));
+        Failure.retryLater(
+            ResultCode.NO_BACKEND,
+            "the request queue was lost when the host's routing restarted",
+            1);
+    discarded.forEach(request -> request.future().complete(Outcome.failed(failure)));
   }
 
   /** Runs an action on the decision thread. */
@@ -141,7 +144,7 @@
 
   // ---- configuration ----------------------------------------------------------------------------
 
-  /** Puts a configuration into force, unless a newer one is. */
+  /** Activates a configuration if it is newer than the active one. */
   public void activate(Configuration newer) {
     execute(
         () -> {
@@ -152,7 +155,7 @@
         });
   }
 
-  /** Puts the configuration with the deltas applied into force. */
+  /** Applies deltas to the active configuration and activates the result. */
   public void activateDeltas(List<ConfigurationDelta> deltas) {
     execute(
         () -> {
@@ -164,7 +167,7 @@
         });
   }
 
-  /** Notes a lease granted by the leader of group 0. */
+  /** Records a freshness lease granted by the leader of group 0. */
   public void grantedByLeader(long revision, long sentAtMillis) {
     execute(
         () -> {
@@ -173,13 +176,18 @@
         });
   }
 
-  /** Notes a voter's answer: a lease if {@code granted}. */
+  /** Handles a voter's reply to a freshness request: a lease if {@code granted}. */
   public void voterReplied(
-      String identity, long revision, boolean granted, long setVersion, int setSize, long sentAt) {
+      String identity,
+      long revision,
+      boolean granted,
+      long setVersion,
+      int setSize,
+      long sentAtMillis) {
     execute(
         () -> {
           if (granted) {
-            freshness.grantedByVoter(identity, revision, setVersion, setSize, sentAt);
+            freshness.grantedByVoter(identity, revision, setVersion, setSize, sentAtMillis);
           } else {
             freshness.deniedByVoter(identity);
           }
@@ -204,10 +212,10 @@
   // ---- backend servers --------------------------------------------------------------------------
 
   /**
-   * Takes in an announcement.
+   * Handles an announcement of a backend server.
    *
-   * @param ageMillis time since the backend server sent it
-   * @param direct whether it came from the backend server itself
+   * @param ageMillis time since the backend server sent it, in milliseconds
+   * @param direct whether it came from the backend server itself, not through another host
    */
   public void backendAnnounced(BackendAnnouncement announcement, long ageMillis, boolean direct) {
     execute(
@@ -224,30 +232,38 @@
         });
   }
 
-  /** Takes in a cache event of an engine. */
+  /** Handles an addition to or an eviction from an engine's prefix cache. */
   public void prefixCached(String server, long prefixHash, boolean present) {
     execute(() -> handle(new RoutingEvent.PrefixCached(server, prefixHash, present)));
   }
 
-  /** Takes in what another host has open. */
+  /** Handles another host's update of its open requests. */
   public void sharesReported(String host, ShareUpdate update) {
     execute(() -> handle(new RoutingEvent.SharesReported(host, update)));
   }
 
-  /** Notes that another host has gone. */
+  /** Handles the loss of the connection to another host. */
   public void hostDisconnected(String host) {
     execute(() -> handle(new RoutingEvent.HostRemoved(host)));
   }
 
-  /** What this host tells the others. */
+  /**
+   * Update that this host sends to the other hosts.
+   *
+   * @param announcements announcements that backend servers sent to this host
+   * @param shares update of this host's open requests
+   */
   public record Outgoing(List<BackendView.Aged> announcements, ShareUpdate shares) {
-    /** Returns whether there is nothing to tell. */
+    /** Returns whether there is nothing to send. */
     public boolean isEmpty() {
       return announcements.isEmpty() && shares.shares().isEmpty() && !shares.full();
     }
   }
 
-  /** Takes what was heard directly since the last call, with what is open now. */
+  /**
+   * Removes and returns the announcements received directly since the last call, with the next
+   * update of the open requests.
+   */
   public CompletableFuture<Outgoing> drainOutgoing() {
     return submit(
         () -> {
@@ -257,22 +273,23 @@
         });
   }
 
-  private void updateRouting(String name, long nowMillis) {
-    BackendAnnouncement usable = backends.usable(name, nowMillis);
+  private void updateRouting(String server, long nowMillis) {
+    BackendAnnouncement usable = backends.usable(server, nowMillis);
     if (usable == null) {
-      removeFromRouting(name);
+      removeFromRouting(server);
       return;
     }
-    long sentAt = backends.sentAtMillis(name);
-    routableBackends.add(name);
-    long readyAt = readySinceMillis.computeIfAbsent(name, n -> nowMillis);
-    handle(new RoutingEvent.BackendReported(BackendReports.of(usable, sentAt, readyAt)));
+    long sentAtMillis = backends.sentAtMillis(server);
+    routableBackends.add(server);
+    long readyAtMillis = readySinceMillis.computeIfAbsent(server, name -> nowMillis);
+    handle(
+        new RoutingEvent.BackendReported(BackendReports.of(usable, sentAtMillis, readyAtMillis)));
   }
 
-  private void removeFromRouting(String name) {
-    readySinceMillis.remove(name);
-    if (routableBackends.remove(name)) {
-      handle(new RoutingEvent.BackendRemoved(name));
+  private void removeFromRouting(String server) {
+    readySinceMillis.remove(server);
+    if (routableBackends.remove(server)) {
+      handle(new RoutingEvent.BackendRemoved(server));
     }
   }
 
@@ -295,7 +312,8 @@
     try {
       return future.get();
     } catch (ExecutionException e) {
-      return Outcome.failed(ResultCode.INTERNAL, "routing failed: " + e.getCause());
+      return Outcome.failed(
+          ResultCode.INTERNAL, "request " + requestName + " could not be routed: " + e.getCause());
     } catch (InterruptedException e) {
       execute(() -> abandon(request.id()));
       throw e;
@@ -313,8 +331,8 @@
   }
 
   @Override
-  public void finished(long requestId, int tokens, RoutingEvent.RequestOutcome ending) {
-    execute(() -> handle(new RoutingEvent.Finished(requestId, tokens, ending)));
+  public void finished(long requestId, int tokens, RoutingEvent.RequestOutcome outcome) {
+    execute(() -> handle(new RoutingEvent.Finished(requestId, tokens, outcome)));
   }
 
   @Override
@@ -326,8 +344,8 @@
   public Set<String> serversWithoutTakeover() {
     Set<String> names = new HashSet<>();
     aliveBackends.forEach(
-        (name, server) -> {
-          if (server.resume() != BackendAnnouncement.Resume.TAKEOVER) {
+        (name, announcement) -> {
+          if (announcement.resume() != BackendAnnouncement.Resume.TAKEOVER) {
             names.add(name);
           }
         });
@@ -336,12 +354,13 @@
 
   @Override
   public long takeFromLimit(Workspace workspace) {
-    double limit = workspace.requestsPerSecond();
-    if (limit == 0) {
+    double requestsPerSecond = workspace.requestsPerSecond();
+    if (requestsPerSecond == 0) {
       return 0;
     }
     int hosts = livePeers.count() + 1;
-    return submit(() -> limiter.tryAcquire(workspace.name(), limit, hosts, clock.nowMillis()))
+    return submit(
+            () -> limiter.tryAcquire(workspace.name(), requestsPerSecond, hosts, clock.nowMillis()))
         .join();
   }
 
@@ -377,7 +396,7 @@
       case RoutingDecision.Shed shed -> {
         PendingRequest request = pendingRequests.remove(shed.requestId());
         if (request != null) {
-          recordExplanation(request.name(), "given up: " + shed.reason(), shed);
+          recordExplanation(request.name(), "shed: " + shed.reason(), shed);
           request.future().complete(Outcome.failed(ShedMessages.failure(shed)));
         }
       }
@@ -390,7 +409,7 @@
     if (request == null) {
       execute(() -> cancelPlacement(dispatch.requestId()));
     } else if (server == null) {
-      // The lease ended since the last tick: choose again without the server.
+      // The backend server's lease has expired since the last tick: choose again without it.
       pendingRequests.put(dispatch.requestId(), request);
       execute(
           () -> {
@@ -399,7 +418,7 @@
             handle(new RoutingEvent.Arrived(request.request()));
           });
     } else {
-      recordExplanation(request.name(), "sent to " + dispatch.server(), dispatch);
+      recordExplanation(request.name(), "dispatched to " + dispatch.server(), dispatch);
       request
           .future()
           .complete(
@@ -416,9 +435,9 @@
   }
 
   private void tick(long nowMillis) {
-    for (String name : List.copyOf(routableBackends)) {
-      if (backends.usable(name, nowMillis) == null) {
-        removeFromRouting(name);
+    for (String server : List.copyOf(routableBackends)) {
+      if (backends.usable(server, nowMillis) == null) {
+        removeFromRouting(server);
       }
     }
     aliveBackends.keySet().removeIf(name -> backends.alive(name, nowMillis) == null);
@@ -434,9 +453,12 @@
   /**
    * State of the loop for the dump.
    *
-   * @param revision configuration revision in force
-   * @param servesForMillis how long the host may go on serving without further news
-   * @param queued requests that wait
+   * @param revision active configuration revision
+   * @param servesForMillis how long the host may serve with the leases it holds, in milliseconds
+   * @param queued number of queued requests
+   * @param servers load of each backend server
+   * @param classes statistics of each service class
+   * @param backends latest announcement of each backend server whose lease has not expired
    */
   public record View(
       long revision,
@@ -446,7 +468,7 @@
       Map<String, RoutingCore.ClassView> classes,
       List<BackendAnnouncement> backends) {}
 
-  /** Returns the state of the loop. */
+  /** Returns the state of the loop, read on the decision thread. */
   public CompletableFuture<View> view() {
     return submit(
         () -> {
--- a/src/main/java/org/curranthaven/internal/host/HostProcess.java
+++ b/src/main/java/org/curranthaven/internal/host/HostProcess.java
@@ -58,7 +58,7 @@
 import org.tinylog.Logger;
 
 /**
- * One host of the system: its parts, wired and supervised.
+ * Process of one host: creates its components, connects them and runs them under a supervisor.
  *
  * <pre>{@code
  * HostProcess host = HostProcess.start(settings, Clock.system());
@@ -71,6 +71,8 @@
   private static final long FRESHNESS_INTERVAL_MILLIS = 300;
   private static final long DUMP_TIMEOUT_MILLIS = 2_000;
   private static final long DRAIN_POLL_INTERVAL_MILLIS = 20;
+
+  /** Time allowed for a leadership transfer before a planned stop, in milliseconds. */
   private static final long LEADERSHIP_TRANSFER_MILLIS = 300;
 
   private final HostSettings settings;
@@ -91,10 +93,10 @@
   private @Nullable Thread supervisorThread;
 
   private HostProcess(
-      HostSettings settings, Clock clock, @Nullable DataFolder folder, @Nullable Path record) {
+      HostSettings settings, Clock clock, @Nullable DataFolder dataFolder, @Nullable Path trace) {
     this.settings = settings;
     this.clock = clock;
-    this.dataFolder = folder;
+    this.dataFolder = dataFolder;
     this.incarnation = clock.epochMillis();
     this.metrics = new Metrics(clock);
     RandomGenerator random = new SplittableRandom(settings.name().hashCode() ^ incarnation);
@@ -103,7 +105,7 @@
         new PeerNetwork(settings.peerAddress(), settings.controlHosts(), this::hostRecord, this);
     this.controlClient = new ControlClient(network, clock);
     this.changeClient = new ChangeClient(network, controlClient, clock);
-    this.consensus = folder == null ? null : newConsensus(folder);
+    this.consensus = dataFolder == null ? null : newConsensus(dataFolder);
     this.coordinator = consensus == null ? null : new FleetCoordinator(consensus, network, clock);
     if (consensus != null && coordinator != null) {
       consensus.addObserver(coordinator);
@@ -117,7 +119,7 @@
                     settings.name(),
                     new Policy.Forecast(ForecastOptions.standard()),
                     new SplittableRandom(incarnation)),
-            record == null ? null : RoutingRecorder.start(record, settings.name(), incarnation),
+            trace == null ? null : RoutingRecorder.start(trace, settings.name(), incarnation),
             explainLog,
             new ConnectedPeers());
     this.ledger =
@@ -150,21 +152,21 @@
     addChildren();
   }
 
-  /** Starts a host. A failure tells why its data folder cannot be used. */
+  /** Starts a host. Fails if its data folder cannot be used. */
   public static Outcome<HostProcess> start(HostSettings settings, Clock clock) {
     return start(settings, clock, null);
   }
 
-  /** Starts a host that records the events of its routing core to a file, unless it is null. */
+  /** Starts a host that records the events of its routing core to {@code trace}, if not null. */
   public static Outcome<HostProcess> start(
-      HostSettings settings, Clock clock, @Nullable Path record) {
+      HostSettings settings, Clock clock, @Nullable Path trace) {
     if (settings.dataFolder() == null) {
-      return Outcome.success(new HostProcess(settings, clock, null, record).launch());
+      return Outcome.success(new HostProcess(settings, clock, null, trace).launch());
     }
     Outcome<DataFolder> opened = DataFolder.open(settings.dataFolder());
     return switch (opened) {
       case Outcome.Success<DataFolder> success ->
-          Outcome.success(new HostProcess(settings, clock, success.value(), record).launch());
+          Outcome.success(new HostProcess(settings, clock, success.value(), trace).launch());
       case Outcome.Failed<DataFolder> failed -> Outcome.failed(failed.failure());
     };
   }
@@ -182,16 +184,16 @@
     try {
       rootSupervisor.run();
     } catch (InterruptedException e) {
-      Logger.info("{} stopped", settings.name());
+      Logger.info("host {} stopped", settings.name());
     } catch (IllegalStateException e) {
-      Logger.error("{} is down: {}", settings.name(), e.getMessage());
+      Logger.error("host {} stopped after a failure: {}", settings.name(), e.getMessage());
     }
   }
 
-  private ConsensusLoop newConsensus(DataFolder data) {
+  private ConsensusLoop newConsensus(DataFolder folder) {
     return new ConsensusLoop(
         new ConsensusLoop.Dependencies(
-            data,
+            folder,
             settings.ledgerGroups() + 1,
             Set.copyOf(settings.controlHosts()),
             settings.votersWanted(),
@@ -225,16 +227,16 @@
     void run() throws Exception;
   }
 
-  private static Child periodic(long periodMillis, PeriodicTask step) {
+  private static Child periodic(long intervalMillis, PeriodicTask task) {
     return () -> {
       while (true) {
-        step.run();
-        Thread.sleep(periodMillis);
+        task.run();
+        Thread.sleep(intervalMillis);
       }
     };
   }
 
-  // ---- operation --------------------------------------------------------------------------------
+  // ---- lifecycle --------------------------------------------------------------------------------
 
   /** Returns the host's name. */
   public String name() {
@@ -246,46 +248,46 @@
     return settings;
   }
 
-  /** Returns the host's connections to others. */
+  /** Returns the connections to other hosts. */
   public PeerNetwork network() {
     return network;
   }
 
-  /** Returns the ledger of calls that may not repeat. */
+  /** Returns the ledger of requests that must not run twice. */
   public Ledger ledger() {
     return ledger;
   }
 
-  /** Returns whether the host may take new work. */
+  /** Returns whether the host may accept new work. */
   public boolean isReady() {
     return !draining && decisions.mayServe();
   }
 
-  /** Returns the configuration in force on this host. */
+  /** Returns the configuration that is active on this host. */
   public Configuration configuration() {
     return decisions.configuration();
   }
 
-  /** Returns the number of callers' requests that are open. */
+  /** Returns the number of open requests of callers. */
   public int openRequests() {
     return server.openRequests();
   }
 
-  /** Returns why the host went down, or null while it runs. */
+  /** Returns why the host failed, or null if it has not. */
   public @Nullable String failureReason() {
     return rootSupervisor.failureReason();
   }
 
   /**
-   * Prepares a planned stop: takes no new work, hands over leadership, and waits until the open
-   * requests have ended.
+   * Drains the host before a planned stop: accepts no new work, waits until the open requests have
+   * ended or the drain time is over, and then transfers leadership.
    *
-   * @return the number of requests still open when the time allowed was up
+   * @return number of requests that are still open
    */
   public int drain() throws InterruptedException {
     draining = true;
-    long deadline = clock.nowMillis() + settings.drainMillis();
-    while (server.openRequests() > 0 && clock.nowMillis() < deadline) {
+    long deadlineMillis = clock.nowMillis() + settings.drainMillis();
+    while (server.openRequests() > 0 && clock.nowMillis() < deadlineMillis) {
       Thread.sleep(DRAIN_POLL_INTERVAL_MILLIS);
     }
     if (consensus != null) {
@@ -295,7 +297,7 @@
     return server.openRequests();
   }
 
-  /** Stops the host; whatever is open is cut off. */
+  /** Stops the host at once; open requests are interrupted. */
   public void stop() {
     Thread running = supervisorThread;
     if (running != null) {
@@ -311,11 +313,14 @@
         dataFolder.close();
       }
     } catch (IOException e) {
-      Logger.warn("the data folder's lock could not be released: {}", e.getMessage());
+      Logger.warn(
+          "host {}: lock of the data folder could not be released: {}",
+          settings.name(),
+          e.getMessage());
     }
   }
 
-  /** Waits until the host goes down by itself. */
+  /** Waits until the host has stopped. */
   public void join() throws InterruptedException {
     Thread running = supervisorThread;
     if (running != null) {
@@ -324,7 +329,7 @@
   }
 
   private HostRecord hostRecord() {
-    HostRecord.Builder record =
+    HostRecord.Builder host =
         HostRecord.newBuilder()
             .setName(settings.name())
             .setDataCentre(settings.dataCentre())
@@ -334,15 +339,15 @@
             .setControl(settings.control())
             .setDraining(draining);
     if (dataFolder != null) {
-      record.setIdentity(dataFolder.identity());
+      host.setIdentity(dataFolder.identity());
     }
     if (consensus != null) {
-      record.setFormed(consensus.hasReplicas());
+      host.setFormed(consensus.hasReplicas());
     }
-    return record.build();
+    return host.build();
   }
 
-  /** A host as operators see it. */
+  /** Description of a host for operators. */
   public record HostView(
       String name, String dataCentre, String httpAddress, boolean control, long incarnation) {
     static HostView of(HostRecord host) {
@@ -367,7 +372,7 @@
     return network.connected().stream().filter(HostRecord::getControl).toList();
   }
 
-  /** The other hosts' processes, as the connections tell. */
+  /** Processes of the other hosts, which are alive while they are connected. */
   private final class ConnectedPeers implements DecisionLoop.LivePeers {
     @Override
     public boolean isAlive(String host, long hostIncarnation) {
@@ -375,8 +380,8 @@
         return hostIncarnation == incarnation;
       }
       return network.connected().stream()
-          .filter(record -> record.getName().equals(host))
-          .anyMatch(record -> record.getIncarnation() == hostIncarnation);
+          .filter(peer -> peer.getName().equals(host))
+          .anyMatch(peer -> peer.getIncarnation() == hostIncarnation);
     }
 
     @Override
@@ -385,7 +390,7 @@
     }
   }
 
-  // ---- periodic messages ------------------------------------------------------------------------
+  // ---- messages sent periodically ---------------------------------------------------------------
 
   private void requestFreshness() {
     long nowMillis = clock.nowMillis();
@@ -395,7 +400,7 @@
             .setRevision(decisions.configuration().revision())
             .setSentAtMillis(nowMillis);
     if (coordinator != null) {
-      // Read after the revision: leases for an older one are all in the list by then.
+      // Read after the revision, so that the list has every lease granted for an older revision.
       request.addAllPeerLeases(coordinator.leasesGranted(nowMillis));
     }
     for (String host : controlClient.controlHosts()) {
@@ -408,34 +413,34 @@
     if (outgoing.isEmpty()) {
       return;
     }
-    SoftState.Builder state = SoftState.newBuilder().setFullShares(outgoing.shares().full());
+    SoftState.Builder softState = SoftState.newBuilder().setFullShares(outgoing.shares().full());
     for (BackendView.Aged aged : outgoing.announcements()) {
-      state.addAnnouncements(
+      softState.addAnnouncements(
           org.curranthaven.internal.transport.wire.BackendAnnouncement.newBuilder()
               .setJson(Json.write(aged.announcement()))
               .setAgeMillis(aged.ageMillis() + BackendView.HOP_ALLOWANCE_MILLIS));
     }
     for (HostShare share : outgoing.shares().shares()) {
-      state.addShares(toWire(share));
+      softState.addShares(toWire(share));
     }
     for (HostRecord host : network.connected()) {
-      network.send(host.getName(), Envelope.newBuilder().setSoftState(state));
+      network.send(host.getName(), Envelope.newBuilder().setSoftState(softState));
     }
   }
 
   private static DispatchShare toWire(HostShare share) {
-    DispatchShare.Builder wire =
+    DispatchShare.Builder wireShare =
         DispatchShare.newBuilder().setBackend(share.server()).setRunning(share.running());
     for (double mean : share.forecast().means()) {
-      wire.addMeanBlocks((float) mean);
+      wireShare.addMeanBlocks((float) mean);
     }
     for (double variance : share.forecast().variances()) {
-      wire.addVarianceBlocks((float) variance);
+      wireShare.addVarianceBlocks((float) variance);
     }
-    return wire.build();
+    return wireShare.build();
   }
 
-  // ---- messages ---------------------------------------------------------------------------------
+  // ---- messages received ------------------------------------------------------------------------
 
   @Override
   public void received(HostRecord from, Envelope message) {
@@ -487,7 +492,7 @@
     if (grant.getGranted()) {
       decisions.grantedByLeader(grant.getRevision(), grant.getEchoedSentAtMillis());
     } else if (newer) {
-      // Tells the leader at once that the new revision is in force here.
+      // Reports to the leader at once that the new revision is active here.
       decisions.execute(this::requestFreshness);
     }
     for (HostRecord host : grant.getHostsList()) {
@@ -497,20 +502,20 @@
     }
   }
 
-  private void handleRevisionReply(String identity, RevisionAnswer answer) {
+  private void handleRevisionReply(String identity, RevisionAnswer reply) {
     decisions.voterReplied(
         identity,
-        answer.getRevision(),
-        answer.getGranted(),
-        answer.getWitnessSetVersion(),
-        answer.getWitnessSetSize(),
-        answer.getEchoedSentAtMillis());
+        reply.getRevision(),
+        reply.getGranted(),
+        reply.getWitnessSetVersion(),
+        reply.getWitnessSetSize(),
+        reply.getEchoedSentAtMillis());
   }
 
   private void handleSoftState(HostRecord from, SoftState state) {
-    for (BackendAnnouncementOrBuilder aged : state.getAnnouncementsList()) {
-      BackendAnnouncement announcement = Json.read(aged.getJson(), BackendAnnouncement.class);
-      decisions.backendAnnounced(announcement, aged.getAgeMillis(), false);
+    for (BackendAnnouncementOrBuilder received : state.getAnnouncementsList()) {
+      BackendAnnouncement announcement = Json.read(received.getJson(), BackendAnnouncement.class);
+      decisions.backendAnnounced(announcement, received.getAgeMillis(), false);
     }
     List<HostShare> shares = new ArrayList<>();
     for (DispatchShare share : state.getSharesList()) {
@@ -540,18 +545,18 @@
 
   @Override
   public void connected(HostRecord host) {
-    Logger.info("{}: connected to {}", settings.name(), host.getName());
+    Logger.info("host {}: connected to host {}", settings.name(), host.getName());
   }
 
   @Override
   public void disconnected(HostRecord host) {
-    Logger.info("{}: connection to {} is gone", settings.name(), host.getName());
+    Logger.info("host {}: connection to host {} lost", settings.name(), host.getName());
     decisions.hostDisconnected(host.getName());
   }
 
   // ---- dump -------------------------------------------------------------------------------------
 
-  /** Returns the whole state of the process. */
+  /** Returns the state of the process for operators. */
   public Map<String, Object> dump() {
     Map<String, Object> dump = new LinkedHashMap<>();
     dump.put("host", settings.name());
@@ -574,7 +579,7 @@
     try {
       return future.get(DUMP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      return "does not answer";
+      return "no response within " + DUMP_TIMEOUT_MILLIS + " ms";
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return "interrupted";
--- a/src/main/java/org/curranthaven/internal/host/ShedMessages.java
+++ b/src/main/java/org/curranthaven/internal/host/ShedMessages.java
@@ -4,7 +4,7 @@
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.routing.RoutingDecision;
 
-/** Words the reasons for which a request is given up. */
+/** Failures that tell a caller why its request was shed. */
 final class ShedMessages {
   private ShedMessages() {}
 
@@ -12,14 +12,17 @@
     return switch (shed.reason()) {
       case NO_SERVER ->
           Failure.retryLater(
-              ResultCode.NO_BACKEND, "no backend server serves it now", shed.retryAfterMillis());
+              ResultCode.NO_BACKEND,
+              "no backend server serves the requested model or service at present",
+              shed.retryAfterMillis());
       case TARGET_UNREACHABLE ->
           Failure.retryLater(
               ResultCode.SHED,
-              "its answer could no longer be whole within the class's target",
+              "the response could no longer be complete within the target of its service class",
               shed.retryAfterMillis());
       case QUEUE_FULL ->
-          Failure.retryLater(ResultCode.SHED, "the host's queue is full", shed.retryAfterMillis());
+          Failure.retryLater(
+              ResultCode.SHED, "the request queue of the host is full", shed.retryAfterMillis());
     };
   }
 }
--- a/src/main/java/org/curranthaven/internal/host/package-info.java
+++ b/src/main/java/org/curranthaven/internal/host/package-info.java
@@ -1,4 +1,4 @@
-/** One host's process, wired from its parts. */
+/** The process of a host: its components and how they are connected. */
 @NullMarked
 package org.curranthaven.internal.host;
 
--- a/src/main/java/org/curranthaven/internal/supervision/Child.java
+++ b/src/main/java/org/curranthaven/internal/supervision/Child.java
@@ -1,13 +1,13 @@
 package org.curranthaven.internal.supervision;
 
-/** A long-lived part of a process. */
+/** Long-running component of a process that a {@link Supervisor} runs and restarts. */
 @FunctionalInterface
 public interface Child {
   /**
-   * Runs until the thread is interrupted. Returning or throwing earlier counts as a failure.
+   * Runs until the thread is interrupted. Returning or throwing before that counts as a failure.
    *
-   * @throws InterruptedException when asked to stop
-   * @throws Exception when the part has failed and may be started again
+   * @throws InterruptedException if the thread is interrupted to stop the component
+   * @throws Exception if the component has failed; it may be restarted
    */
   void run() throws Exception;
 }
--- a/src/main/java/org/curranthaven/internal/supervision/Clock.java
+++ b/src/main/java/org/curranthaven/internal/supervision/Clock.java
@@ -1,14 +1,17 @@
 package org.curranthaven.internal.supervision;
 
-/** Source of the present time for the parts that own threads; decisions get it as an argument. */
+/**
+ * Source of the current time for components that own threads. Decision classes get the time as an
+ * argument instead, so that they stay deterministic.
+ */
 public interface Clock {
-  /** Returns monotonic time, in milliseconds from an arbitrary start. */
+  /** Returns monotonic time, in milliseconds since an arbitrary origin. */
   long nowMillis();
 
-  /** Returns wall-clock time, in milliseconds since the epoch; may jump. */
+  /** Returns wall-clock time, in milliseconds since the epoch; may jump in either direction. */
   long epochMillis();
 
-  /** Returns the clock of this machine. */
+  /** Returns the system clock. */
   static Clock system() {
     return new Clock() {
       @Override
--- a/src/main/java/org/curranthaven/internal/supervision/RestartIntensity.java
+++ b/src/main/java/org/curranthaven/internal/supervision/RestartIntensity.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Counts a child's failures and decides whether it may be started again. Not thread-safe. */
+/** Counts a child's recent failures and decides whether it may be restarted. Not thread-safe. */
 final class RestartIntensity {
   private final RestartPolicy policy;
   private final Deque<Long> failures = new ArrayDeque<>();
@@ -12,7 +12,7 @@
     this.policy = policy;
   }
 
-  /** Notes a failure and returns whether a restart is within the policy. */
+  /** Records a failure and returns whether the policy allows a restart. */
   boolean mayRestart(long nowMillis) {
     failures.addLast(nowMillis);
     while (nowMillis - failures.getFirst() >= policy.windowMillis()) {
--- a/src/main/java/org/curranthaven/internal/supervision/Supervisor.java
+++ b/src/main/java/org/curranthaven/internal/supervision/Supervisor.java
@@ -8,9 +8,9 @@
 import org.tinylog.Logger;
 
 /**
- * Runs children, each on its own thread, and restarts those that fail. A child that fails too often
- * takes the supervisor down: all children are stopped and {@link #run} fails with the reason, so
- * that a supervisor is itself a child of the one above it.
+ * Runs children, each on its own thread, and restarts those that fail. If a child fails more often
+ * than its policy allows, the supervisor fails: it stops all children, and {@link #run} throws an
+ * exception with the reason. A supervisor can therefore be a child of another one.
  *
  * <pre>{@code
  * Supervisor root = new Supervisor("host", clock);
@@ -31,11 +31,11 @@
   private record ChildSpec(RestartPolicy policy, Child child) {}
 
   /**
-   * State of a child for the dump.
+   * State of a child for the state dump.
    *
    * @param state {@code running}, {@code restarting}, {@code failed} or {@code stopped}
-   * @param restarts how often it was restarted
-   * @param lastFailure reason of the latest failure, empty when there was none
+   * @param restarts number of restarts so far
+   * @param lastFailure reason of the latest failure; empty if there was none
    */
   public record ChildStatus(String state, int restarts, String lastFailure) {}
 
@@ -45,7 +45,7 @@
     this.clock = clock;
   }
 
-  /** Adds a child; to be called before {@link #run}. */
+  /** Adds a child. Must be called before {@link #run}. */
   public Supervisor add(String childName, RestartPolicy policy, Child child) {
     specs.put(childName, new ChildSpec(policy, child));
     return this;
@@ -56,7 +56,7 @@
     return new LinkedHashMap<>(statuses);
   }
 
-  /** Returns why this supervisor went down, or null while it runs. */
+  /** Returns why this supervisor failed, or null if it has not. */
   public @Nullable String failureReason() {
     return failureReason;
   }
@@ -70,7 +70,7 @@
     } finally {
       stop(threads);
     }
-    throw new IllegalStateException(name + ": " + failureReason);
+    throw new IllegalStateException("supervisor " + name + " failed: " + failureReason);
   }
 
   private Thread start(String childName, ChildSpec spec) {
@@ -93,11 +93,23 @@
       }
       if (!intensity.mayRestart(clock.nowMillis())) {
         statuses.put(childName, new ChildStatus("failed", restarts, lastFailure));
-        fail(childName + " keeps failing: " + lastFailure);
+        fail(
+            "child %s keeps failing (more than %d restarts within %d ms): %s"
+                .formatted(
+                    childName,
+                    spec.policy().maxRestarts(),
+                    spec.policy().windowMillis(),
+                    lastFailure));
         return;
       }
       restarts++;
-      Logger.warn("{}/{} failed and is started again: {}", name, childName, lastFailure);
+      Logger.warn(
+          "child {}/{} failed; restart {} follows in {} ms: {}",
+          name,
+          childName,
+          restarts,
+          spec.policy().delayMillis(),
+          lastFailure);
       statuses.put(childName, new ChildStatus("restarting", restarts, lastFailure));
       if (!sleep(spec.policy().delayMillis())) {
         return;
@@ -105,12 +117,12 @@
     }
   }
 
-  /** Runs the child once; returns why it failed, or an empty text when it was asked to stop. */
+  /** Runs the child once; returns why it failed, or an empty string if it was interrupted. */
   @SuppressWarnings("CatchingUnchecked")
   private static String runOnce(Child child) {
     try {
       child.run();
-      return Thread.currentThread().isInterrupted() ? "" : "returned without being asked to stop";
+      return Thread.currentThread().isInterrupted() ? "" : "returned without being interrupted";
     } catch (InterruptedException e) {
       return "";
     } catch (Exception e) {
@@ -130,18 +142,18 @@
   private synchronized void fail(String reason) {
     if (failureReason == null) {
       failureReason = reason;
-      Logger.error("{} goes down: {}", name, reason);
+      Logger.error("supervisor {} failed and stops its children: {}", name, reason);
       failed.countDown();
     }
   }
 
   private static void stop(Map<String, Thread> threads) {
-    // Children are stopped in reverse order, since later ones use earlier ones.
-    Thread[] all = threads.values().toArray(Thread[]::new);
-    for (int i = all.length - 1; i >= 0; i--) {
-      all[i].interrupt();
+    // Stops the children in reverse order, because later ones use earlier ones.
+    Thread[] inStartOrder = threads.values().toArray(Thread[]::new);
+    for (int i = inStartOrder.length - 1; i >= 0; i--) {
+      inStartOrder[i].interrupt();
       try {
-        all[i].join(STOP_TIMEOUT_MILLIS);
+        inStartOrder[i].join(STOP_TIMEOUT_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
--- a/src/main/java/org/curranthaven/internal/supervision/package-info.java
+++ b/src/main/java/org/curranthaven/internal/supervision/package-info.java
@@ -1,4 +1,4 @@
-/** Supervisor tree and clocks. */
+/** Supervision of long-running components, and the source of time. */
 @NullMarked
 package org.curranthaven.internal.supervision;
 
--- a/src/test/java/org/curranthaven/internal/configuration/FreshnessTest.java
+++ b/src/test/java/org/curranthaven/internal/configuration/FreshnessTest.java
@@ -11,7 +11,7 @@
   private final FreshnessCore host = new FreshnessCore();
   private final AcceptanceCore leader = new AcceptanceCore();
 
-  /** Makes the leader one whose predecessors' leases have all expired by {@code nowMillis}. */
+  /** Starts leadership so early that all leases unknown to the leader have expired by now. */
   private void startLeadershipBefore(long nowMillis, String... voters) {
     leader.leadershipStarted(nowMillis - AcceptanceCore.MAX_LEASE_MILLIS);
     leader.setVoters(Set.of(voters), nowMillis - AcceptanceCore.MAX_LEASE_MILLIS);
--- a/src/test/java/org/curranthaven/internal/host/FleetClient.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetClient.java
@@ -20,15 +20,15 @@
 import org.curranthaven.internal.standin.StandinOptions;
 import org.curranthaven.internal.standin.Workloads;
 
-/** Calls a fleet on loopback as callers and operators do, and awaits conditions. */
+/** Sends requests of callers and operators to a fleet on loopback, and awaits conditions. */
 final class FleetClient {
   static final long CONDITION_TIMEOUT_MILLIS = 120_000;
 
-  /** A call that waits longer is given up and, where a condition is awaited, made again. */
+  /** Timeout of one request; a condition that is awaited sends the request again. */
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(30);
 
   private final LocalFleet fleet;
-  private final HttpClient client = HttpClient.newHttpClient();
+  private final HttpClient httpClient = HttpClient.newHttpClient();
 
   FleetClient(LocalFleet fleet) {
     this.fleet = fleet;
@@ -39,8 +39,8 @@
   }
 
   static void await(Condition condition) throws InterruptedException {
-    boolean held = LocalFleet.await(CONDITION_TIMEOUT_MILLIS, () -> holds(condition));
-    assertThat(held).isTrue();
+    boolean conditionMet = LocalFleet.await(CONDITION_TIMEOUT_MILLIS, () -> holds(condition));
+    assertThat(conditionMet).isTrue();
   }
 
   private static boolean holds(Condition condition) {
@@ -76,18 +76,19 @@
   }
 
   HttpResponse<String> send(HttpRequest.Builder request) throws IOException, InterruptedException {
-    return client.send(
+    return httpClient.send(
         request.timeout(REQUEST_TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
   }
 
-  HttpResponse<String> change(int host, String id, long base, List<Edit> edits)
+  HttpResponse<String> change(int host, String changeId, long baseRevision, List<Edit> edits)
       throws IOException, InterruptedException {
-    String body = Json.text(new ConfigurationChange(id, base, "test", edits));
+    String body = Json.text(new ConfigurationChange(changeId, baseRevision, "test", edits));
     return send(
         HttpRequest.newBuilder(URI.create(url(host, "/admin/v1/changes")))
             .POST(HttpRequest.BodyPublishers.ofString(body)));
   }
 
+  /** Returns a request of a caller with the given service class. */
   HttpRequest.Builder callerRequest(int host, String path, String className, String body) {
     return HttpRequest.newBuilder(URI.create(url(host, path)))
         .header("Authorization", "Bearer " + Workloads.KEY)
@@ -95,6 +96,7 @@
         .POST(HttpRequest.BodyPublishers.ofString(body));
   }
 
+  /** Sends a request to the service operation {@code hold} that must not run twice. */
   HttpResponse<String> sendHold(int host, String key, String nonce)
       throws IOException, InterruptedException {
     return send(
@@ -102,9 +104,9 @@
             .header("Idempotency-Key", key));
   }
 
-  /** Returns a key that was issued now. */
-  static String key() {
-    long high = (System.currentTimeMillis() << 16) | 0x7001L;
-    return new UUID(high, UUID.randomUUID().getLeastSignificantBits()).toString();
+  /** Returns an idempotency key whose issue time is now. */
+  static String newIdempotencyKey() {
+    long timestampAndVersion = (System.currentTimeMillis() << 16) | 0x7001L;
+    return new UUID(timestampAndVersion, UUID.randomUUID().getLeastSignificantBits()).toString();
   }
 }
--- a/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
@@ -19,18 +19,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Hosts that are lost, wiped and restarted; conditions are awaited, no verdict rests on time. */
+/**
+ * Tests the loss, wipe and restart of hosts in a fleet on loopback. The tests await conditions; no
+ * assertion depends on timing.
+ */
 class FleetFailureTest {
   private final RunLog runLog = new RunLog();
   private LocalFleet fleet;
   private FleetClient client;
-  private StandinService desk;
+  private StandinService service;
 
   @BeforeEach
   void startFleet() throws IOException, InterruptedException {
     fleet = LocalFleet.start(4, 3);
     client = new FleetClient(fleet);
-    desk = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
+    service = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
     FleetClient.await(
         () -> client.change(3, "setup", 0, Workloads.configuration()).statusCode() == 200);
     assertThat(fleet.awaitReady(FleetClient.CONDITION_TIMEOUT_MILLIS)).isTrue();
@@ -39,15 +42,16 @@
 
   @AfterEach
   void stopFleet() {
-    desk.close();
+    service.close();
     fleet.close();
   }
 
   /**
-   * Returns the voters of group 0 when no learner is left, as the control hosts up to {@code n}.
+   * Returns the number of voters of group 0 according to its leader among the first {@code hosts}
+   * hosts, or 0 if there is no such leader or a learner is left.
    */
-  private int voters(int n) throws IOException, InterruptedException {
-    for (int host = 0; host < n; host++) {
+  private int voters(int hosts) throws IOException, InterruptedException {
+    for (int host = 0; host < hosts; host++) {
       JsonNode group = client.get(host, "/admin/v1/dump").at("/groups/0");
       if (group.path("role").asText().equals("LEADER")) {
         return group.path("learners").asInt() == 0 ? group.path("voters").asInt() : 0;
@@ -63,21 +67,21 @@
           return host;
         }
       } catch (IOException e) {
-        // The host is stopped.
+        // This host is stopped.
       }
     }
     return -1;
   }
 
   @Test
-  void nothing_accepted_is_lost_with_the_leader_and_no_call_runs_twice()
+  void the_loss_of_the_leader_loses_no_accepted_change_and_runs_no_request_twice()
       throws IOException, InterruptedException {
-    String key = FleetClient.key();
+    String idempotencyKey = FleetClient.newIdempotencyKey();
     String nonce = UUID.randomUUID().toString();
-    FleetClient.await(() -> client.sendHold(3, key, nonce).statusCode() == 200);
-    int lost = leader();
+    FleetClient.await(() -> client.sendHold(3, idempotencyKey, nonce).statusCode() == 200);
+    int lostHost = leader();
 
-    fleet.host(lost).stop();
+    fleet.host(lostHost).stop();
 
     FleetClient.await(
         () ->
@@ -85,18 +89,18 @@
                     .change(3, "after", 1, List.of(new Edit.PutModel(new Model("new", 100))))
                     .statusCode()
                 == 200);
-    int other = lost == 0 ? 1 : 0;
-    FleetClient.await(() -> client.sendHold(other, key, nonce).statusCode() == 200);
+    int otherHost = lostHost == 0 ? 1 : 0;
+    FleetClient.await(() -> client.sendHold(otherHost, idempotencyKey, nonce).statusCode() == 200);
     assertThat(runLog.runs(nonce)).isEqualTo(1);
     assertThat(fleet.host(3).configuration().models()).containsKeys("new", Workloads.STORY);
   }
 
   @Test
-  void a_wiped_host_returns_as_a_new_voter_and_a_second_loss_right_after_costs_nothing()
+  void a_wiped_host_rejoins_as_a_new_voter_and_another_host_can_be_lost_right_after()
       throws IOException, InterruptedException {
-    String key = FleetClient.key();
+    String idempotencyKey = FleetClient.newIdempotencyKey();
     String nonce = UUID.randomUUID().toString();
-    FleetClient.await(() -> client.sendHold(3, key, nonce).statusCode() == 200);
+    FleetClient.await(() -> client.sendHold(3, idempotencyKey, nonce).statusCode() == 200);
     fleet.host(1).stop();
     fleet.wipe(1);
     fleet.restart(1);
@@ -117,21 +121,21 @@
                     .change(3, "after", 1, List.of(new Edit.PutModel(new Model("new", 100))))
                     .statusCode()
                 == 200);
-    FleetClient.await(() -> client.sendHold(1, key, nonce).statusCode() == 200);
+    FleetClient.await(() -> client.sendHold(1, idempotencyKey, nonce).statusCode() == 200);
     assertThat(runLog.runs(nonce)).isEqualTo(1);
   }
 
   @Test
-  void a_rolling_restart_under_load_runs_nothing_twice_and_cuts_off_nothing()
+  void a_rolling_restart_under_load_runs_no_request_twice_and_interrupts_none()
       throws IOException, InterruptedException {
-    List<WorkKind> kinds =
+    List<WorkKind> workKinds =
         List.of(
             new WorkKind("hold", Workloads.DESK, true, false, 0, 0, 0, 1),
             new WorkKind("charge", Workloads.DESK, true, false, 0, 0, 0, 1));
     try (Balancer balancer = new Balancer(fleet.httpAddresses());
-        LoadGenerator load = new LoadGenerator(kinds, Workloads.classes(), balancer, runLog)) {
+        LoadGenerator load = new LoadGenerator(workKinds, Workloads.classes(), balancer, runLog)) {
       FleetClient.await(() -> balancer.readyCount() == 4);
-      Thread sender =
+      Thread loadThread =
           Thread.ofPlatform()
               .start(
                   () -> {
@@ -148,8 +152,8 @@
         fleet.restart(host);
         assertThat(fleet.awaitReady(FleetClient.CONDITION_TIMEOUT_MILLIS)).isTrue();
       }
-      sender.interrupt();
-      sender.join();
+      loadThread.interrupt();
+      loadThread.join();
       assertThat(load.awaitEnd(FleetClient.CONDITION_TIMEOUT_MILLIS)).isZero();
 
       assertThat(load.promises().allKept()).as(load.promises().toString()).isTrue();
--- a/src/test/java/org/curranthaven/internal/host/FleetTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetTest.java
@@ -21,24 +21,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestInstance;
 
-/** A fleet of three hosts on loopback; conditions are awaited, and no verdict rests on time. */
+/**
+ * Tests requests of callers and operators against a fleet of three hosts on loopback. The tests
+ * await conditions; no assertion depends on timing.
+ */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class FleetTest {
   private final RunLog runLog = new RunLog();
   private final SplittableRandom random = new SplittableRandom(5);
   private LocalFleet fleet;
   private FleetClient client;
-  private StandinEngine story;
-  private StandinEngine secondStory;
-  private StandinService desk;
+  private StandinEngine firstEngine;
+  private StandinEngine secondEngine;
+  private StandinService service;
 
   @BeforeAll
   void startFleet() throws IOException, InterruptedException {
     fleet = LocalFleet.start(3, 3);
     client = new FleetClient(fleet);
-    story = StandinEngine.start(client.standin("story-1", Workloads.STORY), runLog);
-    secondStory = StandinEngine.start(client.standin("story-2", Workloads.STORY), runLog);
-    desk = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
+    firstEngine = StandinEngine.start(client.standin("story-1", Workloads.STORY), runLog);
+    secondEngine = StandinEngine.start(client.standin("story-2", Workloads.STORY), runLog);
+    service = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
     FleetClient.await(
         () -> client.change(1, "setup", 0, Workloads.configuration()).statusCode() == 200);
     assertThat(fleet.awaitReady(FleetClient.CONDITION_TIMEOUT_MILLIS)).isTrue();
@@ -48,9 +51,9 @@
 
   @AfterAll
   void stopFleet() {
-    story.close();
-    secondStory.close();
-    desk.close();
+    firstEngine.close();
+    secondEngine.close();
+    service.close();
     fleet.close();
   }
 
@@ -64,7 +67,7 @@
   }
 
   @Test
-  void a_streamed_answer_reaches_its_caller_whole_and_in_order()
+  void a_streamed_response_reaches_its_caller_complete_and_in_order()
       throws IOException, InterruptedException {
     String nonce = nonce();
 
@@ -72,63 +75,63 @@
         client.send(client.callerRequest(0, "/v1/completions", "draft", prompt(nonce, 50, true)));
 
     PromiseTally tally = new PromiseTally();
-    AnswerCheck check = new AnswerCheck(tally, nonce);
+    AnswerCheck responseCheck = new AnswerCheck(tally, nonce);
     for (String line : response.body().lines().toList()) {
       if (line.startsWith("data: {")) {
-        check.text(Json.LENIENT.readTree(line.substring(6)).at("/choices/0/text").asText());
+        responseCheck.text(Json.LENIENT.readTree(line.substring(6)).at("/choices/0/text").asText());
       }
     }
-    check.complete(50);
+    responseCheck.complete(50);
     assertThat(response.body()).endsWith("data: [DONE]\n\n");
-    assertThat(check.tokens()).isEqualTo(50);
+    assertThat(responseCheck.tokens()).isEqualTo(50);
     assertThat(tally.counts().allKept()).isTrue();
   }
 
   @Test
-  void a_whole_answer_has_usage_figures_and_a_finish_reason()
+  void a_non_streamed_response_has_usage_figures_and_a_finish_reason()
       throws IOException, InterruptedException {
-    HttpResponse<String> response =
+    HttpResponse<String> httpResponse =
         client.send(
             client.callerRequest(1, "/v1/completions", "draft", prompt(nonce(), 12, false)));
 
-    JsonNode answer = Json.LENIENT.readTree(response.body());
-    assertThat(answer.at("/usage/completion_tokens").asInt()).isEqualTo(12);
-    assertThat(answer.at("/choices/0/finish_reason").asText()).isEqualTo("stop");
+    JsonNode response = Json.LENIENT.readTree(httpResponse.body());
+    assertThat(response.at("/usage/completion_tokens").asInt()).isEqualTo(12);
+    assertThat(response.at("/choices/0/finish_reason").asText()).isEqualTo("stop");
   }
 
   @Test
-  void a_stream_whose_connection_went_silent_is_resumed_without_loss()
+  void a_generation_on_an_unresponsive_connection_is_resumed_without_loss()
       throws IOException, InterruptedException {
     String nonce = nonce();
-    Thread silencer =
+    Thread connectionSilencer =
         Thread.ofVirtual()
             .start(
                 () -> {
                   while (!Thread.interrupted()
-                      && !story.silenceOneConnection()
-                      && !secondStory.silenceOneConnection()) {
+                      && !firstEngine.silenceOneConnection()
+                      && !secondEngine.silenceOneConnection()) {
                     Thread.onSpinWait();
                   }
                 });
 
-    HttpResponse<String> response =
+    HttpResponse<String> httpResponse =
         client.send(client.callerRequest(0, "/v1/completions", "draft", prompt(nonce, 200, false)));
-    silencer.interrupt();
+    connectionSilencer.interrupt();
 
-    JsonNode answer = Json.LENIENT.readTree(response.body());
+    JsonNode response = Json.LENIENT.readTree(httpResponse.body());
     PromiseTally tally = new PromiseTally();
-    AnswerCheck check = new AnswerCheck(tally, nonce);
-    check.text(answer.at("/choices/0/text").asText());
-    check.complete(200);
+    AnswerCheck responseCheck = new AnswerCheck(tally, nonce);
+    responseCheck.text(response.at("/choices/0/text").asText());
+    responseCheck.complete(200);
     assertThat(tally.counts().allKept()).isTrue();
     assertThat(runLog.runs(nonce)).isEqualTo(1);
   }
 
   @Test
-  void a_call_that_may_not_repeat_runs_once_whatever_host_it_is_sent_through()
+  void a_request_that_must_not_repeat_runs_once_when_sent_through_several_hosts()
       throws IOException, InterruptedException {
     String nonce = nonce();
-    String key = FleetClient.key();
+    String idempotencyKey = FleetClient.newIdempotencyKey();
     String body = "{\"nonce\":\"" + nonce + "\"}";
 
     for (int i = 0; i < 6; i++) {
@@ -136,7 +139,7 @@
           client.send(
               client
                   .callerRequest(i % 3, "/services/desk/hold", "hold", body)
-                  .header("Idempotency-Key", key));
+                  .header("Idempotency-Key", idempotencyKey));
       assertThat(response.statusCode()).isEqualTo(200);
       assertThat(response.body()).contains(nonce);
     }
@@ -145,48 +148,53 @@
   }
 
   @Test
-  void a_call_whose_answer_was_lost_is_not_run_again() throws IOException, InterruptedException {
+  void a_request_whose_response_was_lost_is_not_run_again()
+      throws IOException, InterruptedException {
     String nonce = nonce();
-    String key = FleetClient.key();
+    String idempotencyKey = FleetClient.newIdempotencyKey();
     String body = "{\"nonce\":\"" + nonce + "\"}";
-    desk.silenceNextCalls(1);
+    service.silenceNextCalls(1);
 
-    HttpResponse<String> first =
+    HttpResponse<String> firstResponse =
         client.send(
             client
                 .callerRequest(0, "/services/desk/hold", "hold", body)
-                .header("Idempotency-Key", key));
-    HttpResponse<String> second =
+                .header("Idempotency-Key", idempotencyKey));
+    HttpResponse<String> secondResponse =
         client.send(
             client
                 .callerRequest(1, "/services/desk/hold", "hold", body)
-                .header("Idempotency-Key", key));
+                .header("Idempotency-Key", idempotencyKey));
 
-    assertThat(Json.LENIENT.readTree(first.body()).path("ran").asText()).isEqualTo("unknown");
-    assertThat(Json.LENIENT.readTree(second.body()).path("ran").asText()).isEqualTo("unknown");
+    assertThat(Json.LENIENT.readTree(firstResponse.body()).path("ran").asText())
+        .isEqualTo("unknown");
+    assertThat(Json.LENIENT.readTree(secondResponse.body()).path("ran").asText())
+        .isEqualTo("unknown");
     assertThat(runLog.runs(nonce)).isEqualTo(1);
   }
 
   @Test
-  void a_key_used_with_another_body_is_refused() throws IOException, InterruptedException {
-    String key = FleetClient.key();
+  void an_idempotency_key_reused_with_another_body_is_rejected()
+      throws IOException, InterruptedException {
+    String idempotencyKey = FleetClient.newIdempotencyKey();
     client.send(
         client
             .callerRequest(0, "/services/desk/hold", "hold", "{\"nonce\":\"a1\"}")
-            .header("Idempotency-Key", key));
+            .header("Idempotency-Key", idempotencyKey));
 
-    HttpResponse<String> other =
+    HttpResponse<String> withOtherBody =
         client.send(
             client
                 .callerRequest(1, "/services/desk/hold", "hold", "{\"nonce\":\"a2\"}")
-                .header("Idempotency-Key", key));
+                .header("Idempotency-Key", idempotencyKey));
 
-    assertThat(Json.LENIENT.readTree(other.body()).path("code").asInt()).isEqualTo(1008);
+    assertThat(Json.LENIENT.readTree(withOtherBody.body()).path("code").asInt()).isEqualTo(1008);
     assertThat(runLog.runs("a2")).isZero();
   }
 
   @Test
-  void bad_input_gets_a_numbered_code_and_did_not_run() throws IOException, InterruptedException {
+  void invalid_input_gets_its_result_code_and_does_not_run()
+      throws IOException, InterruptedException {
     assertThat(codeOf(client.callerRequest(0, "/v1/completions", "draft", "{not json")))
         .isEqualTo(1001);
     assertThat(codeOf(client.callerRequest(0, "/v1/completions", "nosuch", prompt("n", 1, false))))
@@ -213,20 +221,20 @@
   }
 
   private int codeOf(HttpRequest.Builder request) throws IOException, InterruptedException {
-    JsonNode answer = Json.LENIENT.readTree(client.send(request).body());
-    assertThat(answer.path("ran").asText()).isEqualTo("no");
-    assertThat(answer.at("/error/message").asText()).isNotBlank();
-    return answer.path("code").asInt();
+    JsonNode response = Json.LENIENT.readTree(client.send(request).body());
+    assertThat(response.path("ran").asText()).isEqualTo("no");
+    assertThat(response.at("/error/message").asText()).isNotBlank();
+    return response.path("code").asInt();
   }
 
   @Test
-  void a_change_sent_again_gets_its_first_answer_and_a_racing_one_a_conflict()
+  void a_change_sent_again_gets_its_first_result_and_a_concurrent_one_a_conflict()
       throws IOException, InterruptedException {
-    HttpResponse<String> again = client.change(1, "setup", 0, Workloads.configuration());
-    HttpResponse<String> racing = client.change(1, "other", 0, Workloads.configuration());
+    HttpResponse<String> repeated = client.change(1, "setup", 0, Workloads.configuration());
+    HttpResponse<String> concurrent = client.change(1, "other", 0, Workloads.configuration());
 
-    assertThat(again.statusCode()).isEqualTo(200);
-    assertThat(Json.LENIENT.readTree(racing.body()).path("code").asInt()).isEqualTo(4003);
-    assertThat(racing.body()).contains("setup");
+    assertThat(repeated.statusCode()).isEqualTo(200);
+    assertThat(Json.LENIENT.readTree(concurrent.body()).path("code").asInt()).isEqualTo(4003);
+    assertThat(concurrent.body()).contains("setup");
   }
 }
--- a/src/test/java/org/curranthaven/internal/supervision/SupervisorTest.java
+++ b/src/test/java/org/curranthaven/internal/supervision/SupervisorTest.java
@@ -11,14 +11,14 @@
   private final Supervisor supervisor = new Supervisor("host", Clock.system());
 
   @Test
-  void a_child_that_fails_is_started_again() throws InterruptedException {
+  void a_failed_child_is_restarted() throws InterruptedException {
     AtomicInteger starts = new AtomicInteger();
-    CountDownLatch second = new CountDownLatch(2);
+    CountDownLatch secondStart = new CountDownLatch(2);
     supervisor.add(
-        "part",
+        "component",
         new RestartPolicy(3, 60_000, 0),
         () -> {
-          second.countDown();
+          secondStart.countDown();
           if (starts.incrementAndGet() == 1) {
             throw new IllegalStateException("crash");
           }
@@ -26,7 +26,7 @@
         });
     Thread thread = start();
 
-    second.await();
+    secondStart.await();
     thread.interrupt();
     thread.join();
 
@@ -35,29 +35,29 @@
   }
 
   @Test
-  void a_child_that_keeps_failing_takes_its_supervisor_down_with_a_reason() {
+  void a_child_that_exceeds_its_restart_limit_fails_its_supervisor_with_the_reason() {
     supervisor.add(
-        "part",
+        "component",
         new RestartPolicy(2, 60_000, 0),
         () -> {
-          throw new IllegalStateException("disk gone");
+          throw new IllegalStateException("disk failed");
         });
 
     assertThatThrownBy(supervisor::run)
         .isInstanceOf(IllegalStateException.class)
-        .hasMessageContaining("part keeps failing")
-        .hasMessageContaining("disk gone");
-    assertThat(supervisor.statuses()).containsKey("part");
+        .hasMessageContaining("component keeps failing")
+        .hasMessageContaining("disk failed");
+    assertThat(supervisor.statuses()).containsKey("component");
     assertThat(supervisor.statuses().values())
         .allMatch(status -> status.state().equals("failed") && status.restarts() == 2);
   }
 
   @Test
-  void a_supervisor_is_a_child_of_the_one_above_it() {
+  void a_failed_supervisor_is_a_failed_child_of_its_parent() {
     Supervisor inner =
         new Supervisor("inner", Clock.system())
             .add(
-                "part",
+                "component",
                 new RestartPolicy(0, 60_000, 0),
                 () -> {
                   throw new IllegalStateException("crash");
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void restarts_count_only_within_their_window() {
+  void only_failures_within_the_window_count_against_the_restart_limit() {
     RestartIntensity intensity = new RestartIntensity(new RestartPolicy(1, 1_000, 0));
 
     assertThat(intensity.mayRestart(0)).isTrue();
