--- a/src/main/java/org/curranthaven/internal/configuration/ConfigurationState.java
+++ b/src/main/java/org/curranthaven/internal/configuration/ConfigurationState.java
@@ -10,26 +10,26 @@
 
 /**
  * Replicated configuration. A change applies only to the revision that it was made from; a change
- * that was seen before gets its first answer. Not thread-safe.
+ * whose id was seen before gets the result of the first attempt. Not thread-safe.
  */
 public final class ConfigurationState {
-  /** Number of past answers kept for changes that are sent again. */
-  static final int ANSWERS_KEPT = 8_192;
+  /** Number of past results stored for changes that are sent again. */
+  static final int MAX_STORED_RESULTS = 8_192;
 
-  /** Number of revisions kept in the history. */
-  static final int HISTORY_KEPT = 1_000;
+  /** Number of revisions stored in the history. */
+  static final int MAX_HISTORY_ENTRIES = 1_000;
 
   private Configuration current = Configuration.empty();
-  private final Map<String, ChangeResult> answers = new LinkedHashMap<>();
+  private final Map<String, ChangeResult> resultsByChangeId = new LinkedHashMap<>();
   private final List<HistoryEntry> history = new ArrayList<>();
-  private final RecentChanges recent = new RecentChanges();
+  private final RecentChanges recentChanges = new RecentChanges();
 
   /**
-   * State as it stands in snapshots.
+   * State as written to snapshots.
    *
-   * @param current the configuration in force
-   * @param answers past answers by change id, oldest first
-   * @param history revisions, oldest first
+   * @param current latest configuration
+   * @param answers past results by change id, oldest first
+   * @param history stored revisions, oldest first
    */
   public record Snapshot(
       Configuration current, Map<String, ChangeResult> answers, List<HistoryEntry> history) {}
@@ -39,73 +39,73 @@
     return current;
   }
 
-  /** Returns the deltas after {@code revision}; an empty list if not all of them are kept. */
+  /** Returns the deltas after {@code revision}, or an empty list if some are no longer stored. */
   public List<ConfigurationDelta> deltasAfter(long revision) {
-    return recent.after(revision);
+    return recentChanges.after(revision);
   }
 
-  /** Returns the revisions kept, oldest first. */
+  /** Returns the stored revisions, oldest first. */
   public List<HistoryEntry> history() {
     return List.copyOf(history);
   }
 
-  /** Applies a change, or returns the answer it got before. */
+  /** Applies a change, or returns its stored result if it was seen before. */
   public ChangeResult apply(ConfigurationChange change) {
-    ChangeResult before = answers.get(change.changeId());
-    if (before != null) {
-      return before;
+    ChangeResult storedResult = resultsByChangeId.get(change.changeId());
+    if (storedResult != null) {
+      return storedResult;
     }
-    ChangeResult result = decide(change);
-    answers.put(change.changeId(), result);
-    if (answers.size() > ANSWERS_KEPT) {
-      answers.remove(answers.keySet().iterator().next());
+    ChangeResult result = applyNew(change);
+    resultsByChangeId.put(change.changeId(), result);
+    if (resultsByChangeId.size() > MAX_STORED_RESULTS) {
+      resultsByChangeId.remove(resultsByChangeId.keySet().iterator().next());
     }
     return result;
   }
 
-  private ChangeResult decide(ConfigurationChange change) {
+  private ChangeResult applyNew(ConfigurationChange change) {
     if (change.baseRevision() != current.revision()) {
-      HistoryEntry winner = revisionAfter(change.baseRevision());
+      HistoryEntry conflicting = historyEntryAfter(change.baseRevision());
       return new ChangeResult.Conflict(
           current.revision(),
-          winner == null ? "" : winner.changeId(),
-          winner == null ? "" : winner.operator());
+          conflicting == null ? "" : conflicting.changeId(),
+          conflicting == null ? "" : conflicting.operator());
     }
     ConfigurationEditor editor = new ConfigurationEditor(current);
-    change.edits().forEach(editor::edit);
+    change.edits().forEach(editor::apply);
     List<String> faults = editor.faults();
     if (!faults.isEmpty()) {
       return new ChangeResult.Invalid(faults);
     }
     current = editor.build(current.revision() + 1);
-    recent.add(current.revision(), change.edits());
+    recentChanges.add(current.revision(), change.edits());
     history.add(
         new HistoryEntry(
             current.revision(), change.changeId(), change.operator(), change.edits().size()));
-    if (history.size() > HISTORY_KEPT) {
+    if (history.size() > MAX_HISTORY_ENTRIES) {
       history.removeFirst();
     }
     return new ChangeResult.Committed(current.revision(), editor.warnings());
   }
 
-  private @Nullable HistoryEntry revisionAfter(long revision) {
+  private @Nullable HistoryEntry historyEntryAfter(long revision) {
     return history.stream()
         .filter(entry -> entry.revision() == revision + 1)
         .findFirst()
         .orElse(null);
   }
 
-  /** Returns the whole state. */
+  /** Returns a copy of the whole state. */
   public Snapshot snapshot() {
-    return new Snapshot(current, new LinkedHashMap<>(answers), List.copyOf(history));
+    return new Snapshot(current, new LinkedHashMap<>(resultsByChangeId), List.copyOf(history));
   }
 
-  /** Replaces the whole state. */
+  /** Replaces the whole state; the deltas of earlier changes are not part of a snapshot. */
   public void restore(Snapshot snapshot) {
     current = snapshot.current();
-    recent.clear();
-    answers.clear();
-    answers.putAll(snapshot.answers());
+    recentChanges.clear();
+    resultsByChangeId.clear();
+    resultsByChangeId.putAll(snapshot.answers());
     history.clear();
     history.addAll(snapshot.history());
   }
--- a/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
@@ -27,41 +27,42 @@
 import org.curranthaven.internal.transport.wire.RevisionAnswer;
 
 /**
- * On a control host: gives hosts their freshness leases and the configuration, and tells operators
- * when a change is in force everywhere. Runs on the consensus thread, except where said.
+ * Grants freshness leases and sends the configuration to hosts, and completes an operator's change
+ * once it is active on every host; runs on control hosts. Confined to the consensus thread, except
+ * for methods marked as thread-safe.
  */
 public final class FleetCoordinator implements GroupObserver {
-  /** Number of the group that holds the configuration. */
-  public static final int GROUP = 0;
+  /** Id of the consensus group that holds the configuration. */
+  public static final int GROUP_ID = 0;
 
-  /** Silence after which a host is no longer listed, in milliseconds. */
-  static final long HOST_GONE_MILLIS = 10_000;
+  /** Time without a request after which a host is no longer listed, in milliseconds. */
+  static final long HOST_TIMEOUT_MILLIS = 10_000;
 
   private final ConsensusLoop consensus;
   private final PeerNetwork network;
   private final Clock clock;
   private final AcceptanceCore acceptance = new AcceptanceCore();
-  private final Map<String, SeenHost> hosts = new HashMap<>();
-  private final Map<Long, Waiter> waiters = new HashMap<>();
-  private final Map<String, Long> leasesGiven = new ConcurrentHashMap<>();
-  private long nextWaiter = 1;
-  private long announcedRevision;
+  private final Map<String, KnownHost> hosts = new HashMap<>();
+  private final Map<Long, PendingChange> pendingChanges = new HashMap<>();
+  private final Map<String, Long> leasesGranted = new ConcurrentHashMap<>();
+  private long nextPendingId = 1;
+  private long lastAppliedRevision;
   private ByteString configurationJson = ByteString.EMPTY;
   private long configurationJsonRevision;
 
-  private record SeenHost(HostRecord host, long revision, long seenAtMillis) {}
+  private record KnownHost(HostRecord host, long revision, long lastRequestMillis) {}
 
-  private record Waiter(ChangeResult result, CompletableFuture<ChangeOutcome> future) {}
+  private record PendingChange(ChangeResult result, CompletableFuture<ChangeOutcome> future) {}
 
-  /** What became of a change. */
+  /** Outcome of a change. */
   public sealed interface ChangeOutcome {
-    /** The change was answered; a committed one is in force on every host that may serve. */
-    record Answered(ChangeResult result) implements ChangeOutcome {}
+    /** The change has a result; if committed, it is active on every host that may serve. */
+    record Completed(ChangeResult result) implements ChangeOutcome {}
 
-    /** This host does not lead; {@code leaderHost} may, or is empty. */
+    /** This host is not the leader; {@code leaderHost} may be, or is empty if unknown. */
     record NotLeader(String leaderHost) implements ChangeOutcome {}
 
-    /** The change may or may not come into force; a resend with its id will tell. */
+    /** The change may or may not take effect; sending it again with its id tells which. */
     record Unknown() implements ChangeOutcome {}
   }
 
@@ -72,37 +73,40 @@
     this.clock = clock;
   }
 
-  /** Returns the leases that this host gave as a voter and that may still run. Thread-safe. */
-  public List<PeerLease> leasesGiven(long nowMillis) {
-    leasesGiven.values().removeIf(end -> end <= nowMillis);
-    return leasesGiven.entrySet().stream()
+  /** Returns the unexpired leases that this host has granted as a voter. Thread-safe. */
+  public List<PeerLease> leasesGranted(long nowMillis) {
+    leasesGranted.values().removeIf(endMillis -> endMillis <= nowMillis);
+    return leasesGranted.entrySet().stream()
         .map(
-            entry ->
+            lease ->
                 PeerLease.newBuilder()
-                    .setHost(entry.getKey())
-                    .setRemainingMillis(entry.getValue() - nowMillis)
+                    .setHost(lease.getKey())
+                    .setRemainingMillis(lease.getValue() - nowMillis)
                     .build())
         .toList();
   }
 
-  /** Answers a host's request. Thread-safe. */
+  /** Handles a host's freshness request. Thread-safe. */
   public void receive(HostRecord from, FreshnessRequest request) {
-    consensus.execute(() -> answer(from, request, clock.nowMillis()));
+    consensus.execute(() -> handleRequest(from, request, clock.nowMillis()));
   }
 
-  /** Makes a change; the future completes on the consensus thread. Thread-safe. */
+  /** Proposes a change. The future completes on the consensus thread. Thread-safe. */
   public CompletableFuture<ChangeOutcome> change(ConfigurationChange change) {
     CompletableFuture<ChangeOutcome> future = new CompletableFuture<>();
     ByteString command = Json.write(new FleetCommand.Change(change));
-    consensus.propose(GROUP, command, reply -> changeReplied(reply, future));
+    consensus.propose(GROUP_ID, command, reply -> handleCommandReply(reply, future));
     return future;
   }
 
-  /** Reads the state of group 0 on the consensus thread. Thread-safe. */
+  /**
+   * Passes the state of group 0 to {@code reader} on the consensus thread, if this host has a
+   * replica. Thread-safe.
+   */
   public void withState(Consumer<FleetState> reader) {
     consensus.execute(
         () -> {
-          if (consensus.stateMachine(GROUP) instanceof FleetState state) {
+          if (consensus.stateMachine(GROUP_ID) instanceof FleetState state) {
             reader.accept(state);
           }
         });
@@ -110,12 +114,12 @@
 
   @Override
   public void applied(int groupId, long index, long nowMillis) {
-    if (groupId != GROUP || !(consensus.stateMachine(GROUP) instanceof FleetState state)) {
+    if (groupId != GROUP_ID || !(consensus.stateMachine(GROUP_ID) instanceof FleetState state)) {
       return;
     }
-    if (state.current().revision() > announcedRevision) {
-      announcedRevision = state.current().revision();
-      if (leads(nowMillis)) {
+    if (state.current().revision() > lastAppliedRevision) {
+      lastAppliedRevision = state.current().revision();
+      if (isLeader(nowMillis)) {
         pushConfiguration(state);
       }
     }
@@ -123,15 +127,15 @@
 
   @Override
   public void roleChanged(int groupId, RaftDecision.RoleChanged change, long nowMillis) {
-    if (groupId != GROUP) {
+    if (groupId != GROUP_ID) {
       return;
     }
     if (change.role() == RaftRole.LEADER) {
       acceptance.leadershipStarted(nowMillis);
       return;
     }
-    for (long waiter : acceptance.leadershipEnded()) {
-      Waiter ended = waiters.remove(waiter);
+    for (long pendingId : acceptance.leadershipEnded()) {
+      PendingChange ended = pendingChanges.remove(pendingId);
       if (ended != null) {
         ended.future().complete(new ChangeOutcome.Unknown());
       }
@@ -140,78 +144,78 @@
 
   @Override
   public void tick(long nowMillis) {
-    RaftCore core = consensus.core(GROUP);
+    RaftCore core = consensus.core(GROUP_ID);
     if (core == null || !core.hasLease(nowMillis)) {
       return;
     }
     if (core.votersCommitted()) {
       acceptance.setVoters(VoterSets.voterIds(core.voters()), nowMillis);
     }
-    hosts.values().removeIf(host -> nowMillis - host.seenAtMillis() > HOST_GONE_MILLIS);
+    hosts.values().removeIf(host -> nowMillis - host.lastRequestMillis() > HOST_TIMEOUT_MILLIS);
     completeAccepted(nowMillis);
   }
 
-  /** Returns the hosts seen lately, with the revision each has in force. */
+  /** Returns the revision that is active on each host, for hosts that sent a request lately. */
   public Map<String, Long> hostRevisions() {
     Map<String, Long> result = new java.util.TreeMap<>();
-    hosts.forEach((name, seen) -> result.put(name, seen.revision()));
+    hosts.forEach((name, host) -> result.put(name, host.revision()));
     return result;
   }
 
-  private boolean leads(long nowMillis) {
-    RaftCore core = consensus.core(GROUP);
+  private boolean isLeader(long nowMillis) {
+    RaftCore core = consensus.core(GROUP_ID);
     return core != null && core.hasLease(nowMillis);
   }
 
-  private void answer(HostRecord from, FreshnessRequest request, long nowMillis) {
-    RaftCore core = consensus.core(GROUP);
-    if (core == null || !(consensus.stateMachine(GROUP) instanceof FleetState state)) {
+  private void handleRequest(HostRecord from, FreshnessRequest request, long nowMillis) {
+    RaftCore core = consensus.core(GROUP_ID);
+    if (core == null || !(consensus.stateMachine(GROUP_ID) instanceof FleetState state)) {
       return;
     }
     if (core.hasLease(nowMillis)) {
-      answerAsLeader(from, request, state, nowMillis);
+      replyAsLeader(from, request, state, nowMillis);
     } else {
-      answerAsVoter(from, request, core, state, nowMillis);
+      replyAsVoter(from, request, core, state, nowMillis);
     }
   }
 
-  private void answerAsLeader(
+  private void replyAsLeader(
       HostRecord from, FreshnessRequest request, FleetState state, long nowMillis) {
     long revision = state.current().revision();
-    hosts.put(from.getName(), new SeenHost(request.getHost(), request.getRevision(), nowMillis));
+    hosts.put(from.getName(), new KnownHost(request.getHost(), request.getRevision(), nowMillis));
     for (PeerLease lease : request.getPeerLeasesList()) {
-      acceptance.leaseGivenElsewhere(
+      acceptance.leaseGrantedByVoter(
           lease.getHost(), request.getRevision() - 1, lease.getRemainingMillis(), nowMillis);
     }
     if (!from.getIdentity().isEmpty()) {
       acceptance.voterReported(from.getIdentity(), request.getRevision());
     }
     boolean granted =
-        acceptance.request(from.getName(), request.getRevision(), revision, nowMillis);
+        acceptance.requestLease(from.getName(), request.getRevision(), revision, nowMillis);
     FreshnessGrant.Builder grant =
         FreshnessGrant.newBuilder()
             .setRevision(revision)
             .setEchoedSentAtMillis(request.getSentAtMillis())
             .setGranted(granted);
-    bringUpToDate(grant, state, request.getRevision());
+    addMissingRevisions(grant, state, request.getRevision());
     hosts.values().forEach(host -> grant.addHosts(host.host()));
     network.send(from.getName(), Envelope.newBuilder().setFreshnessGrant(grant));
     completeAccepted(nowMillis);
   }
 
-  private void answerAsVoter(
+  private void replyAsVoter(
       HostRecord from, FreshnessRequest request, RaftCore core, FleetState state, long nowMillis) {
     long revision = state.current().revision();
-    boolean votes = VoterSets.isVoter(core.voters(), consensus.identity());
+    boolean voter = VoterSets.isVoter(core.voters(), consensus.identity());
     boolean granted =
-        votes
-            && consensus.isFullyApplied(GROUP)
+        voter
+            && consensus.isFullyApplied(GROUP_ID)
             && request.getRevision() == revision
             && revision > 0;
     if (granted) {
-      leasesGiven.merge(from.getName(), nowMillis + FreshnessCore.LEASE_MILLIS, Math::max);
+      leasesGranted.merge(from.getName(), nowMillis + FreshnessCore.LEASE_MILLIS, Math::max);
     }
-    RevisionAnswer answer =
+    RevisionAnswer reply =
         RevisionAnswer.newBuilder()
             .setRevision(revision)
             .setEchoedSentAtMillis(request.getSentAtMillis())
@@ -219,10 +223,10 @@
             .setWitnessSetVersion(core.votersIndex())
             .setWitnessSetSize(core.voters().getVotersCount())
             .build();
-    network.send(from.getName(), Envelope.newBuilder().setRevisionAnswer(answer));
+    network.send(from.getName(), Envelope.newBuilder().setRevisionAnswer(reply));
   }
 
-  private ByteString json(FleetState state) {
+  private ByteString currentConfigurationJson(FleetState state) {
     if (configurationJsonRevision != state.current().revision()) {
       configurationJson = Json.write(state.current());
       configurationJsonRevision = state.current().revision();
@@ -230,19 +234,23 @@
     return configurationJson;
   }
 
-  private void bringUpToDate(FreshnessGrant.Builder grant, FleetState state, long hostRevision) {
+  private void addMissingRevisions(
+      FreshnessGrant.Builder grant, FleetState state, long hostRevision) {
     if (hostRevision >= state.current().revision()) {
       return;
     }
     List<ConfigurationDelta> deltas = state.configuration().deltasAfter(hostRevision);
     if (deltas.isEmpty()) {
-      grant.setConfiguration(json(state));
+      grant.setConfiguration(currentConfigurationJson(state));
     } else {
       grant.addAllDeltas(deltas);
     }
   }
 
-  /** Sends the latest change to every host; one that cannot use it asks for what it lacks. */
+  /**
+   * Sends the latest change to every host. A host that misses earlier revisions gets them with the
+   * reply to its next freshness request.
+   */
   private void pushConfiguration(FleetState state) {
     long revision = state.current().revision();
     FreshnessGrant push =
@@ -256,15 +264,15 @@
     network.send(network.selfName(), Envelope.newBuilder().setFreshnessGrant(push));
   }
 
-  private void changeReplied(CommandReply reply, CompletableFuture<ChangeOutcome> future) {
+  private void handleCommandReply(CommandReply reply, CompletableFuture<ChangeOutcome> future) {
     if (reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED) {
       ChangeResult result = Json.read(reply.getResult(), ChangeResult.class);
       if (result instanceof ChangeResult.Committed committed) {
-        long waiter = nextWaiter++;
-        waiters.put(waiter, new Waiter(result, future));
-        acceptance.await(committed.revision(), waiter);
+        long pendingId = nextPendingId++;
+        pendingChanges.put(pendingId, new PendingChange(result, future));
+        acceptance.awaitActivation(committed.revision(), pendingId);
       } else {
-        future.complete(new ChangeOutcome.Answered(result));
+        future.complete(new ChangeOutcome.Completed(result));
       }
     } else if (reply.getStatus() == CommandStatus.COMMAND_STATUS_UNKNOWN) {
       future.complete(new ChangeOutcome.Unknown());
@@ -274,10 +282,10 @@
   }
 
   private void completeAccepted(long nowMillis) {
-    for (long waiter : acceptance.takeAccepted(nowMillis)) {
-      Waiter accepted = waiters.remove(waiter);
+    for (long pendingId : acceptance.drainAccepted(nowMillis)) {
+      PendingChange accepted = pendingChanges.remove(pendingId);
       if (accepted != null) {
-        accepted.future().complete(new ChangeOutcome.Answered(accepted.result()));
+        accepted.future().complete(new ChangeOutcome.Completed(accepted.result()));
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
+++ b/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
@@ -40,13 +40,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The thread that owns a host's decisions: freshness, the view of backend servers and routing. All
- * public methods are thread-safe.
+ * Event loop that owns a host's freshness, its view of the backend servers and its routing. State
+ * is confined to the decision thread; all public methods are thread-safe.
  */
 public final class DecisionLoop implements Child, Router {
-  private static final long TICK_MILLIS = 20;
-  private static final int MAX_BATCH = 4_096;
-  private static final long FORGET_MILLIS = 60_000;
+  private static final long TICK_INTERVAL_MILLIS = 20;
+  private static final int MAX_TASKS_PER_BATCH = 4_096;
+  private static final long EVICTION_INTERVAL_MILLIS = 60_000;
 
   private final Clock clock;
   private final Supplier<RoutingCore> routingFactory;
@@ -54,10 +54,10 @@
   private final ExplainLog explainLog;
   private final LivePeers livePeers;
   private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
-  private final Map<Long, Pending> pending = new HashMap<>();
-  private final Set<String> routable = new HashSet<>();
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+  private final Set<String> routableBackends = new HashSet<>();
   private final Map<String, Long> readySinceMillis = new HashMap<>();
-  private final Set<String> heardDirectly = new HashSet<>();
+  private final Set<String> directlyAnnounced = new HashSet<>();
   private final FreshnessCore freshness = new FreshnessCore();
   private final BackendView backends = new BackendView();
   private final RetryBudget retryBudget;
@@ -68,12 +68,12 @@
   private volatile Configuration configuration = Configuration.empty();
   private volatile long servesUntilMillis = Long.MIN_VALUE;
   private long nextTickMillis;
-  private long nextForgetMillis;
+  private long nextEvictionMillis;
 
-  private record Pending(
+  private record PendingRequest(
       RequestAttributes request, String name, CompletableFuture<Outcome<Assignment>> future) {}
 
-  /** Tells which hosts' processes are alive. */
+  /** Knows which hosts' processes are alive. */
   public interface LivePeers {
     /** Returns whether the host is alive in the given incarnation. */
     boolean isAlive(String host, long incarnation);
@@ -85,8 +85,8 @@
   /**
    * Creates the loop.
    *
-   * @param routingFactory makes its routing core, also after a failure
-   * @param recorder records the core's events; null for none
+   * @param routingFactory creates the routing core, at the start and after each restart of the loop
+   * @param recorder records the events of the routing core; null for none
    */
   public DecisionLoop(
       Clock clock,
@@ -106,32 +106,35 @@
 
   @Override
   public void run() throws InterruptedException {
-    startAfresh();
+    reset();
     while (true) {
-      long wait = Math.max(0, nextTickMillis - clock.nowMillis());
-      Runnable task = tasks.poll(wait, TimeUnit.MILLISECONDS);
-      for (int i = 0; task != null && i < MAX_BATCH; i++) {
+      long timeoutMillis = Math.max(0, nextTickMillis - clock.nowMillis());
+      Runnable task = tasks.poll(timeoutMillis, TimeUnit.MILLISECONDS);
+      for (int i = 0; task != null && i < MAX_TASKS_PER_BATCH; i++) {
         task.run();
-        task = i + 1 < MAX_BATCH ? tasks.poll() : null;
+        task = i + 1 < MAX_TASKS_PER_BATCH ? tasks.poll() : null;
       }
       long nowMillis = clock.nowMillis();
       if (nowMillis >= nextTickMillis) {
-        nextTickMillis = nowMillis + TICK_MILLIS;
+        nextTickMillis = nowMillis + TICK_INTERVAL_MILLIS;
         tick(nowMillis);
       }
     }
   }
 
-  /** Forgets the routing state; requests that waited in it get an answer. */
-  private void startAfresh() {
+  /** Discards the routing state and fails the requests that were queued in it. */
+  private void reset() {
     routing = routingFactory.get();
-    routable.clear();
+    routableBackends.clear();
     readySinceMillis.clear();
-    List<Pending> open = List.copyOf(pending.values());
-    pending.clear();
+    List<PendingRequest> discarded = List.copyOf(pendingRequests.values());
+    pendingRequests.clear();
     Failure failure =
-        Failure.retryLater(ResultCode.NO_BACKEND, "the host's routing was started again", 1);
-    open.forEach(request -> request.future().complete(Outcome.failed(failure)));
+        Failure.retryLater(
+            ResultCode.NO_BACKEND,
+            "the request queue was lost when the host's routing restarted",
+            1);
+    discarded.forEach(request -> request.future().complete(Outcome.failed(failure)));
   }
 
   /** Runs an action on the decision thread. */
@@ -141,30 +144,30 @@
 
   // ---- configuration ----------------------------------------------------------------------------
 
-  /** Puts a configuration into force, unless a newer one is. */
-  public void install(Configuration newer) {
+  /** Activates a configuration if it is newer than the active one. */
+  public void activate(Configuration newer) {
     execute(
         () -> {
-          if (freshness.install(newer.revision())) {
+          if (freshness.activate(newer.revision())) {
             configuration = newer;
             publishFreshness();
           }
         });
   }
 
-  /** Puts the configuration with the deltas applied into force. */
-  public void installDeltas(List<ConfigurationDelta> deltas) {
+  /** Applies deltas to the active configuration and activates the result. */
+  public void activateDeltas(List<ConfigurationDelta> deltas) {
     execute(
         () -> {
           Configuration newer = Deltas.apply(configuration, deltas);
-          if (freshness.install(newer.revision())) {
+          if (freshness.activate(newer.revision())) {
             configuration = newer;
             publishFreshness();
           }
         });
   }
 
-  /** Notes a lease granted by the leader of group 0. */
+  /** Records a freshness lease granted by the leader of group 0. */
   public void grantedByLeader(long revision, long sentAtMillis) {
     execute(
         () -> {
@@ -173,15 +176,20 @@
         });
   }
 
-  /** Notes a voter's answer: a lease if {@code granted}. */
-  public void answeredByVoter(
-      String identity, long revision, boolean granted, long setVersion, int setSize, long sentAt) {
+  /** Handles a voter's reply to a freshness request: a lease if {@code granted}. */
+  public void voterReplied(
+      String identity,
+      long revision,
+      boolean granted,
+      long setVersion,
+      int setSize,
+      long sentAtMillis) {
     execute(
         () -> {
           if (granted) {
-            freshness.grantedByVoter(identity, revision, setVersion, setSize, sentAt);
+            freshness.grantedByVoter(identity, revision, setVersion, setSize, sentAtMillis);
           } else {
-            freshness.refusedByVoter(identity);
+            freshness.deniedByVoter(identity);
           }
           publishFreshness();
         });
@@ -204,12 +212,12 @@
   // ---- backend servers --------------------------------------------------------------------------
 
   /**
-   * Takes in an announcement.
+   * Handles an announcement of a backend server.
    *
-   * @param ageMillis time since the backend server sent it
-   * @param direct whether it came from the backend server itself
+   * @param ageMillis time since the backend server sent it, in milliseconds
+   * @param direct whether it came from the backend server itself, not through another host
    */
-  public void announced(BackendAnnouncement announcement, long ageMillis, boolean direct) {
+  public void backendAnnounced(BackendAnnouncement announcement, long ageMillis, boolean direct) {
     execute(
         () -> {
           long nowMillis = clock.nowMillis();
@@ -217,63 +225,72 @@
             return;
           }
           if (direct) {
-            heardDirectly.add(announcement.name());
+            directlyAnnounced.add(announcement.name());
           }
           aliveBackends.put(announcement.name(), announcement);
-          report(announcement.name(), nowMillis);
+          updateRouting(announcement.name(), nowMillis);
         });
   }
 
-  /** Takes in a cache event of an engine. */
+  /** Handles an addition to or an eviction from an engine's prefix cache. */
   public void prefixCached(String server, long prefixHash, boolean present) {
     execute(() -> handle(new RoutingEvent.PrefixCached(server, prefixHash, present)));
   }
 
-  /** Takes in what another host has open. */
+  /** Handles another host's update of its open requests. */
   public void sharesReported(String host, ShareUpdate update) {
     execute(() -> handle(new RoutingEvent.SharesReported(host, update)));
   }
 
-  /** Notes that another host has gone. */
-  public void hostGone(String host) {
+  /** Handles the loss of the connection to another host. */
+  public void hostDisconnected(String host) {
     execute(() -> handle(new RoutingEvent.HostRemoved(host)));
   }
 
-  /** What this host tells the others. */
+  /**
+   * Update that this host sends to the other hosts.
+   *
+   * @param announcements announcements that backend servers sent to this host
+   * @param shares update of this host's open requests
+   */
   public record Outgoing(List<BackendView.AgedAnnouncement> announcements, ShareUpdate shares) {
-    /** Returns whether there is nothing to tell. */
+    /** Returns whether there is nothing to send. */
     public boolean isEmpty() {
       return announcements.isEmpty() && shares.shares().isEmpty() && !shares.full();
     }
   }
 
-  /** Takes what was heard directly since the last call, with what is open now. */
-  public CompletableFuture<Outgoing> takeOutgoing() {
-    return call(
+  /**
+   * Removes and returns the announcements received directly since the last call, with the next
+   * update of the open requests.
+   */
+  public CompletableFuture<Outgoing> drainOutgoing() {
+    return submit(
         () -> {
           List<BackendView.AgedAnnouncement> aged =
-              backends.agedAnnouncements(heardDirectly, clock.nowMillis());
-          heardDirectly.clear();
+              backends.agedAnnouncements(directlyAnnounced, clock.nowMillis());
+          directlyAnnounced.clear();
           return new Outgoing(aged, routing.nextShareUpdate(clock.nowMillis()));
         });
   }
 
-  private void report(String name, long nowMillis) {
-    BackendAnnouncement usable = backends.usable(name, nowMillis);
+  private void updateRouting(String server, long nowMillis) {
+    BackendAnnouncement usable = backends.usable(server, nowMillis);
     if (usable == null) {
-      withdraw(name);
+      removeFromRouting(server);
       return;
     }
-    long sentAt = backends.sentAtMillis(name);
-    routable.add(name);
-    long readyAt = readySinceMillis.computeIfAbsent(name, n -> nowMillis);
-    handle(new RoutingEvent.BackendReported(BackendReports.of(usable, sentAt, readyAt)));
+    long sentAtMillis = backends.sentAtMillis(server);
+    routableBackends.add(server);
+    long readyAtMillis = readySinceMillis.computeIfAbsent(server, name -> nowMillis);
+    handle(
+        new RoutingEvent.BackendReported(BackendReports.of(usable, sentAtMillis, readyAtMillis)));
   }
 
-  private void withdraw(String name) {
-    readySinceMillis.remove(name);
-    if (routable.remove(name)) {
-      handle(new RoutingEvent.BackendRemoved(name));
+  private void removeFromRouting(String server) {
+    readySinceMillis.remove(server);
+    if (routableBackends.remove(server)) {
+      handle(new RoutingEvent.BackendRemoved(server));
     }
   }
 
@@ -290,13 +307,14 @@
     CompletableFuture<Outcome<Assignment>> future = new CompletableFuture<>();
     execute(
         () -> {
-          pending.put(request.id(), new Pending(request, requestName, future));
+          pendingRequests.put(request.id(), new PendingRequest(request, requestName, future));
           handle(new RoutingEvent.Arrived(request));
         });
     try {
       return future.get();
     } catch (ExecutionException e) {
-      return Outcome.failed(ResultCode.INTERNAL, "routing failed: " + e.getCause());
+      return Outcome.failed(
+          ResultCode.INTERNAL, "request " + requestName + " could not be routed: " + e.getCause());
     } catch (InterruptedException e) {
       execute(() -> abandon(request.id()));
       throw e;
@@ -304,7 +322,7 @@
   }
 
   private void abandon(long requestId) {
-    pending.remove(requestId);
+    pendingRequests.remove(requestId);
     handle(new RoutingEvent.Abandoned(requestId));
   }
 
@@ -314,8 +332,8 @@
   }
 
   @Override
-  public void finished(long requestId, int tokens, RoutingEvent.RequestOutcome ending) {
-    execute(() -> handle(new RoutingEvent.Finished(requestId, tokens, ending)));
+  public void finished(long requestId, int tokens, RoutingEvent.RequestOutcome outcome) {
+    execute(() -> handle(new RoutingEvent.Finished(requestId, tokens, outcome)));
   }
 
   @Override
@@ -327,8 +345,8 @@
   public Set<String> backendsWithoutTakeover() {
     Set<String> names = new HashSet<>();
     aliveBackends.forEach(
-        (name, server) -> {
-          if (server.resume() != BackendAnnouncement.Resume.TAKEOVER) {
+        (name, announcement) -> {
+          if (announcement.resume() != BackendAnnouncement.Resume.TAKEOVER) {
             names.add(name);
           }
         });
@@ -337,12 +355,14 @@
 
   @Override
   public long acquireWorkspacePermit(Workspace workspace) {
-    double limit = workspace.requestsPerSecond();
-    if (limit == 0) {
+    double requestsPerSecond = workspace.requestsPerSecond();
+    if (requestsPerSecond == 0) {
       return 0;
     }
     int hosts = livePeers.count() + 1;
-    return call(() -> limiter.tryAcquire(workspace.name(), limit, hosts, clock.nowMillis())).join();
+    return submit(
+            () -> limiter.tryAcquire(workspace.name(), requestsPerSecond, hosts, clock.nowMillis()))
+        .join();
   }
 
   @Override
@@ -352,7 +372,7 @@
 
   @Override
   public long tryRetry(String className, int failures) {
-    return call(() -> retryBudget.tryRetry(className) ? retryBudget.backoffMillis(failures) : -1L)
+    return submit(() -> retryBudget.tryRetry(className) ? retryBudget.backoffMillis(failures) : -1L)
         .join();
   }
 
@@ -367,17 +387,17 @@
       recorder.record(event, nowMillis);
     }
     for (RoutingDecision decision : routing.handle(event, nowMillis)) {
-      carryOut(decision, nowMillis);
+      apply(decision, nowMillis);
     }
   }
 
-  private void carryOut(RoutingDecision decision, long nowMillis) {
+  private void apply(RoutingDecision decision, long nowMillis) {
     switch (decision) {
       case RoutingDecision.Dispatch dispatch -> dispatch(dispatch, nowMillis);
       case RoutingDecision.Shed shed -> {
-        Pending request = pending.remove(shed.requestId());
+        PendingRequest request = pendingRequests.remove(shed.requestId());
         if (request != null) {
-          explain(request.name(), "given up: " + shed.reason(), shed);
+          recordExplanation(request.name(), "shed: " + shed.reason(), shed);
           request.future().complete(Outcome.failed(ShedMessages.failure(shed)));
         }
       }
@@ -385,21 +405,21 @@
   }
 
   private void dispatch(RoutingDecision.Dispatch dispatch, long nowMillis) {
-    Pending request = pending.remove(dispatch.requestId());
+    PendingRequest request = pendingRequests.remove(dispatch.requestId());
     BackendAnnouncement server = backends.usable(dispatch.server(), nowMillis);
     if (request == null) {
       execute(() -> cancelPlacement(dispatch.requestId()));
     } else if (server == null) {
-      // The lease ended since the last tick: choose again without the server.
-      pending.put(dispatch.requestId(), request);
+      // The backend server's lease has expired since the last tick: choose again without it.
+      pendingRequests.put(dispatch.requestId(), request);
       execute(
           () -> {
             cancelPlacement(dispatch.requestId());
-            withdraw(dispatch.server());
+            removeFromRouting(dispatch.server());
             handle(new RoutingEvent.Arrived(request.request()));
           });
     } else {
-      explain(request.name(), "sent to " + dispatch.server(), dispatch);
+      recordExplanation(request.name(), "dispatched to " + dispatch.server(), dispatch);
       request
           .future()
           .complete(
@@ -411,19 +431,19 @@
     handle(new RoutingEvent.Finished(requestId, 0, RoutingEvent.RequestOutcome.CANCELLED));
   }
 
-  private void explain(String requestName, String decision, Object figures) {
+  private void recordExplanation(String requestName, String decision, Object figures) {
     explainLog.add(requestName, new ExplainLog.Entry(clock.epochMillis(), decision, figures));
   }
 
   private void tick(long nowMillis) {
-    for (String name : List.copyOf(routable)) {
-      if (backends.usable(name, nowMillis) == null) {
-        withdraw(name);
+    for (String server : List.copyOf(routableBackends)) {
+      if (backends.usable(server, nowMillis) == null) {
+        removeFromRouting(server);
       }
     }
     aliveBackends.keySet().removeIf(name -> backends.alive(name, nowMillis) == null);
-    if (nowMillis >= nextForgetMillis) {
-      nextForgetMillis = nowMillis + FORGET_MILLIS;
+    if (nowMillis >= nextEvictionMillis) {
+      nextEvictionMillis = nowMillis + EVICTION_INTERVAL_MILLIS;
       backends.evictOldEntries(nowMillis);
     }
     handle(new RoutingEvent.Tick());
@@ -434,9 +454,12 @@
   /**
    * State of the loop for the dump.
    *
-   * @param revision configuration revision in force
-   * @param servesForMillis how long the host may go on serving without further news
-   * @param queued requests that wait
+   * @param revision active configuration revision
+   * @param servesForMillis how long the host may serve with the leases it holds, in milliseconds
+   * @param queued number of queued requests
+   * @param servers load of each backend server
+   * @param classes statistics of each service class
+   * @param backends latest announcement of each backend server whose lease has not expired
    */
   public record View(
       long revision,
@@ -446,9 +469,9 @@
       Map<String, RoutingCore.ClassView> classes,
       List<BackendAnnouncement> backends) {}
 
-  /** Returns the state of the loop. */
+  /** Returns the state of the loop, read on the decision thread. */
   public CompletableFuture<View> view() {
-    return call(
+    return submit(
         () -> {
           long nowMillis = clock.nowMillis();
           List<BackendAnnouncement> alive = new ArrayList<>(aliveBackends.values());
@@ -463,7 +486,7 @@
         });
   }
 
-  private <T> CompletableFuture<T> call(Supplier<T> supplier) {
+  private <T> CompletableFuture<T> submit(Supplier<T> supplier) {
     CompletableFuture<T> future = new CompletableFuture<>();
     execute(
         () -> {
--- a/src/main/java/org/curranthaven/internal/host/HostProcess.java
+++ b/src/main/java/org/curranthaven/internal/host/HostProcess.java
@@ -58,7 +58,7 @@
 import org.tinylog.Logger;
 
 /**
- * One host of the system: its parts, wired and supervised.
+ * Process of one host: creates its components, connects them and runs them under a supervisor.
  *
  * <pre>{@code
  * HostProcess host = HostProcess.start(settings, Clock.system());
@@ -67,43 +67,45 @@
  * }</pre>
  */
 public final class HostProcess implements PeerListener {
-  private static final long SHARE_MILLIS = 50;
-  private static final long FRESHNESS_MILLIS = 300;
-  private static final long DUMP_MILLIS = 2_000;
-  private static final long DRAIN_POLL_MILLIS = 20;
-  private static final long HANDOVER_MILLIS = 300;
+  private static final long SOFT_STATE_INTERVAL_MILLIS = 50;
+  private static final long FRESHNESS_INTERVAL_MILLIS = 300;
+  private static final long DUMP_TIMEOUT_MILLIS = 2_000;
+  private static final long DRAIN_POLL_INTERVAL_MILLIS = 20;
+
+  /** Time allowed for a leadership transfer before a planned stop, in milliseconds. */
+  private static final long LEADERSHIP_TRANSFER_MILLIS = 300;
 
   private final HostSettings settings;
   private final Clock clock;
   private final long incarnation;
-  private final @Nullable DataFolder folder;
+  private final @Nullable DataFolder dataFolder;
   private final @Nullable ConsensusLoop consensus;
   private final @Nullable FleetCoordinator coordinator;
   private final PeerNetwork network;
-  private final ControlClient control;
-  private final ChangeClient changes;
+  private final ControlClient controlClient;
+  private final ChangeClient changeClient;
   private final Ledger ledger;
   private final DecisionLoop decisions;
   private final CallerServer server;
-  private final Supervisor root;
+  private final Supervisor rootSupervisor;
   private final Metrics metrics;
   private volatile boolean draining;
-  private @Nullable Thread thread;
+  private @Nullable Thread supervisorThread;
 
   private HostProcess(
-      HostSettings settings, Clock clock, @Nullable DataFolder folder, @Nullable Path record) {
+      HostSettings settings, Clock clock, @Nullable DataFolder dataFolder, @Nullable Path trace) {
     this.settings = settings;
     this.clock = clock;
-    this.folder = folder;
+    this.dataFolder = dataFolder;
     this.incarnation = clock.epochMillis();
     this.metrics = new Metrics(clock);
     RandomGenerator random = new SplittableRandom(settings.name().hashCode() ^ incarnation);
     ExplainLog explainLog = new ExplainLog();
     this.network =
-        new PeerNetwork(settings.peerAddress(), settings.controlHosts(), this::describe, this);
-    this.control = new ControlClient(network, clock);
-    this.changes = new ChangeClient(network, control, clock);
-    this.consensus = folder == null ? null : newConsensus(folder);
+        new PeerNetwork(settings.peerAddress(), settings.controlHosts(), this::hostRecord, this);
+    this.controlClient = new ControlClient(network, clock);
+    this.changeClient = new ChangeClient(network, controlClient, clock);
+    this.consensus = dataFolder == null ? null : newConsensus(dataFolder);
     this.coordinator = consensus == null ? null : new FleetCoordinator(consensus, network, clock);
     if (consensus != null && coordinator != null) {
       consensus.addObserver(coordinator);
@@ -117,12 +119,16 @@
                     settings.name(),
                     new Policy.Forecast(ForecastOptions.standard()),
                     new SplittableRandom(incarnation)),
-            record == null ? null : RoutingRecorder.start(record, settings.name(), incarnation),
+            trace == null ? null : RoutingRecorder.start(trace, settings.name(), incarnation),
             explainLog,
-            new Peers());
+            new ConnectedPeers());
     this.ledger =
         new ReplicatedLedger(
-            control, settings.ledgerGroups(), settings.name(), incarnation, clock::epochMillis);
+            controlClient,
+            settings.ledgerGroups(),
+            settings.name(),
+            incarnation,
+            clock::epochMillis);
     CallerApi callers =
         new CallerApi(
             decisions,
@@ -134,27 +140,33 @@
             RandomGenerator.getDefault());
     AdminApi admin =
         new AdminApi(
-            decisions, changes, metrics, explainLog, this::dump, this::listHosts, () -> draining);
+            decisions,
+            changeClient,
+            metrics,
+            explainLog,
+            this::dump,
+            this::listHosts,
+            () -> draining);
     this.server = new CallerServer(Addresses.parse(settings.httpAddress()), callers, admin);
-    this.root = new Supervisor(settings.name(), clock);
+    this.rootSupervisor = new Supervisor(settings.name(), clock);
     addChildren();
   }
 
-  /** Starts a host. A failure tells why its data folder cannot be used. */
+  /** Starts a host. Fails if its data folder cannot be used. */
   public static Outcome<HostProcess> start(HostSettings settings, Clock clock) {
     return start(settings, clock, null);
   }
 
-  /** Starts a host that records the events of its routing core to a file, unless it is null. */
+  /** Starts a host that records the events of its routing core to {@code trace}, if not null. */
   public static Outcome<HostProcess> start(
-      HostSettings settings, Clock clock, @Nullable Path record) {
+      HostSettings settings, Clock clock, @Nullable Path trace) {
     if (settings.dataFolder() == null) {
-      return Outcome.success(new HostProcess(settings, clock, null, record).launch());
+      return Outcome.success(new HostProcess(settings, clock, null, trace).launch());
     }
     Outcome<DataFolder> opened = DataFolder.open(settings.dataFolder());
     return switch (opened) {
       case Outcome.Success<DataFolder> success ->
-          Outcome.success(new HostProcess(settings, clock, success.value(), record).launch());
+          Outcome.success(new HostProcess(settings, clock, success.value(), trace).launch());
       case Outcome.Failed<DataFolder> failed -> Outcome.failed(failed.failure());
     };
   }
@@ -163,29 +175,30 @@
     metrics.gauge("curranthaven_open_requests", server::openRequests);
     metrics.gauge("curranthaven_peer_bytes_sent", network::bytesSent);
     metrics.gauge("curranthaven_peer_messages_sent", network::messagesSent);
-    thread = Thread.ofPlatform().daemon(true).name(settings.name()).start(this::runRoot);
+    supervisorThread =
+        Thread.ofPlatform().daemon(true).name(settings.name()).start(this::runSupervisor);
     return this;
   }
 
-  private void runRoot() {
+  private void runSupervisor() {
     try {
-      root.run();
+      rootSupervisor.run();
     } catch (InterruptedException e) {
-      Logger.info("{} stopped", settings.name());
+      Logger.info("host {} stopped", settings.name());
     } catch (IllegalStateException e) {
-      Logger.error("{} is down: {}", settings.name(), e.getMessage());
+      Logger.error("host {} stopped after a failure: {}", settings.name(), e.getMessage());
     }
   }
 
-  private ConsensusLoop newConsensus(DataFolder data) {
+  private ConsensusLoop newConsensus(DataFolder folder) {
     return new ConsensusLoop(
         new ConsensusLoop.Dependencies(
-            data,
+            folder,
             settings.ledgerGroups() + 1,
             Set.copyOf(settings.controlHosts()),
             settings.votersWanted(),
             groupId -> groupId == 0 ? new FleetState() : new LedgerState(),
-            this::describe,
+            this::hostRecord,
             this::connectedControlHosts,
             (identity, batch) ->
                 network.sendToIdentity(identity, Envelope.newBuilder().setConsensus(batch)),
@@ -195,29 +208,35 @@
 
   private void addChildren() {
     if (consensus != null) {
-      root.add("consensus", RestartPolicy.standard(), consensus);
-    }
-    root.add("decisions", RestartPolicy.standard(), decisions);
-    root.add("network", RestartPolicy.standard(), network);
-    root.add("gossip", RestartPolicy.standard(), periodic(SHARE_MILLIS, this::shareSoftState));
-    root.add("freshness", RestartPolicy.standard(), periodic(FRESHNESS_MILLIS, this::askFreshness));
-    root.add("http", RestartPolicy.standard(), server);
-  }
-
-  private interface Step {
+      rootSupervisor.add("consensus", RestartPolicy.standard(), consensus);
+    }
+    rootSupervisor.add("decisions", RestartPolicy.standard(), decisions);
+    rootSupervisor.add("network", RestartPolicy.standard(), network);
+    rootSupervisor.add(
+        "gossip",
+        RestartPolicy.standard(),
+        periodic(SOFT_STATE_INTERVAL_MILLIS, this::sendSoftState));
+    rootSupervisor.add(
+        "freshness",
+        RestartPolicy.standard(),
+        periodic(FRESHNESS_INTERVAL_MILLIS, this::requestFreshness));
+    rootSupervisor.add("http", RestartPolicy.standard(), server);
+  }
+
+  private interface PeriodicTask {
     void run() throws Exception;
   }
 
-  private static Child periodic(long periodMillis, Step step) {
+  private static Child periodic(long intervalMillis, PeriodicTask task) {
     return () -> {
       while (true) {
-        step.run();
-        Thread.sleep(periodMillis);
+        task.run();
+        Thread.sleep(intervalMillis);
       }
     };
   }
 
-  // ---- operation --------------------------------------------------------------------------------
+  // ---- lifecycle --------------------------------------------------------------------------------
 
   /** Returns the host's name. */
   public String name() {
@@ -229,58 +248,58 @@
     return settings;
   }
 
-  /** Returns the host's connections to others. */
+  /** Returns the connections to other hosts. */
   public PeerNetwork network() {
     return network;
   }
 
-  /** Returns the ledger of calls that may not repeat. */
+  /** Returns the ledger of requests that must not run twice. */
   public Ledger ledger() {
     return ledger;
   }
 
-  /** Returns whether the host may take new work. */
+  /** Returns whether the host may accept new work. */
   public boolean isReady() {
     return !draining && decisions.mayServe();
   }
 
-  /** Returns the configuration in force on this host. */
+  /** Returns the configuration that is active on this host. */
   public Configuration configuration() {
     return decisions.configuration();
   }
 
-  /** Returns the number of callers' requests that are open. */
+  /** Returns the number of open requests of callers. */
   public int openRequests() {
     return server.openRequests();
   }
 
-  /** Returns why the host went down, or null while it runs. */
+  /** Returns why the host failed, or null if it has not. */
   public @Nullable String failureReason() {
-    return root.failureReason();
+    return rootSupervisor.failureReason();
   }
 
   /**
-   * Prepares a planned stop: takes no new work, hands over leadership, and waits until the open
-   * requests have ended.
+   * Drains the host before a planned stop: accepts no new work, waits until the open requests have
+   * ended or the drain time is over, and then transfers leadership.
    *
-   * @return the number of requests still open when the time allowed was up
+   * @return number of requests that are still open
    */
   public int drain() throws InterruptedException {
     draining = true;
-    long deadline = clock.nowMillis() + settings.drainMillis();
-    while (server.openRequests() > 0 && clock.nowMillis() < deadline) {
-      Thread.sleep(DRAIN_POLL_MILLIS);
+    long deadlineMillis = clock.nowMillis() + settings.drainMillis();
+    while (server.openRequests() > 0 && clock.nowMillis() < deadlineMillis) {
+      Thread.sleep(DRAIN_POLL_INTERVAL_MILLIS);
     }
     if (consensus != null) {
       consensus.transferLeadership();
-      Thread.sleep(HANDOVER_MILLIS);
+      Thread.sleep(LEADERSHIP_TRANSFER_MILLIS);
     }
     return server.openRequests();
   }
 
-  /** Stops the host; whatever is open is cut off. */
+  /** Stops the host at once; open requests are interrupted. */
   public void stop() {
-    Thread running = thread;
+    Thread running = supervisorThread;
     if (running != null) {
       running.interrupt();
       try {
@@ -290,24 +309,27 @@
       }
     }
     try {
-      if (folder != null) {
-        folder.close();
+      if (dataFolder != null) {
+        dataFolder.close();
       }
     } catch (IOException e) {
-      Logger.warn("the data folder's lock could not be released: {}", e.getMessage());
+      Logger.warn(
+          "host {}: lock of the data folder could not be released: {}",
+          settings.name(),
+          e.getMessage());
     }
   }
 
-  /** Waits until the host goes down by itself. */
+  /** Waits until the host has stopped. */
   public void join() throws InterruptedException {
-    Thread running = thread;
+    Thread running = supervisorThread;
     if (running != null) {
       running.join();
     }
   }
 
-  private HostRecord describe() {
-    HostRecord.Builder record =
+  private HostRecord hostRecord() {
+    HostRecord.Builder host =
         HostRecord.newBuilder()
             .setName(settings.name())
             .setDataCentre(settings.dataCentre())
@@ -316,16 +338,16 @@
             .setIncarnation(incarnation)
             .setControl(settings.control())
             .setDraining(draining);
-    if (folder != null) {
-      record.setIdentity(folder.identity());
+    if (dataFolder != null) {
+      host.setIdentity(dataFolder.identity());
     }
     if (consensus != null) {
-      record.setFormed(consensus.hasReplicas());
+      host.setFormed(consensus.hasReplicas());
     }
-    return record.build();
+    return host.build();
   }
 
-  /** A host as operators see it. */
+  /** Description of a host for operators. */
   public record HostView(
       String name, String dataCentre, String httpAddress, boolean control, long incarnation) {
     static HostView of(HostRecord host) {
@@ -340,7 +362,7 @@
 
   private List<HostView> listHosts() {
     List<HostView> hosts = new ArrayList<>();
-    hosts.add(HostView.of(describe()));
+    hosts.add(HostView.of(hostRecord()));
     network.connectedHosts().forEach(host -> hosts.add(HostView.of(host)));
     hosts.sort(java.util.Comparator.comparing(HostView::name));
     return hosts;
@@ -350,16 +372,16 @@
     return network.connectedHosts().stream().filter(HostRecord::getControl).toList();
   }
 
-  /** The other hosts' processes, as the connections tell. */
-  private final class Peers implements DecisionLoop.LivePeers {
+  /** Processes of the other hosts, which are alive while they are connected. */
+  private final class ConnectedPeers implements DecisionLoop.LivePeers {
     @Override
     public boolean isAlive(String host, long hostIncarnation) {
       if (host.equals(settings.name())) {
         return hostIncarnation == incarnation;
       }
       return network.connectedHosts().stream()
-          .filter(record -> record.getName().equals(host))
-          .anyMatch(record -> record.getIncarnation() == hostIncarnation);
+          .filter(peer -> peer.getName().equals(host))
+          .anyMatch(peer -> peer.getIncarnation() == hostIncarnation);
     }
 
     @Override
@@ -368,57 +390,57 @@
     }
   }
 
-  // ---- periodic messages ------------------------------------------------------------------------
+  // ---- messages sent periodically ---------------------------------------------------------------
 
-  private void askFreshness() {
+  private void requestFreshness() {
     long nowMillis = clock.nowMillis();
     FreshnessRequest.Builder request =
         FreshnessRequest.newBuilder()
-            .setHost(describe())
+            .setHost(hostRecord())
             .setRevision(decisions.configuration().revision())
             .setSentAtMillis(nowMillis);
     if (coordinator != null) {
-      // Read after the revision: leases for an older one are all in the list by then.
-      request.addAllPeerLeases(coordinator.leasesGiven(nowMillis));
+      // Read after the revision, so that the list has every lease granted for an older revision.
+      request.addAllPeerLeases(coordinator.leasesGranted(nowMillis));
     }
-    for (String host : control.reachableControlHosts()) {
+    for (String host : controlClient.reachableControlHosts()) {
       network.send(host, Envelope.newBuilder().setFreshnessRequest(request));
     }
   }
 
-  private void shareSoftState() throws InterruptedException, ExecutionException {
-    DecisionLoop.Outgoing outgoing = decisions.takeOutgoing().get();
+  private void sendSoftState() throws InterruptedException, ExecutionException {
+    DecisionLoop.Outgoing outgoing = decisions.drainOutgoing().get();
     if (outgoing.isEmpty()) {
       return;
     }
-    SoftState.Builder state = SoftState.newBuilder().setFullShares(outgoing.shares().full());
+    SoftState.Builder softState = SoftState.newBuilder().setFullShares(outgoing.shares().full());
     for (BackendView.AgedAnnouncement aged : outgoing.announcements()) {
-      state.addAnnouncements(
+      softState.addAnnouncements(
           org.curranthaven.internal.transport.wire.BackendAnnouncement.newBuilder()
               .setJson(Json.write(aged.announcement()))
               .setAgeMillis(aged.ageMillis() + BackendView.HOP_ALLOWANCE_MILLIS));
     }
     for (HostShare share : outgoing.shares().shares()) {
-      state.addShares(wire(share));
+      softState.addShares(toWire(share));
     }
     for (HostRecord host : network.connectedHosts()) {
-      network.send(host.getName(), Envelope.newBuilder().setSoftState(state));
+      network.send(host.getName(), Envelope.newBuilder().setSoftState(softState));
     }
   }
 
-  private static DispatchShare wire(HostShare share) {
-    DispatchShare.Builder wire =
+  private static DispatchShare toWire(HostShare share) {
+    DispatchShare.Builder wireShare =
         DispatchShare.newBuilder().setBackend(share.server()).setRunning(share.running());
     for (double mean : share.forecast().means()) {
-      wire.addMeanBlocks((float) mean);
+      wireShare.addMeanBlocks((float) mean);
     }
     for (double variance : share.forecast().variances()) {
-      wire.addVarianceBlocks((float) variance);
+      wireShare.addVarianceBlocks((float) variance);
     }
-    return wire.build();
+    return wireShare.build();
   }
 
-  // ---- messages ---------------------------------------------------------------------------------
+  // ---- messages received ------------------------------------------------------------------------
 
   @Override
   public void received(HostRecord from, Envelope message) {
@@ -428,23 +450,24 @@
           consensus.receive(message.getFromIdentity(), message.getConsensus());
         }
       }
-      case COMMAND_REQUEST -> command(from, message.getCommandRequest());
-      case COMMAND_REPLY -> control.handleReply(message.getCommandReply());
+      case COMMAND_REQUEST -> handleCommand(from, message.getCommandRequest());
+      case COMMAND_REPLY -> controlClient.handleReply(message.getCommandReply());
       case FRESHNESS_REQUEST -> {
         if (coordinator != null) {
           coordinator.receive(from, message.getFreshnessRequest());
         }
       }
-      case FRESHNESS_GRANT -> granted(message.getFreshnessGrant());
-      case REVISION_ANSWER -> answered(message.getFromIdentity(), message.getRevisionAnswer());
-      case SOFT_STATE -> softState(from, message.getSoftState());
-      case ADMIN_REQUEST -> admin(from, message.getAdminRequest());
-      case ADMIN_REPLY -> changes.received(message.getAdminReply());
+      case FRESHNESS_GRANT -> handleFreshnessGrant(message.getFreshnessGrant());
+      case REVISION_ANSWER ->
+          handleRevisionReply(message.getFromIdentity(), message.getRevisionAnswer());
+      case SOFT_STATE -> handleSoftState(from, message.getSoftState());
+      case ADMIN_REQUEST -> handleAdminRequest(from, message.getAdminRequest());
+      case ADMIN_REPLY -> changeClient.received(message.getAdminReply());
       default -> {}
     }
   }
 
-  private void command(HostRecord from, CommandRequest request) {
+  private void handleCommand(HostRecord from, CommandRequest request) {
     if (consensus == null) {
       return;
     }
@@ -458,19 +481,19 @@
                     .setCommandReply(reply.toBuilder().setRequestId(request.getRequestId()))));
   }
 
-  private void granted(FreshnessGrant grant) {
+  private void handleFreshnessGrant(FreshnessGrant grant) {
     boolean newer = grant.getRevision() > decisions.configuration().revision();
     if (newer && !grant.getConfiguration().isEmpty()) {
-      decisions.install(Json.read(grant.getConfiguration(), Configuration.class));
+      decisions.activate(Json.read(grant.getConfiguration(), Configuration.class));
     }
     if (newer && grant.getDeltasCount() > 0) {
-      decisions.installDeltas(grant.getDeltasList());
+      decisions.activateDeltas(grant.getDeltasList());
     }
     if (grant.getGranted()) {
       decisions.grantedByLeader(grant.getRevision(), grant.getEchoedSentAtMillis());
     } else if (newer) {
-      // Tells the leader at once that the new revision is in force here.
-      decisions.execute(this::askFreshness);
+      // Reports to the leader at once that the new revision is active here.
+      decisions.execute(this::requestFreshness);
     }
     for (HostRecord host : grant.getHostsList()) {
       if (!host.getName().equals(settings.name())) {
@@ -479,20 +502,20 @@
     }
   }
 
-  private void answered(String identity, RevisionAnswer answer) {
-    decisions.answeredByVoter(
+  private void handleRevisionReply(String identity, RevisionAnswer reply) {
+    decisions.voterReplied(
         identity,
-        answer.getRevision(),
-        answer.getGranted(),
-        answer.getWitnessSetVersion(),
-        answer.getWitnessSetSize(),
-        answer.getEchoedSentAtMillis());
+        reply.getRevision(),
+        reply.getGranted(),
+        reply.getWitnessSetVersion(),
+        reply.getWitnessSetSize(),
+        reply.getEchoedSentAtMillis());
   }
 
-  private void softState(HostRecord from, SoftState state) {
-    for (BackendAnnouncementOrBuilder aged : state.getAnnouncementsList()) {
-      BackendAnnouncement announcement = Json.read(aged.getJson(), BackendAnnouncement.class);
-      decisions.announced(announcement, aged.getAgeMillis(), false);
+  private void handleSoftState(HostRecord from, SoftState state) {
+    for (BackendAnnouncementOrBuilder received : state.getAnnouncementsList()) {
+      BackendAnnouncement announcement = Json.read(received.getJson(), BackendAnnouncement.class);
+      decisions.backendAnnounced(announcement, received.getAgeMillis(), false);
     }
     List<HostShare> shares = new ArrayList<>();
     for (DispatchShare share : state.getSharesList()) {
@@ -501,20 +524,20 @@
               share.getBackend(),
               share.getRunning(),
               MemoryForecast.of(
-                  doubles(share.getMeanBlocksList()), doubles(share.getVarianceBlocksList()))));
+                  toDoubles(share.getMeanBlocksList()), toDoubles(share.getVarianceBlocksList()))));
     }
     decisions.sharesReported(from.getName(), new ShareUpdate(state.getFullShares(), shares));
   }
 
-  private static double[] doubles(List<Float> values) {
+  private static double[] toDoubles(List<Float> values) {
     return values.stream().mapToDouble(Float::doubleValue).toArray();
   }
 
-  private void admin(HostRecord from, AdminRequest request) {
+  private void handleAdminRequest(HostRecord from, AdminRequest request) {
     if (coordinator == null) {
       return;
     }
-    AdminService.answer(
+    AdminService.handle(
         coordinator,
         request,
         reply -> network.send(from.getName(), Envelope.newBuilder().setAdminReply(reply)));
@@ -522,18 +545,18 @@
 
   @Override
   public void connected(HostRecord host) {
-    Logger.info("{}: connected to {}", settings.name(), host.getName());
+    Logger.info("host {}: connected to host {}", settings.name(), host.getName());
   }
 
   @Override
   public void disconnected(HostRecord host) {
-    Logger.info("{}: connection to {} is gone", settings.name(), host.getName());
-    decisions.hostGone(host.getName());
+    Logger.info("host {}: connection to host {} lost", settings.name(), host.getName());
+    decisions.hostDisconnected(host.getName());
   }
 
   // ---- dump -------------------------------------------------------------------------------------
 
-  /** Returns the whole state of the process. */
+  /** Returns the state of the process for operators. */
   public Map<String, Object> dump() {
     Map<String, Object> dump = new LinkedHashMap<>();
     dump.put("host", settings.name());
@@ -542,21 +565,21 @@
     dump.put("draining", draining);
     dump.put("ready", isReady());
     dump.put("openRequests", server.openRequests());
-    dump.put("children", root.statuses());
+    dump.put("children", rootSupervisor.statuses());
     dump.put("peers", network.connectedHosts().stream().map(HostRecord::getName).sorted().toList());
-    dump.put("decisions", await(decisions.view()));
+    dump.put("decisions", awaitValue(decisions.view()));
     if (consensus != null) {
       dump.put("storageFailure", consensus.storageFailure());
-      dump.put("groups", await(ConsensusDump.of(consensus, settings.ledgerGroups() + 1)));
+      dump.put("groups", awaitValue(ConsensusDump.of(consensus, settings.ledgerGroups() + 1)));
     }
     return dump;
   }
 
-  private static Object await(java.util.concurrent.CompletableFuture<?> future) {
+  private static Object awaitValue(java.util.concurrent.CompletableFuture<?> future) {
     try {
-      return future.get(DUMP_MILLIS, TimeUnit.MILLISECONDS);
+      return future.get(DUMP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      return "does not answer";
+      return "no response within " + DUMP_TIMEOUT_MILLIS + " ms";
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return "interrupted";
--- a/src/test/java/org/curranthaven/internal/configuration/FreshnessTest.java
+++ b/src/test/java/org/curranthaven/internal/configuration/FreshnessTest.java
@@ -6,14 +6,15 @@
 import org.junit.jupiter.api.Test;
 
 class FreshnessTest {
-  private static final long SET = 1;
+  private static final long VOTER_SET_VERSION = 1;
 
   private final FreshnessCore host = new FreshnessCore();
   private final AcceptanceCore leader = new AcceptanceCore();
 
-  private void leadSince(long nowMillis, String... voters) {
-    leader.leadershipStarted(nowMillis - AcceptanceCore.LEASE_BOUND_MILLIS);
-    leader.setVoters(Set.of(voters), nowMillis - AcceptanceCore.LEASE_BOUND_MILLIS);
+  /** Starts leadership so early that all leases unknown to the leader have expired by now. */
+  private void startLeadershipBefore(long nowMillis, String... voters) {
+    leader.leadershipStarted(nowMillis - AcceptanceCore.MAX_LEASE_MILLIS);
+    leader.setVoters(Set.of(voters), nowMillis - AcceptanceCore.MAX_LEASE_MILLIS);
   }
 
   @Test
@@ -24,8 +25,8 @@
   }
 
   @Test
-  void a_host_serves_while_the_leaders_lease_lasts_from_when_it_asked() {
-    host.install(1);
+  void a_lease_from_the_leader_lasts_from_the_sending_of_the_request() {
+    host.activate(1);
     host.grantedByLeader(1, 1_000);
 
     assertThat(host.mayServe(2_999)).isTrue();
@@ -33,86 +34,88 @@
   }
 
   @Test
-  void a_revision_never_goes_down() {
-    host.install(5);
+  void a_revision_never_decreases() {
+    host.activate(5);
 
-    assertThat(host.install(4)).isFalse();
+    assertThat(host.activate(4)).isFalse();
     assertThat(host.revision()).isEqualTo(5);
   }
 
   @Test
-  void a_grant_for_an_older_revision_counts_for_nothing() {
-    host.install(2);
+  void a_lease_for_an_older_revision_is_ignored() {
+    host.activate(2);
     host.grantedByLeader(1, 1_000);
 
     assertThat(host.mayServe(1_100)).isFalse();
   }
 
   @Test
-  void a_host_serves_on_leases_from_a_majority_of_voters_when_no_leader_answers() {
-    host.install(1);
-    host.grantedByVoter("a", 1, SET, 3, 1_000);
+  void a_host_serves_with_leases_from_a_majority_of_voters_when_no_leader_replies() {
+    host.activate(1);
+    host.grantedByVoter("a", 1, VOTER_SET_VERSION, 3, 1_000);
     assertThat(host.mayServe(1_100)).isFalse();
 
-    host.grantedByVoter("b", 1, SET, 3, 1_050);
+    host.grantedByVoter("b", 1, VOTER_SET_VERSION, 3, 1_050);
 
     assertThat(host.mayServe(2_999)).isTrue();
     assertThat(host.mayServe(3_001)).isFalse();
   }
 
   @Test
-  void voters_of_different_voter_sets_do_not_make_a_majority() {
-    host.install(1);
-    host.grantedByVoter("a", 1, SET, 3, 1_000);
-    host.grantedByVoter("b", 1, SET + 1, 3, 1_000);
+  void voters_of_different_voter_sets_do_not_form_a_majority() {
+    host.activate(1);
+    host.grantedByVoter("a", 1, VOTER_SET_VERSION, 3, 1_000);
+    host.grantedByVoter("b", 1, VOTER_SET_VERSION + 1, 3, 1_000);
 
     assertThat(host.mayServe(1_100)).isFalse();
   }
 
   @Test
-  void a_change_is_accepted_when_every_host_that_may_serve_has_it() {
-    leadSince(0, "a");
-    leader.request("host-1", 1, 1, 0);
+  void a_change_is_accepted_once_it_is_active_on_every_host_that_may_serve() {
+    startLeadershipBefore(0, "a");
+    leader.requestLease("host-1", 1, 1, 0);
     leader.voterReported("a", 2);
-    leader.await(2, 77);
-    assertThat(leader.takeAccepted(10)).isEmpty();
+    leader.awaitActivation(2, 77);
+    assertThat(leader.drainAccepted(10)).isEmpty();
 
-    leader.request("host-1", 2, 2, 20);
+    leader.requestLease("host-1", 2, 2, 20);
 
-    assertThat(leader.takeAccepted(20)).containsExactly(77L);
+    assertThat(leader.drainAccepted(20)).containsExactly(77L);
   }
 
   @Test
-  void a_change_waits_for_the_lease_of_a_host_that_is_cut_off_to_end() {
-    leadSince(0, "a");
-    leader.request("host-1", 1, 1, 0);
+  void a_change_is_accepted_only_after_the_lease_of_a_disconnected_host_has_expired() {
+    startLeadershipBefore(0, "a");
+    leader.requestLease("host-1", 1, 1, 0);
     leader.voterReported("a", 2);
-    leader.await(2, 77);
+    leader.awaitActivation(2, 77);
 
-    assertThat(leader.takeAccepted(FreshnessCore.LEASE_MILLIS)).isEmpty();
-    assertThat(leader.takeAccepted(AcceptanceCore.LEASE_BOUND_MILLIS)).containsExactly(77L);
+    assertThat(leader.drainAccepted(FreshnessCore.LEASE_MILLIS)).isEmpty();
+    assertThat(leader.drainAccepted(AcceptanceCore.MAX_LEASE_MILLIS)).containsExactly(77L);
   }
 
   @Test
-  void a_new_leader_waits_until_its_predecessors_leases_must_have_ended() {
+  void a_new_leader_waits_until_leases_of_its_predecessor_must_have_expired() {
     leader.leadershipStarted(0);
     leader.setVoters(Set.of("a"), 0);
     leader.voterReported("a", 2);
 
-    assertThat(leader.inForce(2, AcceptanceCore.LEASE_BOUND_MILLIS - 1)).isFalse();
-    assertThat(leader.inForce(2, AcceptanceCore.LEASE_BOUND_MILLIS)).isTrue();
+    assertThat(leader.isActiveEverywhere(2, AcceptanceCore.MAX_LEASE_MILLIS - 1)).isFalse();
+    assertThat(leader.isActiveEverywhere(2, AcceptanceCore.MAX_LEASE_MILLIS)).isTrue();
   }
 
   @Test
-  void a_change_waits_for_leases_that_voters_gave_while_the_leader_was_out_of_reach() {
-    leadSince(0, "a", "b", "c");
+  void a_change_is_accepted_only_after_leases_granted_by_other_voters_have_expired() {
+    startLeadershipBefore(0, "a", "b", "c");
     leader.voterReported("a", 2);
-    assertThat(leader.inForce(2, 0)).as("only one of three voters has told its leases").isFalse();
+    assertThat(leader.isActiveEverywhere(2, 0))
+        .as("only one of three voters has reported its leases")
+        .isFalse();
 
-    leader.leaseGivenElsewhere("host-9", 1, 500, 0);
+    leader.leaseGrantedByVoter("host-9", 1, 500, 0);
     leader.voterReported("b", 2);
 
-    assertThat(leader.inForce(2, 500)).isFalse();
-    assertThat(leader.inForce(2, 700)).isTrue();
+    assertThat(leader.isActiveEverywhere(2, 500)).isFalse();
+    assertThat(leader.isActiveEverywhere(2, 700)).isTrue();
   }
 }
