--- a/src/main/java/org/curranthaven/internal/cli/SettingsCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/SettingsCommand.java
@@ -63,7 +63,7 @@
     }
     String faults =
         reader.faults().stream()
-            .map(fault -> "  " + fault.sentence(file.toString()))
+            .map(fault -> "  " + fault.format(file.toString()))
             .collect(Collectors.joining("\n"));
     return Outcome.failed(
         Failure.of(
--- a/src/main/java/org/curranthaven/internal/gateway/Metrics.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Metrics.java
@@ -38,7 +38,7 @@
 
   /** Counts a request that ended with an error. */
   public void failed(String className, ResultCode code) {
-    targets.failed(className, clock.nowMillis());
+    targets.recordFailure(className, clock.nowMillis());
     Counter.builder("curranthaven_failures")
         .tag("class", className)
         .tag("code", String.valueOf(code.number()))
@@ -53,14 +53,15 @@
 
   /** Notes the time from a request's arrival to its first token or plain answer. */
   public void firstReply(ServiceClass serviceClass, long millis) {
-    targets.firstReply(
+    targets.recordFirstReply(
         serviceClass.name(), millis, serviceClass.targets().firstReplyMillis(), clock.nowMillis());
     timer("curranthaven_first_reply", serviceClass.name()).record(Duration.ofMillis(millis));
   }
 
   /** Notes the time between two tokens of a stream. */
   public void gap(ServiceClass serviceClass, long millis) {
-    targets.gap(serviceClass.name(), millis, serviceClass.targets().gapMillis(), clock.nowMillis());
+    targets.recordGap(
+        serviceClass.name(), millis, serviceClass.targets().gapMillis(), clock.nowMillis());
     timer("curranthaven_token_gap", serviceClass.name()).record(Duration.ofMillis(millis));
   }
 
--- a/src/main/java/org/curranthaven/internal/observe/RoutedMetrics.java
+++ b/src/main/java/org/curranthaven/internal/observe/RoutedMetrics.java
@@ -15,7 +15,7 @@
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
   /** Notes the time from a call's arrival to the first part of its answer. */
-  public void firstReply(String route, long millis) {
+  public void recordFirstReply(String route, long millis) {
     Timer.builder("curranthaven_routed_first_reply")
         .tag("route", route)
         .publishPercentiles(0.5, 0.95, 0.99)
@@ -24,7 +24,7 @@
   }
 
   /** Counts a call that ended with a failure of the system's own. */
-  public void failed(String route, ResultCode code) {
+  public void countFailure(String route, ResultCode code) {
     Counter.builder("curranthaven_routed_failures")
         .tag("route", route)
         .tag("code", String.valueOf(code.number()))
--- a/src/main/java/org/curranthaven/internal/observe/StatusServer.java
+++ b/src/main/java/org/curranthaven/internal/observe/StatusServer.java
@@ -23,7 +23,7 @@
 public final class StatusServer {
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
-  private static final long DUMP_MILLIS = 2_000;
+  private static final long DUMP_TIMEOUT_MILLIS = 2_000;
 
   private StatusServer() {}
 
@@ -37,22 +37,22 @@
       InetSocketAddress address, RoutedMetrics metrics, Supplier<? extends Future<?>> dump)
       throws IOException {
     HttpServer server = HttpServer.create(address, 0);
-    server.createContext("/metrics", exchange -> answer(exchange, OK, metrics.page()));
-    server.createContext("/dump", exchange -> dump(exchange, dump.get()));
+    server.createContext("/metrics", exchange -> respond(exchange, OK, metrics.page()));
+    server.createContext("/dump", exchange -> respondWithDump(exchange, dump.get()));
     server.start();
   }
 
-  private static void dump(HttpExchange exchange, Future<?> state) throws IOException {
+  private static void respondWithDump(HttpExchange exchange, Future<?> state) throws IOException {
     try {
-      answer(exchange, OK, Json.text(state.get(DUMP_MILLIS, TimeUnit.MILLISECONDS)));
+      respond(exchange, OK, Json.text(state.get(DUMP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)));
     } catch (ExecutionException | TimeoutException e) {
-      answer(exchange, UNAVAILABLE, "{\"error\":\"the process does not answer\"}");
+      respond(exchange, UNAVAILABLE, "{\"error\":\"the process does not answer\"}");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static void answer(HttpExchange exchange, int status, String text) throws IOException {
+  private static void respond(HttpExchange exchange, int status, String text) throws IOException {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     exchange.sendResponseHeaders(status, bytes.length);
     try (OutputStream out = exchange.getResponseBody()) {
--- a/src/main/java/org/curranthaven/internal/observe/TargetMonitor.java
+++ b/src/main/java/org/curranthaven/internal/observe/TargetMonitor.java
@@ -13,13 +13,13 @@
  */
 public final class TargetMonitor {
   /** Share of first replies and of gaps within the target at which a class meets it. */
-  public static final double MET_SHARE = 0.95;
+  public static final double REQUIRED_SHARE = 0.95;
 
   /** Length of the short window, in milliseconds. */
-  static final long SHORT_MILLIS = 60_000;
+  static final long SHORT_WINDOW_MILLIS = 60_000;
 
   /** Length of the long window, in milliseconds. */
-  static final long LONG_MILLIS = 900_000;
+  static final long LONG_WINDOW_MILLIS = 900_000;
 
   private static final long BUCKET_MILLIS = 5_000;
 
@@ -47,8 +47,8 @@
     /** Returns whether the class meets its targets; a class without requests does. */
     public boolean met() {
       long asked = replies + failed;
-      boolean firstMet = asked == 0 || repliesInTime >= MET_SHARE * asked;
-      boolean gapMet = gaps == 0 || gapsInTime >= MET_SHARE * gaps;
+      boolean firstMet = asked == 0 || repliesInTime >= REQUIRED_SHARE * asked;
+      boolean gapMet = gaps == 0 || gapsInTime >= REQUIRED_SHARE * gaps;
       return firstMet && gapMet;
     }
 
@@ -67,7 +67,7 @@
   public record ClassStatus(Window lastMinute, Window last15Minutes) {}
 
   /** Notes a first reply, or a whole answer of a plain call. */
-  public synchronized void firstReply(
+  public synchronized void recordFirstReply(
       String className, long millis, long targetMillis, long nowMillis) {
     Bucket bucket = bucket(className, nowMillis);
     bucket.replies++;
@@ -77,7 +77,8 @@
   }
 
   /** Notes the time between two tokens. */
-  public synchronized void gap(String className, long millis, long targetMillis, long nowMillis) {
+  public synchronized void recordGap(
+      String className, long millis, long targetMillis, long nowMillis) {
     Bucket bucket = bucket(className, nowMillis);
     bucket.gaps++;
     if (millis <= targetMillis) {
@@ -86,7 +87,7 @@
   }
 
   /** Notes a request that ended with an error. */
-  public synchronized void failed(String className, long nowMillis) {
+  public synchronized void recordFailure(String className, long nowMillis) {
     bucket(className, nowMillis).failed++;
   }
 
@@ -98,8 +99,8 @@
             statuses.put(
                 name,
                 new ClassStatus(
-                    window(buckets, nowMillis - SHORT_MILLIS),
-                    window(buckets, nowMillis - LONG_MILLIS))));
+                    window(buckets, nowMillis - SHORT_WINDOW_MILLIS),
+                    window(buckets, nowMillis - LONG_WINDOW_MILLIS))));
     return statuses;
   }
 
@@ -128,7 +129,7 @@
     long start = Math.floorDiv(nowMillis, BUCKET_MILLIS) * BUCKET_MILLIS;
     if (buckets.isEmpty() || buckets.getLast().startMillis < start) {
       buckets.addLast(new Bucket(start));
-      while (buckets.getFirst().startMillis <= start - LONG_MILLIS) {
+      while (buckets.getFirst().startMillis <= start - LONG_WINDOW_MILLIS) {
         buckets.removeFirst();
       }
     }
--- a/src/main/java/org/curranthaven/internal/relay/Gateway.java
+++ b/src/main/java/org/curranthaven/internal/relay/Gateway.java
@@ -324,14 +324,14 @@
   @Override
   public void recordFirstReply(Route route, long firstReplyMillis) {
     if (metrics != null) {
-      metrics.firstReply(route.name(), firstReplyMillis);
+      metrics.recordFirstReply(route.name(), firstReplyMillis);
     }
   }
 
   @Override
   public void recordFailure(Route route, ResultCode code) {
     if (metrics != null) {
-      metrics.failed(route.name(), code);
+      metrics.countFailure(route.name(), code);
     }
   }
 
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -100,7 +100,7 @@
             random,
             new RetryLimits(
                 settings.retryRatio(), settings.retrySlack(), settings.retryWindowMillis()),
-            settings.backendSilenceMillis(),
+            settings.backendTimeoutMillis(),
             this::connectedGateways,
             network::send);
     this.leader = new LeaderClient(loop, clock, network, leadership::leaderHost);
--- a/src/main/java/org/curranthaven/internal/settings/RoutedSettings.java
+++ b/src/main/java/org/curranthaven/internal/settings/RoutedSettings.java
@@ -54,7 +54,7 @@
   private static final double MILLIS_PER_SECOND = 1_000;
 
   /** Registrations missed in a row after which a backend server counts as lost. */
-  private static final long REGISTRATIONS_MISSED = 5;
+  private static final long MISSED_REGISTRATIONS_LIMIT = 5;
 
   public RoutedSettings {
     requireText("name", name);
@@ -123,8 +123,8 @@
   }
 
   /** Returns the time without news after which a backend server counts as lost. */
-  public long backendSilenceMillis() {
-    return REGISTRATIONS_MISSED * registrationMillis;
+  public long backendTimeoutMillis() {
+    return MISSED_REGISTRATIONS_LIMIT * registrationMillis;
   }
 
   /** Returns the number of voters that bear the tolerated losses. */
--- a/src/main/java/org/curranthaven/internal/settings/SettingsFault.java
+++ b/src/main/java/org/curranthaven/internal/settings/SettingsFault.java
@@ -10,7 +10,7 @@
  */
 public record SettingsFault(int line, String key, String problem, String fix) {
   /** Returns the fault as one line. */
-  public String sentence(String file) {
+  public String format(String file) {
     String place = line > 0 ? file + ":" + line : file;
     String subject = key.isEmpty() ? "" : key + ": ";
     return place + ": " + subject + problem + ". " + fix + ".";
--- a/src/main/java/org/curranthaven/internal/settings/SettingsReader.java
+++ b/src/main/java/org/curranthaven/internal/settings/SettingsReader.java
@@ -45,16 +45,16 @@
           "logFormat");
 
   /** Reads one entry after the other, so that each is known with its line. */
-  private static final ObjectReader ENTRIES =
+  private static final ObjectReader ENTRY_READER =
       Json.MAPPER.reader().without(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
   private static final Set<String> ROLES = Set.of("gateway", "control");
 
-  private final Map<String, Value> values = new LinkedHashMap<>();
+  private final Map<String, LocatedValue> values = new LinkedHashMap<>();
   private final List<SettingsFault> faults = new ArrayList<>();
   private @Nullable HostSettings settings;
 
-  private record Value(int line, JsonNode node) {}
+  private record LocatedValue(int line, JsonNode node) {}
 
   private SettingsReader() {}
 
@@ -64,7 +64,7 @@
     try {
       reader.parse(Files.readString(file));
     } catch (IOException e) {
-      reader.fault(0, "", "the file cannot be read: " + e.getMessage(), "Name a readable file");
+      reader.addFault(0, "", "the file cannot be read: " + e.getMessage(), "Name a readable file");
     }
     return reader;
   }
@@ -94,9 +94,9 @@
   }
 
   private void parse(String text) {
-    try (JsonParser parser = ENTRIES.createParser(text)) {
+    try (JsonParser parser = ENTRY_READER.createParser(text)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        fault(1, "", "the file does not hold a JSON object", "Start from 'settings example'");
+        addFault(1, "", "the file does not hold a JSON object", "Start from 'settings example'");
         return;
       }
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -104,13 +104,13 @@
       }
     } catch (JsonProcessingException e) {
       int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-      fault(line, "", "not JSON: " + e.getOriginalMessage(), "Correct the line");
+      addFault(line, "", "not JSON: " + e.getOriginalMessage(), "Correct the line");
       return;
     } catch (IOException e) {
-      fault(0, "", "the text cannot be read: " + e.getMessage(), "Name a readable file");
+      addFault(0, "", "the text cannot be read: " + e.getMessage(), "Name a readable file");
       return;
     }
-    HostSettings checked = check();
+    HostSettings checked = buildSettings();
     if (faults.isEmpty()) {
       settings = checked;
     }
@@ -120,15 +120,15 @@
     String key = parser.currentName();
     int line = parser.currentTokenLocation().getLineNr();
     parser.nextToken();
-    JsonNode node = ENTRIES.readTree(parser);
+    JsonNode node = ENTRY_READER.readTree(parser);
     if (!KEYS.contains(key)) {
-      fault(line, key, "there is no such key", hintFor(key));
-    } else if (values.putIfAbsent(key, new Value(line, node)) != null) {
-      fault(line, key, "the key stands twice", "Keep one of them");
+      addFault(line, key, "there is no such key", fixForUnknownKey(key));
+    } else if (values.putIfAbsent(key, new LocatedValue(line, node)) != null) {
+      addFault(line, key, "the key stands twice", "Keep one of them");
     }
   }
 
-  private static String hintFor(String key) {
+  private static String fixForUnknownKey(String key) {
     String stem = key.replaceAll("(Seconds|Secs|Ms|Minutes|KB|MB|Kb|Mb)$", "");
     return KEYS.stream()
         .filter(known -> !stem.equals(key) && known.startsWith(stem))
@@ -137,7 +137,7 @@
         .orElse("Known keys: " + String.join(", ", KEYS.stream().sorted().toList()));
   }
 
-  private HostSettings check() {
+  private HostSettings buildSettings() {
     String name = name("name");
     String dataCentre = name("dataCentre");
     String http = address("httpAddress");
@@ -148,7 +148,7 @@
     int ledgerGroups = (int) number("ledgerGroups", 2, 1, 64);
     int voters = (int) number("votersWanted", 3, 1, 7);
     if (voters % 2 == 0) {
-      fault(lineOf("votersWanted"), "votersWanted", "must be odd", "Write 1, 3, 5 or 7");
+      addFault(lineOf("votersWanted"), "votersWanted", "must be odd", "Write 1, 3, 5 or 7");
     }
     long drain = number("drainMillis", 600_000, 0, 86_400_000);
     int body = (int) number("maxBodyBytes", 1_048_576, 1_024, 64 * 1_048_576);
@@ -174,7 +174,7 @@
       try {
         return Names.requireName(key, text);
       } catch (IllegalArgumentException e) {
-        fault(lineOf(key), key, String.valueOf(e.getMessage()), "Write a name such as accra-1");
+        addFault(lineOf(key), key, String.valueOf(e.getMessage()), "Write a name such as accra-1");
       }
     }
     return text;
@@ -192,50 +192,52 @@
     try {
       Addresses.parse(address);
     } catch (IllegalArgumentException e) {
-      fault(lineOf(key), key, String.valueOf(e.getMessage()), "Write an address as 10.0.0.1:7400");
+      addFault(
+          lineOf(key), key, String.valueOf(e.getMessage()), "Write an address as 10.0.0.1:7400");
     }
   }
 
   private String text(String key) {
-    Value value = values.get(key);
+    LocatedValue value = values.get(key);
     if (value == null) {
-      fault(0, key, "the key is missing", "Add it; see 'settings example'");
+      addFault(0, key, "the key is missing", "Add it; see 'settings example'");
       return "";
     }
     if (!value.node().isTextual() || value.node().asText().isBlank()) {
-      fault(value.line(), key, "must be a text", "Write a text in quotes");
+      addFault(value.line(), key, "must be a text", "Write a text in quotes");
       return "";
     }
     return value.node().asText();
   }
 
-  private List<String> texts(String key) {
-    Value value = values.get(key);
+  private List<String> textList(String key) {
+    LocatedValue value = values.get(key);
     if (value == null) {
-      fault(0, key, "the key is missing", "Add it; see 'settings example'");
+      addFault(0, key, "the key is missing", "Add it; see 'settings example'");
       return List.of();
     }
     List<String> result = new ArrayList<>();
     value.node().forEach(item -> result.add(item.isTextual() ? item.asText() : ""));
     if (!value.node().isArray() || result.isEmpty() || result.contains("")) {
-      fault(value.line(), key, "must be a list of texts", "Write [\"…\", \"…\"]");
+      addFault(value.line(), key, "must be a list of texts", "Write [\"…\", \"…\"]");
       return List.of();
     }
     return result;
   }
 
   private List<String> roles() {
-    List<String> roles = texts("roles");
+    List<String> roles = textList("roles");
     for (String role : roles) {
       if (!ROLES.contains(role)) {
-        fault(lineOf("roles"), "roles", "unknown role '" + role + "'", "Write gateway or control");
+        addFault(
+            lineOf("roles"), "roles", "unknown role '" + role + "'", "Write gateway or control");
       }
     }
     return roles;
   }
 
   private List<String> controlHosts() {
-    List<String> contacts = texts("controlHosts");
+    List<String> contacts = textList("controlHosts");
     contacts.forEach(contact -> checkAddress("controlHosts", contact));
     return contacts;
   }
@@ -243,7 +245,7 @@
   private @Nullable Path dataFolder(boolean control) {
     if (!control) {
       if (values.containsKey("dataFolder")) {
-        fault(
+        addFault(
             lineOf("dataFolder"),
             "dataFolder",
             "only a host with the role control keeps data",
@@ -257,22 +259,23 @@
     }
     Path folder = Path.of(text);
     if (!Files.isDirectory(folder)) {
-      fault(lineOf("dataFolder"), "dataFolder", folder + " is no folder", "Make it first");
+      addFault(lineOf("dataFolder"), "dataFolder", folder + " is no folder", "Make it first");
     } else if (!Files.isWritable(folder)) {
-      fault(lineOf("dataFolder"), "dataFolder", folder + " cannot be written", "Change its owner");
+      addFault(
+          lineOf("dataFolder"), "dataFolder", folder + " cannot be written", "Change its owner");
     }
     return folder;
   }
 
   private long number(String key, long byDefault, long min, long max) {
-    Value value = values.get(key);
+    LocatedValue value = values.get(key);
     if (value == null) {
       return byDefault;
     }
     boolean whole = value.node().isIntegralNumber() && value.node().canConvertToLong();
     long number = value.node().asLong();
     if (!whole || number < min || number > max) {
-      fault(
+      addFault(
           value.line(),
           key,
           "must be a whole number from " + min + " to " + max,
@@ -283,23 +286,23 @@
   }
 
   private boolean logJson() {
-    Value value = values.get("logFormat");
+    LocatedValue value = values.get("logFormat");
     if (value == null) {
       return false;
     }
     String text = value.node().asText();
     if (!text.equals("text") && !text.equals("json")) {
-      fault(value.line(), "logFormat", "unknown format '" + text + "'", "Write text or json");
+      addFault(value.line(), "logFormat", "unknown format '" + text + "'", "Write text or json");
     }
     return text.equals("json");
   }
 
   private int lineOf(String key) {
-    Value value = values.get(key);
+    LocatedValue value = values.get(key);
     return value == null ? 0 : value.line();
   }
 
-  private void fault(int line, String key, String problem, String fix) {
+  private void addFault(int line, String key, String problem, String fix) {
     faults.add(new SettingsFault(line, key, problem, fix));
   }
 }
--- a/src/main/java/org/curranthaven/platform/BackendTranslation.java
+++ b/src/main/java/org/curranthaven/platform/BackendTranslation.java
@@ -22,13 +22,13 @@
 
 /** Writes calls to backend servers and reads their answers. */
 final class BackendTranslation {
-  private static final String MOVE_PATH = "/api/kv-move";
-  private static final int MISDIRECTED = 421;
+  private static final String TRANSFER_PATH = "/api/kv-move";
+  private static final int MISDIRECTED_REQUEST = 421;
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private BackendTranslation() {}
 
-  static FullHttpRequest request(BackendRequest call) {
+  static FullHttpRequest backendRequest(BackendRequest call) {
     InboundRequest inbound = call.request();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
@@ -54,30 +54,30 @@
       headers.set(Headers.LAST_EVENT_ID, call.resumeAfter());
     }
     if (!call.stateReference().isEmpty()) {
-      headers.set(Headers.TAKE_OVER, call.stateReference());
+      headers.set(Headers.STATE_REFERENCE, call.stateReference());
     }
     if (!call.backupAddress().isEmpty()) {
-      headers.set(Headers.BACKUP, call.backupAddress());
+      headers.set(Headers.BACKUP_ADDRESS, call.backupAddress());
     }
-    if (inbound.body().length > 0 || !isBodyless(inbound.method())) {
+    if (inbound.body().length > 0 || !usuallyHasNoBody(inbound.method())) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, inbound.body().length);
     }
     return request;
   }
 
-  private static boolean isBodyless(HttpMethod method) {
+  private static boolean usuallyHasNoBody(HttpMethod method) {
     return method.equals(HttpMethod.GET) || method.equals(HttpMethod.HEAD);
   }
 
-  static ResponseHead answer(HttpResponse response) {
+  static ResponseHead responseHead(HttpResponse response) {
     HttpHeaders headers = response.headers();
     int status = response.status().code();
     return new ResponseHead(
         status,
         headers.get(Headers.REQUEST_ID, ""),
-        headers.contains(Headers.SEAL),
+        headers.contains(Headers.RESPONSE_SEAL),
         headers.contains(Headers.NOT_RUN),
-        status == MISDIRECTED,
+        status == MISDIRECTED_REQUEST,
         headers
             .get(HttpHeaderNames.CONTENT_TYPE, "")
             .toLowerCase(Locale.ROOT)
@@ -100,21 +100,21 @@
     return 0;
   }
 
-  private record MoveOrder(String id, String target, boolean last) {}
+  private record TransferBody(String id, String target, boolean last) {}
 
-  static FullHttpRequest moveRequest(
+  static FullHttpRequest transferRequest(
       InboundRequest call, BackendRecord source, BackendRecord target, boolean last) {
-    byte[] body = Json.write(new MoveOrder(call.id(), target.getAddress(), last)).toByteArray();
+    byte[] body = Json.write(new TransferBody(call.id(), target.getAddress(), last)).toByteArray();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
-            HttpVersion.HTTP_1_1, HttpMethod.POST, MOVE_PATH, Unpooled.wrappedBuffer(body));
+            HttpVersion.HTTP_1_1, HttpMethod.POST, TRANSFER_PATH, Unpooled.wrappedBuffer(body));
     request.headers().set(HttpHeaderNames.HOST, source.getAddress());
     request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
     request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
     return request;
   }
 
-  static TransferResponse moveAnswer(int status, byte[] body) {
+  static TransferResponse transferResponse(int status, byte[] body) {
     try {
       JsonNode json = Json.LENIENT.readTree(body);
       return new TransferResponse(status, json == null ? "" : json.path("handle").asText(""));
--- a/src/main/java/org/curranthaven/platform/CatalogTranslation.java
+++ b/src/main/java/org/curranthaven/platform/CatalogTranslation.java
@@ -44,35 +44,37 @@
 
   private static Catalog catalog(JsonNode root) {
     List<Route> routes = new ArrayList<>();
-    list(root, "routes").forEach(node -> routes.add(route(node)));
+    requiredArray(root, "routes").forEach(node -> routes.add(route(node)));
     List<ServiceSpec> services = new ArrayList<>();
-    list(root, "services").forEach(node -> services.add(service(node)));
+    requiredArray(root, "services").forEach(node -> services.add(service(node)));
     JsonNode tenants = root.get("tenants");
     return new Catalog(
-        whole(root, "version"),
+        requiredNumber(root, "version"),
         routes,
         services,
         limits(root.path("limits")),
-        tenants == null || tenants.isNull() ? null : workspaces(list(root, "tenants")));
+        tenants == null || tenants.isNull()
+            ? null
+            : workspacesByKey(requiredArray(root, "tenants")));
   }
 
   private static Route route(JsonNode node) {
     return new Route(
-        text(node, "name"),
-        text(node, "host").toLowerCase(Locale.ROOT),
-        text(node, "pathPrefix"),
-        kind(text(node, "kind")),
-        whole(node, "timeoutMs"),
+        requiredText(node, "name"),
+        requiredText(node, "host").toLowerCase(Locale.ROOT),
+        requiredText(node, "pathPrefix"),
+        repeatability(requiredText(node, "kind")),
+        requiredNumber(node, "timeoutMs"),
         node.path("targetLatencyMs").asLong(node.path("timeoutMs").asLong()),
         node.path("gapTargetMs").asLong(0),
         node.path("priority").asInt(0),
         Math.max(1, node.path("attempts").asInt(1)),
         node.path("anonymous").asBoolean(false),
         node.path("resumable").asBoolean(false),
-        shares(node));
+        serviceWeights(node));
   }
 
-  private static Repeatability kind(String word) {
+  private static Repeatability repeatability(String word) {
     return switch (word) {
       case "idempotent" -> Repeatability.IDEMPOTENT;
       case "non_idempotent" -> Repeatability.NON_IDEMPOTENT;
@@ -81,24 +83,27 @@
     };
   }
 
-  private static List<ServiceWeight> shares(JsonNode node) {
+  private static List<ServiceWeight> serviceWeights(JsonNode node) {
     List<ServiceWeight> shares = new ArrayList<>();
     if (node.has("backends") && !node.get("backends").isNull()) {
-      for (JsonNode share : list(node, "backends")) {
-        shares.add(new ServiceWeight(text(share, "service"), share.path("weight").asDouble(0)));
+      for (JsonNode share : requiredArray(node, "backends")) {
+        shares.add(
+            new ServiceWeight(requiredText(share, "service"), share.path("weight").asDouble(0)));
       }
     } else {
-      shares.add(new ServiceWeight(text(node, "service"), 1));
+      shares.add(new ServiceWeight(requiredText(node, "service"), 1));
     }
     return shares;
   }
 
   private static ServiceSpec service(JsonNode node) {
     return new ServiceSpec(
-        text(node, "name"), node.path("maxConns").asInt(0), engine(node.get("engine")));
+        requiredText(node, "name"),
+        node.path("maxConns").asInt(0),
+        engineCapabilities(node.get("engine")));
   }
 
-  private static @Nullable EngineCapabilities engine(@Nullable JsonNode node) {
+  private static @Nullable EngineCapabilities engineCapabilities(@Nullable JsonNode node) {
     if (node == null || node.isNull()) {
       return null;
     }
@@ -119,12 +124,12 @@
         node.path("idleTimeoutMs").asLong(standard.idleTimeoutMillis()));
   }
 
-  private static Map<String, CatalogWorkspace> workspaces(JsonNode tenants) {
+  private static Map<String, CatalogWorkspace> workspacesByKey(JsonNode tenants) {
     Map<String, CatalogWorkspace> byKey = new HashMap<>();
     for (JsonNode tenant : tenants) {
       CatalogWorkspace workspace =
-          new CatalogWorkspace(text(tenant, "name"), tenant.path("priority").asInt(-1));
-      for (JsonNode key : list(tenant, "apiKeys")) {
+          new CatalogWorkspace(requiredText(tenant, "name"), tenant.path("priority").asInt(-1));
+      for (JsonNode key : requiredArray(tenant, "apiKeys")) {
         CatalogWorkspace other = byKey.put(key.asText(), workspace);
         if (other != null && !other.name().equals(workspace.name())) {
           throw new IllegalArgumentException("two workspaces share a key");
@@ -134,7 +139,7 @@
     return byKey;
   }
 
-  private static JsonNode list(JsonNode node, String name) {
+  private static JsonNode requiredArray(JsonNode node, String name) {
     JsonNode list = node.get(name);
     if (list == null || !list.isArray()) {
       throw new IllegalArgumentException("'" + name + "' is no list");
@@ -142,7 +147,7 @@
     return list;
   }
 
-  private static String text(JsonNode node, String name) {
+  private static String requiredText(JsonNode node, String name) {
     JsonNode text = node.get(name);
     if (text == null || !text.isTextual() || text.asText().isEmpty()) {
       throw new IllegalArgumentException("'" + name + "' is no text");
@@ -150,7 +155,7 @@
     return text.asText();
   }
 
-  private static long whole(JsonNode node, String name) {
+  private static long requiredNumber(JsonNode node, String name) {
     JsonNode number = node.get(name);
     if (number == null || !number.isNumber()) {
       throw new IllegalArgumentException("'" + name + "' is no number");
--- a/src/main/java/org/curranthaven/platform/ControlTranslation.java
+++ b/src/main/java/org/curranthaven/platform/ControlTranslation.java
@@ -13,8 +13,8 @@
 
 /** Reads the calls of backend servers and operators. */
 final class ControlTranslation {
-  private static final String REGISTRATIONS = "/api/runners/";
-  private static final String CONFIGURATION = "/api/config";
+  private static final String REGISTRATION_PATH_PREFIX = "/api/runners/";
+  private static final String CATALOG_PATH = "/api/config";
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
 
@@ -25,15 +25,18 @@
     int query = uri.indexOf('?');
     String path = query < 0 ? uri : uri.substring(0, query);
     String method = request.method().name();
-    if (path.startsWith(REGISTRATIONS) && path.length() > REGISTRATIONS.length()) {
-      String id = URLDecoder.decode(path.substring(REGISTRATIONS.length()), StandardCharsets.UTF_8);
+    if (path.startsWith(REGISTRATION_PATH_PREFIX)
+        && path.length() > REGISTRATION_PATH_PREFIX.length()) {
+      String id =
+          URLDecoder.decode(
+              path.substring(REGISTRATION_PATH_PREFIX.length()), StandardCharsets.UTF_8);
       return switch (method) {
         case "PUT" -> registration(id, ByteBufUtil.getBytes(request.content()));
         case "DELETE" -> new ControlRequest.Deregister(id);
         default -> notFound(method, path);
       };
     }
-    if (path.equals(CONFIGURATION)) {
+    if (path.equals(CATALOG_PATH)) {
       return switch (method) {
         case "PUT" -> new ControlRequest.ReplaceCatalog(ByteBufUtil.getBytes(request.content()));
         case "GET" -> new ControlRequest.ReadCatalog();
--- a/src/main/java/org/curranthaven/platform/PlatformProtocol.java
+++ b/src/main/java/org/curranthaven/platform/PlatformProtocol.java
@@ -33,23 +33,23 @@
 
   @Override
   public FullHttpRequest backendRequest(BackendRequest call) {
-    return BackendTranslation.request(call);
+    return BackendTranslation.backendRequest(call);
   }
 
   @Override
   public ResponseHead readResponseHead(HttpResponse response) {
-    return BackendTranslation.answer(response);
+    return BackendTranslation.responseHead(response);
   }
 
   @Override
   public FullHttpRequest transferRequest(
       InboundRequest call, BackendRecord source, BackendRecord target, boolean last) {
-    return BackendTranslation.moveRequest(call, source, target, last);
+    return BackendTranslation.transferRequest(call, source, target, last);
   }
 
   @Override
   public TransferResponse readTransferResponse(int status, byte[] body) {
-    return BackendTranslation.moveAnswer(status, body);
+    return BackendTranslation.transferResponse(status, body);
   }
 
   @Override
--- a/src/main/java/org/curranthaven/platform/RequestTranslation.java
+++ b/src/main/java/org/curranthaven/platform/RequestTranslation.java
@@ -29,7 +29,7 @@
     if (headers.getAll(HttpHeaderNames.HOST).size() > 1) {
       return Outcome.failed(ResultCode.MALFORMED_BODY, "the request names two hosts");
     }
-    int[] tokens = tokens(headers.get(Headers.TOKENS, ""));
+    int[] tokens = tokenCounts(headers.get(Headers.TOKEN_COUNTS, ""));
     int query = uri.indexOf('?');
     return Outcome.success(
         new InboundRequest(
@@ -38,15 +38,15 @@
             request.method(),
             uri,
             query < 0 ? uri : uri.substring(0, query),
-            headers.get(Headers.KEY, "").strip(),
-            number(headers.get(Headers.DEADLINE, "")),
+            headers.get(Headers.WORKSPACE_KEY, "").strip(),
+            numberOrZero(headers.get(Headers.DEADLINE, "")),
             headers.get(Headers.MODEL, ""),
             tokens[0],
             tokens[1],
-            (int) number(headers.get(Headers.HINT, "")),
-            parts(headers.get(Headers.PROMPT_PARTS, "")),
+            (int) numberOrZero(headers.get(Headers.OUTPUT_LENGTH_HINT, "")),
+            promptParts(headers.get(Headers.PROMPT_PARTS, "")),
             headers.get(Headers.LAST_EVENT_ID, ""),
-            forwarded(headers),
+            forwardedHeaders(headers),
             ByteBufUtil.getBytes(request.content()),
             HttpUtil.isKeepAlive(request)));
   }
@@ -56,28 +56,28 @@
     return (colon < 0 ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
   }
 
-  private static HttpHeaders forwarded(HttpHeaders headers) {
+  private static HttpHeaders forwardedHeaders(HttpHeaders headers) {
     Set<String> dropped = HopByHopHeaders.of(headers);
     dropped.addAll(Headers.SET_BY_SYSTEM);
     dropped.remove("host");
-    dropped.removeAll(PROTECTED);
+    dropped.removeAll(ALWAYS_FORWARDED);
     HttpHeaders kept = new DefaultHttpHeaders();
     HopByHopHeaders.copy(headers, kept, dropped);
     return kept;
   }
 
   /** Headers that a caller cannot have dropped by naming them as options of its connection. */
-  private static final Set<String> PROTECTED =
+  private static final Set<String> ALWAYS_FORWARDED =
       Set.of("attempt-id", "model", "token-count", "prompt-prefix", "last-event-id");
 
-  private static int[] tokens(String text) {
+  private static int[] tokenCounts(String text) {
     String[] parts = text.split(",");
-    int input = (int) number(parts[0]);
-    int output = parts.length > 1 ? (int) number(parts[1]) : 0;
+    int input = (int) numberOrZero(parts[0]);
+    int output = parts.length > 1 ? (int) numberOrZero(parts[1]) : 0;
     return new int[] {input, output};
   }
 
-  private static long number(String text) {
+  private static long numberOrZero(String text) {
     try {
       return text.isBlank() ? 0 : Math.max(0, (long) Double.parseDouble(text.strip()));
     } catch (NumberFormatException e) {
@@ -85,7 +85,7 @@
     }
   }
 
-  private static List<PromptPart> parts(String text) {
+  private static List<PromptPart> promptParts(String text) {
     List<PromptPart> parts = new ArrayList<>();
     for (String entry : text.split(",")) {
       int colon = entry.indexOf(':');
@@ -93,7 +93,7 @@
         parts.add(
             PromptPart.newBuilder()
                 .setId(entry.substring(0, colon).strip())
-                .setTokens((int) number(entry.substring(colon + 1)))
+                .setTokens((int) numberOrZero(entry.substring(colon + 1)))
                 .build());
       }
     }
--- a/src/test/java/org/curranthaven/platform/FakeBackend.java
+++ b/src/test/java/org/curranthaven/platform/FakeBackend.java
@@ -18,23 +18,23 @@
 /** A backend server whose answers a test writes byte by byte. */
 final class FakeBackend implements AutoCloseable {
   private final ServerSocket socket;
-  private final Script script;
-  private final List<Received> received = new CopyOnWriteArrayList<>();
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
+  private final ResponseScript script;
+  private final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
+  private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
   /** One request as it arrived. */
-  record Received(String line, Map<String, String> headers, String body) {
+  record ReceivedRequest(String line, Map<String, String> headers, String body) {
     String header(String name) {
       return headers.getOrDefault(name.toLowerCase(Locale.ROOT), "");
     }
   }
 
   /** Answers one request on its connection; closes the connection to break off. */
-  interface Script {
-    void answer(Received request, Socket connection) throws Exception;
+  interface ResponseScript {
+    void respond(ReceivedRequest request, Socket connection) throws Exception;
   }
 
-  FakeBackend(Script script) throws IOException {
+  FakeBackend(ResponseScript script) throws IOException {
     this.script = script;
     this.socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Thread.ofVirtual().start(this::accept);
@@ -44,7 +44,7 @@
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
-  List<Received> received() {
+  List<ReceivedRequest> received() {
     return received;
   }
 
@@ -52,7 +52,7 @@
     while (!socket.isClosed()) {
       try {
         Socket connection = socket.accept();
-        open.add(connection);
+        connections.add(connection);
         Thread.ofVirtual().start(() -> serve(connection));
       } catch (IOException e) {
         return;
@@ -63,10 +63,10 @@
   private void serve(Socket connection) {
     try (connection) {
       InputStream in = new BufferedInputStream(connection.getInputStream());
-      Received request = read(in);
+      ReceivedRequest request = read(in);
       while (request != null) {
         received.add(request);
-        script.answer(request, connection);
+        script.respond(request, connection);
         request = connection.isClosed() ? null : read(in);
       }
     } catch (Exception e) {
@@ -74,7 +74,7 @@
     }
   }
 
-  private static @Nullable Received read(InputStream in) throws IOException {
+  private static @Nullable ReceivedRequest read(InputStream in) throws IOException {
     String line = readLine(in);
     if (line.isEmpty()) {
       return null;
@@ -89,7 +89,7 @@
     }
     int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
     String body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
-    return new Received(line, headers, body);
+    return new ReceivedRequest(line, headers, body);
   }
 
   private static String readLine(InputStream in) throws IOException {
@@ -110,7 +110,7 @@
   }
 
   /** Returns a whole answer to the request. */
-  static String answer(Received request, int status, String body) {
+  static String response(ReceivedRequest request, int status, String body) {
     return "HTTP/1.1 %d X\r\nAttempt-Id: %s\r\nResponse-Seal: s\r\nContent-Length: %d\r\n\r\n%s"
         .formatted(
             status,
@@ -120,7 +120,7 @@
   }
 
   /** Returns the head of a stream. */
-  static String streamHead(Received request) {
+  static String streamResponseHead(ReceivedRequest request) {
     return """
         HTTP/1.1 200 OK\r
         Attempt-Id: %s\r
@@ -144,7 +144,7 @@
   @Override
   public void close() throws IOException {
     socket.close();
-    for (Socket connection : open) {
+    for (Socket connection : connections) {
       connection.close();
     }
   }
--- a/src/test/java/org/curranthaven/platform/DoorFuzzTest.java
+++ b/src/test/java/org/curranthaven/platform/HttpRequestFuzzTest.java
@@ -14,12 +14,12 @@
 
 /** Sends damaged requests to both doors; each seed gives the same bytes. */
 @Timeout(180)
-class DoorFuzzTest extends RoutedFleetFixture {
+class HttpRequestFuzzTest extends RoutedFleetFixture {
   private static final int CASES = 250;
   private static final int PROBE_EVERY = 25;
   private static final int READ_TIMEOUT_MILLIS = 6_000;
 
-  private static final String CALL =
+  private static final String VALID_REQUEST =
       "POST /pages/1 HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: fuzz\r\nX-Api-Key: k1\r\n"
           + "Deadline-Ms: 1000\r\nContent-Length: 4\r\n\r\nbody";
 
@@ -79,13 +79,13 @@
     try (FakeBackend backend =
         new FakeBackend(
             (request, connection) ->
-                FakeBackend.write(connection, FakeBackend.answer(request, 200, "whole")))) {
+                FakeBackend.write(connection, FakeBackend.response(request, 200, "whole")))) {
       register("i-1", backend, "ready", 1);
       SplittableRandom random = new SplittableRandom(41);
       for (int i = 0; i < CASES; i++) {
-        send(callerAddress, damaged(CALL, random));
+        send(callerAddress, damaged(VALID_REQUEST, random));
         if (i % PROBE_EVERY == 0) {
-          assertThat(rawCall("/pages/probe", "")).as("after case %d", i).endsWith("whole");
+          assertThat(sendRawRequest("/pages/probe", "")).as("after case %d", i).endsWith("whole");
         }
       }
       assertThat(backend.received())
@@ -100,7 +100,7 @@
     try (FakeBackend backend =
         new FakeBackend(
             (request, connection) ->
-                FakeBackend.write(connection, FakeBackend.answer(request, 200, "whole")))) {
+                FakeBackend.write(connection, FakeBackend.response(request, 200, "whole")))) {
       register("i-9", backend, "ready", 1);
       SplittableRandom random = new SplittableRandom(42);
       String catalog = CATALOG.formatted(1).strip();
@@ -110,8 +110,8 @@
       for (int i = 0; i < CASES; i++) {
         send(controlAddress, damaged(i % 2 == 0 ? REGISTRATION : change, random));
       }
-      assertThat(control("GET", "/api/config", "").body()).contains("\"version\":1");
-      assertThat(rawCall("/pages/probe", "")).endsWith("whole");
+      assertThat(sendControlRequest("GET", "/api/config", "").body()).contains("\"version\":1");
+      assertThat(sendRawRequest("/pages/probe", "")).endsWith("whole");
     }
   }
 }
--- a/src/test/java/org/curranthaven/platform/PlatformWordsTest.java
+++ b/src/test/java/org/curranthaven/platform/PlatformWordsTest.java
@@ -13,10 +13,10 @@
 /** Holds the platform's words inside its folder, and the folder small. */
 class PlatformWordsTest {
   private static final Path SOURCES = Path.of("src/main/java/org/curranthaven");
-  private static final Path FOLDER = SOURCES.resolve("platform");
+  private static final Path PLATFORM_FOLDER = SOURCES.resolve("platform");
   private static final int MAX_LINES = 1_200;
 
-  private static final List<String> WORDS =
+  private static final List<String> PLATFORM_NAMES =
       List.of(
           "Attempt-Id",
           "Deadline-Ms",
@@ -52,7 +52,7 @@
           "heartbeatAddr",
           "non_idempotent");
 
-  private static List<Path> sources(Path folder) throws IOException {
+  private static List<Path> sourceFiles(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       return files.filter(file -> file.toString().endsWith(".java")).toList();
     }
@@ -61,10 +61,12 @@
   @Test
   void no_word_of_the_platform_stands_outside_its_folder() throws IOException {
     List<String> found = new ArrayList<>();
-    for (Path file : sources(SOURCES)) {
-      if (!file.startsWith(FOLDER)) {
+    for (Path file : sourceFiles(SOURCES)) {
+      if (!file.startsWith(PLATFORM_FOLDER)) {
         String text = Files.readString(file);
-        WORDS.stream().filter(text::contains).forEach(word -> found.add(file + ": " + word));
+        PLATFORM_NAMES.stream()
+            .filter(text::contains)
+            .forEach(word -> found.add(file + ": " + word));
       }
     }
     assertThat(found).isEmpty();
@@ -73,7 +75,7 @@
   @Test
   void the_folder_stays_small() throws IOException {
     long lines = 0;
-    for (Path file : sources(FOLDER)) {
+    for (Path file : sourceFiles(PLATFORM_FOLDER)) {
       lines += Files.readAllLines(file).size();
     }
     assertThat(lines).isLessThan(MAX_LINES);
--- a/src/test/java/org/curranthaven/platform/RequestTranslationTest.java
+++ b/src/test/java/org/curranthaven/platform/RequestTranslationTest.java
@@ -37,10 +37,10 @@
     return ((Outcome.Success<InboundRequest>) RequestTranslation.read(request)).value();
   }
 
-  private static FullHttpRequest passedOn(FullHttpRequest request) {
+  private static FullHttpRequest forwarded(FullHttpRequest request) {
     BackendRecord backend =
         BackendRecord.newBuilder().setId("i-1").setAddress("10.0.0.1:80").build();
-    return BackendTranslation.request(
+    return BackendTranslation.backendRequest(
         new BackendRequest(read(request), backend, "t1", 500, 2, "", "", ""));
   }
 
@@ -64,12 +64,13 @@
       request.headers().set(name, "forged");
     }
 
-    assertThat(passedOn(request).headers()).noneMatch(header -> header.getValue().equals("forged"));
+    assertThat(forwarded(request).headers())
+        .noneMatch(header -> header.getValue().equals("forged"));
   }
 
   @Test
   void the_key_is_replaced_by_the_workspace() {
-    FullHttpRequest passed = passedOn(request());
+    FullHttpRequest passed = forwarded(request());
 
     assertThat(passed.headers().get("X-Api-Key")).isNull();
     assertThat(passed.headers().get("Tenant")).isEqualTo("t1");
@@ -82,7 +83,7 @@
     FullHttpRequest request = request();
     request.headers().add("Connection", "x-once, Attempt-Id").add("X-Once", "1").add("X-Own", "2");
 
-    FullHttpRequest passed = passedOn(request);
+    FullHttpRequest passed = forwarded(request);
 
     assertThat(passed.uri()).isEqualTo("/a/x?y=1");
     assertThat(passed.content().toString(StandardCharsets.UTF_8)).isEqualTo("body");
--- a/src/test/java/org/curranthaven/platform/RoutedFleetFixture.java
+++ b/src/test/java/org/curranthaven/platform/RoutedFleetFixture.java
@@ -50,7 +50,7 @@
   private final HttpClient client = HttpClient.newHttpClient();
   String controlAddress = "";
   String callerAddress = "";
-  private int nextId;
+  private int nextRequestNumber;
 
   @BeforeEach
   void startFleet() throws Exception {
@@ -78,8 +78,8 @@
             protocol,
             Clock.system())
         .start();
-    put(CATALOG.formatted(1));
-    while (status(rawCall("/nowhere/", "")) != 404) {
+    putCatalog(CATALOG.formatted(1));
+    while (status(sendRawRequest("/nowhere/", "")) != 404) {
       Thread.sleep(50);
     }
   }
@@ -110,7 +110,8 @@
         60_000);
   }
 
-  HttpResponse<String> control(String method, String path, String body) throws Exception {
+  HttpResponse<String> sendControlRequest(String method, String path, String body)
+      throws Exception {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + controlAddress + path))
             .method(method, HttpRequest.BodyPublishers.ofString(body))
@@ -120,8 +121,8 @@
   }
 
   /** Sends a catalog until it is accepted, as operators do. */
-  void put(String catalog) throws Exception {
-    while (control("PUT", "/api/config", catalog).statusCode() != 200) {
+  void putCatalog(String catalog) throws Exception {
+    while (sendControlRequest("PUT", "/api/config", catalog).statusCode() != 200) {
       Thread.sleep(100);
     }
   }
@@ -137,18 +138,18 @@
         {"service":"%s","address":"%s","zone":"here","slots":4,"state":"%s","seq":%d}
         """
             .formatted(service, backend.address(), state, seq);
-    while (control("PUT", "/api/runners/" + id, body).statusCode() != 200) {
+    while (sendControlRequest("PUT", "/api/runners/" + id, body).statusCode() != 200) {
       Thread.sleep(100);
     }
   }
 
-  HttpResponse<String> call(String path) throws Exception {
-    return client.send(request(path), HttpResponse.BodyHandlers.ofString());
+  HttpResponse<String> sendRequest(String path) throws Exception {
+    return client.send(buildRequest(path), HttpResponse.BodyHandlers.ofString());
   }
 
-  private HttpRequest request(String path) {
+  private HttpRequest buildRequest(String path) {
     return HttpRequest.newBuilder(URI.create("http://" + callerAddress + path))
-        .header("Attempt-Id", "call-" + nextId++)
+        .header("Attempt-Id", "call-" + nextRequestNumber++)
         .header("Deadline-Ms", "60000")
         .header("X-Api-Key", "k1")
         .POST(HttpRequest.BodyPublishers.ofString("question"))
@@ -156,18 +157,18 @@
   }
 
   /** The JDK's client sets the host name itself, so the catalog's host is written by hand here. */
-  String rawCall(String path, String headers) throws Exception {
-    try (Socket socket = open(path, headers)) {
+  String sendRawRequest(String path, String headers) throws Exception {
+    try (Socket socket = openRawRequest(path, headers)) {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
   }
 
-  Socket open(String path, String headers) throws Exception {
+  Socket openRawRequest(String path, String headers) throws Exception {
     int port = Integer.parseInt(callerAddress.substring(callerAddress.indexOf(':') + 1));
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
     String request =
         "POST %s HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: call-%d\r\nDeadline-Ms: 60000\r\n%s"
-                .formatted(path, nextId++, headers)
+                .formatted(path, nextRequestNumber++, headers)
             + "X-Api-Key: k1\r\nConnection: close\r\nContent-Length: 8\r\n\r\nquestion";
     FakeBackend.write(socket, request);
     return socket;
--- a/src/test/java/org/curranthaven/platform/RoutedFleetTest.java
+++ b/src/test/java/org/curranthaven/platform/RoutedFleetTest.java
@@ -24,10 +24,10 @@
         new FakeBackend(
             (request, connection) ->
                 FakeBackend.write(
-                    connection, FakeBackend.answer(request, 200, "to " + request.body())))) {
+                    connection, FakeBackend.response(request, 200, "to " + request.body())))) {
       register("i-1", backend, "ready", 1);
 
-      String answer = rawCall("/pages/1?x=2", "Tenant: forged\r\n");
+      String answer = sendRawRequest("/pages/1?x=2", "Tenant: forged\r\n");
 
       assertThat(status(answer)).isEqualTo(200);
       assertThat(answer).endsWith("to question").contains("Response-Seal: s");
@@ -43,7 +43,7 @@
     try (FakeBackend backend = new FakeBackend((request, connection) -> connection.close())) {
       register("i-1", backend, "ready", 1);
 
-      assertThat(status(rawCall("/holds/1", ""))).isEqualTo(502);
+      assertThat(status(sendRawRequest("/holds/1", ""))).isEqualTo(502);
       assertThat(backend.received()).hasSize(1);
     }
   }
@@ -55,12 +55,12 @@
             (request, connection) -> {
               String other = "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nResponse-Seal: s\r\n";
               FakeBackend.write(connection, other + "Content-Length: 5\r\n\r\nwrong");
-              FakeBackend.write(connection, FakeBackend.answer(request, 200, "right"));
+              FakeBackend.write(connection, FakeBackend.response(request, 200, "right"));
             })) {
       register("i-1", backend, "ready", 1);
 
-      assertThat(rawCall("/holds/1", "")).endsWith("right");
-      assertThat(rawCall("/holds/2", "")).endsWith("right");
+      assertThat(sendRawRequest("/holds/1", "")).endsWith("right");
+      assertThat(sendRawRequest("/holds/2", "")).endsWith("right");
     }
   }
 
@@ -69,13 +69,13 @@
     try (FakeBackend backend =
         new FakeBackend(
             (request, connection) -> {
-              String whole = FakeBackend.answer(request, 200, "a longer answer");
+              String whole = FakeBackend.response(request, 200, "a longer answer");
               FakeBackend.write(connection, whole.substring(0, whole.length() - 4));
               connection.close();
             })) {
       register("i-1", backend, "ready", 1);
 
-      assertThat(status(rawCall("/holds/1", ""))).isEqualTo(502);
+      assertThat(status(sendRawRequest("/holds/1", ""))).isEqualTo(502);
     }
   }
 
@@ -86,20 +86,20 @@
             (request, connection) ->
                 FakeBackend.write(
                     connection,
-                    FakeBackend.answer(request, 200, "x").replace("Response-Seal: s\r\n", "")))) {
+                    FakeBackend.response(request, 200, "x").replace("Response-Seal: s\r\n", "")))) {
       register("i-1", backend, "ready", 1);
 
-      assertThat(status(rawCall("/holds/1", ""))).isEqualTo(502);
+      assertThat(status(sendRawRequest("/holds/1", ""))).isEqualTo(502);
     }
   }
 
   @Test
   void a_stream_goes_on_elsewhere_after_its_last_whole_event() throws Exception {
     AtomicInteger runs = new AtomicInteger();
-    FakeBackend.Script script =
+    FakeBackend.ResponseScript script =
         (request, connection) -> {
           int first = runs.getAndIncrement() == 0 ? 1 : 3;
-          FakeBackend.write(connection, FakeBackend.streamHead(request));
+          FakeBackend.write(connection, FakeBackend.streamResponseHead(request));
           FakeBackend.write(connection, FakeBackend.event(first) + FakeBackend.event(first + 1));
           if (first == 1) {
             FakeBackend.write(connection, FakeBackend.chunk("id: 3\ndata: tok"));
@@ -113,12 +113,12 @@
       register("i-1", one, "ready", 1);
       register("i-2", two, "ready", 1);
 
-      String answer = rawCall("/tags/1", "");
+      String answer = sendRawRequest("/tags/1", "");
 
       assertThat(answer.split("data: token ", -1)).hasSize(5);
       assertThat(answer).endsWith("0\r\n\r\n");
       assertThat(runs).hasValue(2);
-      List<FakeBackend.Received> requests = new ArrayList<>(one.received());
+      List<FakeBackend.ReceivedRequest> requests = new ArrayList<>(one.received());
       requests.addAll(two.received());
       assertThat(requests)
           .extracting(request -> request.header("Last-Event-Id"))
@@ -131,27 +131,28 @@
     try (FakeBackend backend =
         new FakeBackend(
             (request, connection) -> {
-              FakeBackend.write(connection, FakeBackend.streamHead(request) + FakeBackend.event(1));
+              FakeBackend.write(
+                  connection, FakeBackend.streamResponseHead(request) + FakeBackend.event(1));
               connection.close();
             })) {
       register("i-1", backend, "ready", 1);
 
-      String answer = rawCall("/drafts/1", "");
+      String answer = sendRawRequest("/drafts/1", "");
 
       assertThat(answer).contains("token 1").doesNotEndWith("0\r\n\r\n");
       assertThat(backend.received()).hasSize(1);
     }
   }
 
-  private static final String TOKENS = "Model: m\r\nToken-Count: 1000,4000\r\n";
+  private static final String MODEL_HEADERS = "Model: m\r\nToken-Count: 1000,4000\r\n";
 
   @Test
   void a_stream_goes_on_from_its_copy_when_its_engine_is_lost() throws Exception {
     AtomicReference<FakeBackend> runsAt = new AtomicReference<>();
     List<FakeBackend> engines = new ArrayList<>();
-    FakeBackend.Script script =
+    FakeBackend.ResponseScript script =
         (request, connection) -> {
-          FakeBackend.write(connection, FakeBackend.streamHead(request));
+          FakeBackend.write(connection, FakeBackend.streamResponseHead(request));
           if (request.header("Kv-From").isEmpty()) {
             FakeBackend.write(connection, FakeBackend.event(1) + FakeBackend.event(2));
             FakeBackend first =
@@ -171,13 +172,13 @@
       register("i-1", one, "ready", 1, "engines");
       register("i-2", two, "ready", 1, "engines");
 
-      String answer = rawCall("/stories/1", TOKENS);
+      String answer = sendRawRequest("/stories/1", MODEL_HEADERS);
 
       FakeBackend keeper = runsAt.get() == one ? two : one;
       assertThat(answer.split("data: token ", -1)).hasSize(4);
       assertThat(answer).endsWith("0\r\n\r\n");
-      FakeBackend.Received run = Objects.requireNonNull(runsAt.get()).received().getFirst();
-      FakeBackend.Received next = keeper.received().getFirst();
+      FakeBackend.ReceivedRequest run = Objects.requireNonNull(runsAt.get()).received().getFirst();
+      FakeBackend.ReceivedRequest next = keeper.received().getFirst();
       assertThat(run.header("Kv-Backup")).isEqualTo(keeper.address());
       assertThat(next.header("Kv-From"))
           .isEqualTo(keeper.address() + "/" + run.header("Attempt-Id"));
@@ -189,7 +190,7 @@
   void a_stream_is_moved_off_a_leaving_engine_without_losing_an_event() throws Exception {
     CountDownLatch started = new CountDownLatch(1);
     AtomicReference<Socket> stream = new AtomicReference<>();
-    FakeBackend.Script leaving =
+    FakeBackend.ResponseScript leaving =
         (request, connection) -> {
           if (request.line().contains("kv-move")) {
             boolean last = request.body().contains("\"last\":true");
@@ -204,20 +205,22 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
           } else {
             stream.set(connection);
-            FakeBackend.write(connection, FakeBackend.streamHead(request));
+            FakeBackend.write(connection, FakeBackend.streamResponseHead(request));
             FakeBackend.write(connection, FakeBackend.event(1) + FakeBackend.event(2));
             started.countDown();
           }
         };
-    FakeBackend.Script target =
+    FakeBackend.ResponseScript target =
         (request, connection) ->
             FakeBackend.write(
                 connection,
-                FakeBackend.streamHead(request) + FakeBackend.event(4) + FakeBackend.chunk(""));
+                FakeBackend.streamResponseHead(request)
+                    + FakeBackend.event(4)
+                    + FakeBackend.chunk(""));
     try (FakeBackend one = new FakeBackend(leaving);
         FakeBackend two = new FakeBackend(target)) {
       register("i-1", one, "ready", 1, "engines");
-      try (Socket caller = open("/stories/1", TOKENS)) {
+      try (Socket caller = openRawRequest("/stories/1", MODEL_HEADERS)) {
         assertThat(started.await(20, TimeUnit.SECONDS)).isTrue();
         register("i-2", two, "ready", 1, "engines");
 
@@ -226,7 +229,7 @@
         String answer = new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertThat(answer.split("data: token ", -1)).hasSize(5);
         assertThat(answer).endsWith("0\r\n\r\n");
-        FakeBackend.Received next = two.received().getFirst();
+        FakeBackend.ReceivedRequest next = two.received().getFirst();
         assertThat(next.header("Kv-From")).isEqualTo(one.address() + "/h7");
         assertThat(next.header("Last-Event-Id")).isEqualTo("3");
       }
@@ -240,7 +243,8 @@
     try (FakeBackend backend =
         new FakeBackend(
             (request, connection) -> {
-              FakeBackend.write(connection, FakeBackend.streamHead(request) + FakeBackend.event(1));
+              FakeBackend.write(
+                  connection, FakeBackend.streamResponseHead(request) + FakeBackend.event(1));
               started.countDown();
               InputStream in = connection.getInputStream();
               if (in.read() < 0) {
@@ -248,7 +252,7 @@
               }
             })) {
       register("i-1", backend, "ready", 1);
-      Socket caller = open("/drafts/1", "");
+      Socket caller = openRawRequest("/drafts/1", "");
       assertThat(started.await(20, TimeUnit.SECONDS)).isTrue();
 
       caller.close();
@@ -259,9 +263,9 @@
 
   @Test
   void a_backend_server_whose_leave_was_acknowledged_gets_no_new_call() throws Exception {
-    FakeBackend.Script script =
+    FakeBackend.ResponseScript script =
         (request, connection) ->
-            FakeBackend.write(connection, FakeBackend.answer(request, 200, "ok"));
+            FakeBackend.write(connection, FakeBackend.response(request, 200, "ok"));
     try (FakeBackend one = new FakeBackend(script);
         FakeBackend two = new FakeBackend(script)) {
       register("i-1", one, "ready", 1);
@@ -271,7 +275,7 @@
       int before = one.received().size();
 
       for (int i = 0; i < 20; i++) {
-        assertThat(status(rawCall("/pages/" + i, ""))).isEqualTo(200);
+        assertThat(status(sendRawRequest("/pages/" + i, ""))).isEqualTo(200);
       }
 
       assertThat(one.received()).hasSize(before);
@@ -284,10 +288,10 @@
     try (FakeBackend backend =
         new FakeBackend(
             (request, connection) ->
-                FakeBackend.write(connection, FakeBackend.answer(request, 200, "ok")))) {
+                FakeBackend.write(connection, FakeBackend.response(request, 200, "ok")))) {
       register("i-1", backend, "ready", 1);
 
-      String answer = rawCall("/pages/1", "Transfer-Encoding: chunked\r\n");
+      String answer = sendRawRequest("/pages/1", "Transfer-Encoding: chunked\r\n");
 
       assertThat(status(answer)).isEqualTo(400);
       assertThat(backend.received()).isEmpty();
@@ -296,27 +300,27 @@
 
   @Test
   void an_accepted_catalog_is_in_force_and_an_older_one_never_again() throws Exception {
-    put(CATALOG.formatted(9).replace("/pages/", "/leaves/"));
-    put(CATALOG.formatted(3));
+    putCatalog(CATALOG.formatted(9).replace("/pages/", "/leaves/"));
+    putCatalog(CATALOG.formatted(3));
 
-    assertThat(control("GET", "/api/config", "").body()).contains("\"version\":9");
-    assertThat(status(rawCall("/pages/1", ""))).isEqualTo(404);
+    assertThat(sendControlRequest("GET", "/api/config", "").body()).contains("\"version\":9");
+    assertThat(status(sendRawRequest("/pages/1", ""))).isEqualTo(404);
   }
 
   @Test
   void an_invalid_catalog_is_refused_and_changes_nothing() throws Exception {
     String cutShort = CATALOG.formatted(10).substring(0, 300);
 
-    assertThat(control("PUT", "/api/config", cutShort).statusCode()).isEqualTo(400);
-    assertThat(control("GET", "/api/config", "").body()).contains("\"version\":1");
+    assertThat(sendControlRequest("PUT", "/api/config", cutShort).statusCode()).isEqualTo(400);
+    assertThat(sendControlRequest("GET", "/api/config", "").body()).contains("\"version\":1");
   }
 
   @Test
   void an_unknown_key_or_route_is_refused_and_a_missing_backend_says_when_to_come_back()
       throws Exception {
-    assertThat(status(rawCall("/nowhere/", ""))).isEqualTo(404);
-    assertThat(call("/pages/1").statusCode()).isEqualTo(404);
-    String answer = rawCall("/pages/1", "");
+    assertThat(status(sendRawRequest("/nowhere/", ""))).isEqualTo(404);
+    assertThat(sendRequest("/pages/1").statusCode()).isEqualTo(404);
+    String answer = sendRawRequest("/pages/1", "");
     assertThat(status(answer)).isEqualTo(503);
     assertThat(answer.toLowerCase(java.util.Locale.ROOT)).contains("retry-after:");
   }
