--- a/src/main/java/org/curranthaven/internal/observe/ExplainLog.java
+++ b/src/main/java/org/curranthaven/internal/observe/ExplainLog.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** The latest decisions by request, for {@code explain}. Thread-safe. */
+/**
+ * Keeps the decisions made for the latest requests, for the command {@code explain}. The request
+ * added first is evicted first. Thread-safe.
+ */
 public final class ExplainLog {
-  /** Requests remembered on one host. */
+  /** Number of requests whose decisions one host keeps. */
   static final int MAX_REQUESTS = 10_000;
 
   private final Map<String, List<Entry>> byRequest = new LinkedHashMap<>();
@@ -15,13 +18,13 @@
   /**
    * One decision.
    *
-   * @param epochMillis when it was made, in epoch milliseconds
+   * @param epochMillis when the decision was made, in epoch milliseconds
    * @param decision what was decided
-   * @param figures what it rested on
+   * @param figures values that the decision was based on
    */
   public record Entry(long epochMillis, String decision, Object figures) {}
 
-  /** Notes a decision made for a request. */
+  /** Records a decision made for a request. */
   public synchronized void add(String requestName, Entry entry) {
     byRequest.computeIfAbsent(requestName, name -> new ArrayList<>(2)).add(entry);
     if (byRequest.size() > MAX_REQUESTS) {
--- a/src/main/java/org/curranthaven/internal/observe/JsonLineWriter.java
+++ b/src/main/java/org/curranthaven/internal/observe/JsonLineWriter.java
@@ -12,21 +12,22 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Writes each log entry as one JSON object on one line of standard output. tinylog's own JSON
- * writer writes to files only; this one is found by the name {@code json line}.
+ * Writes each log entry to standard output as one line with a JSON object. It replaces tinylog's
+ * own JSON writer, which writes to files only. tinylog finds it under the name {@code json line},
+ * which it derives from the class name.
  */
 public final class JsonLineWriter implements Writer {
   private final PrintStream out = System.out;
 
   /**
-   * One line.
+   * A log line.
    *
-   * @param time wall-clock time, as ISO 8601
-   * @param error what was thrown; null where nothing was
+   * @param time wall-clock time, in ISO 8601 format
+   * @param error logged exception; null if none
    */
   private record Line(String time, String level, String message, @Nullable String error) {}
 
-  /** Creates the writer; tinylog passes its properties, of which it needs none. */
+  /** Creates the writer; tinylog requires the parameter, but no property is used. */
   public JsonLineWriter(Map<String, String> properties) {}
 
   @Override
@@ -44,8 +45,8 @@
             entry.getLevel().name(),
             String.valueOf(entry.getMessage()),
             thrown == null ? null : thrown.toString());
-    byte[] text = (Json.text(line) + "\n").getBytes(StandardCharsets.UTF_8);
-    out.write(text, 0, text.length);
+    byte[] bytes = (Json.text(line) + "\n").getBytes(StandardCharsets.UTF_8);
+    out.write(bytes, 0, bytes.length);
     out.flush();
   }
 
--- a/src/main/java/org/curranthaven/internal/observe/RoutedMetrics.java
+++ b/src/main/java/org/curranthaven/internal/observe/RoutedMetrics.java
@@ -9,12 +9,12 @@
 import java.util.function.Supplier;
 import org.curranthaven.api.ResultCode;
 
-/** Metrics of a host of routed calls. Thread-safe. */
+/** Metrics of a host that serves routed requests. Thread-safe. */
 public final class RoutedMetrics {
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
-  /** Notes the time from a call's arrival to the first part of its answer. */
+  /** Records the time from the arrival of a request to the first part of its response. */
   public void recordFirstReply(String route, long millis) {
     Timer.builder("curranthaven_routed_first_reply")
         .tag("route", route)
@@ -23,7 +23,7 @@
         .record(Duration.ofMillis(millis));
   }
 
-  /** Counts a call that ended with a failure of the system's own. */
+  /** Counts a request that ended with an error raised by this system, not by a backend server. */
   public void countFailure(String route, ResultCode code) {
     Counter.builder("curranthaven_routed_failures")
         .tag("route", route)
@@ -32,12 +32,12 @@
         .increment();
   }
 
-  /** Shows a figure that is read when the page is asked for. */
-  public void gauge(String name, Supplier<Number> figure) {
-    Gauge.builder(name, figure).strongReference(true).register(registry);
+  /** Registers a gauge whose value is read at each scrape. */
+  public void gauge(String name, Supplier<Number> value) {
+    Gauge.builder(name, value).strongReference(true).register(registry);
   }
 
-  /** Returns the page that Prometheus reads. */
+  /** Returns all metrics in the Prometheus text format. */
   public String page() {
     return registry.scrape();
   }
--- a/src/main/java/org/curranthaven/internal/observe/RoutingRecorder.java
+++ b/src/main/java/org/curranthaven/internal/observe/RoutingRecorder.java
@@ -10,8 +10,8 @@
 import org.tinylog.Logger;
 
 /**
- * Writes every event of a host's routing core to a trace: a header line, then a JSON line an event.
- * When the file cannot be written, recording ends and the host goes on. Used by one thread.
+ * Writes every event of a host's routing core to a trace file: a header line, then one JSON line
+ * per event. If a write fails, recording stops and the host continues without it. Not thread-safe.
  */
 public final class RoutingRecorder {
   private final BufferedWriter writer;
@@ -20,34 +20,43 @@
   /**
    * First line of a trace.
    *
-   * @param trace kind of the trace
-   * @param host host whose core it is
-   * @param seed seed of the core's random source
+   * @param trace format of the trace
+   * @param host name of the host that the trace was recorded on
+   * @param seed seed of the routing core's random source
    */
   public record Header(String trace, String host, long seed) {
-    /** Kind of the traces that this class writes. */
+    /** Format of the traces that this class writes. */
     public static final String KIND = "routing-1";
   }
 
-  /** Any further line: an event with the core's time, in milliseconds. */
+  /**
+   * Any further line.
+   *
+   * @param now time at which the routing core handled the event, in milliseconds
+   */
   public record Line(long now, RoutingEvent event) {}
 
   private RoutingRecorder(BufferedWriter writer) {
     this.writer = writer;
   }
 
-  /** Begins a trace. */
+  /**
+   * Creates the trace file and writes its header.
+   *
+   * @throws UncheckedIOException if the file cannot be created
+   */
   public static RoutingRecorder start(Path file, String host, long seed) {
     try {
       RoutingRecorder recorder = new RoutingRecorder(Files.newBufferedWriter(file));
       recorder.write(new Header(Header.KIND, host, seed));
       return recorder;
     } catch (IOException e) {
-      throw new UncheckedIOException("trace " + file + " cannot be written", e);
+      throw new UncheckedIOException(
+          "trace file " + file + " cannot be created; choose a writable path", e);
     }
   }
 
-  /** Writes an event. */
+  /** Appends an event to the trace. */
   public void record(RoutingEvent event, long nowMillis) {
     write(new Line(nowMillis, event));
   }
@@ -62,7 +71,9 @@
       writer.flush();
     } catch (IOException e) {
       failed = true;
-      Logger.error("recording ends: {}", e.getMessage());
+      Logger.error(
+          "routing trace cannot be written ({}); recording stopped, the host continues without it",
+          e.getMessage());
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/observe/StatusServer.java
+++ b/src/main/java/org/curranthaven/internal/observe/StatusServer.java
@@ -14,7 +14,8 @@
 import org.curranthaven.internal.settings.Json;
 
 /**
- * Serves {@code GET /metrics} and {@code GET /dump} of a host of routed calls to its operators.
+ * Serves {@code GET /metrics} and {@code GET /dump} to the operators of a host with routed
+ * requests.
  *
  * <pre>{@code
  * StatusServer.start(address, metrics, gateway::dump);
@@ -30,7 +31,8 @@
   /**
    * Starts the server.
    *
-   * @param dump gives the state of the process, from whichever thread owns it
+   * @param dump requests the state of the process; the thread that owns the state completes the
+   *     future
    * @throws IOException if the address cannot be listened on
    */
   public static void start(
@@ -46,7 +48,12 @@
     try {
       respond(exchange, OK, Json.text(state.get(DUMP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)));
     } catch (ExecutionException | TimeoutException e) {
-      respond(exchange, UNAVAILABLE, "{\"error\":\"the process does not answer\"}");
+      respond(
+          exchange,
+          UNAVAILABLE,
+          "{\"error\":\"the state dump failed or took longer than "
+              + DUMP_TIMEOUT_MILLIS
+              + " ms; try again\"}");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/org/curranthaven/internal/observe/TargetMonitor.java
+++ b/src/main/java/org/curranthaven/internal/observe/TargetMonitor.java
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 
 /**
- * Counts, by class, how many first replies and gaps were within the class's targets over the last
- * minute and the last 15 minutes. Thread-safe.
+ * Counts, by service class, how many first replies and gaps between tokens met the targets of the
+ * class over the last minute and the last 15 minutes. Thread-safe.
  */
 public final class TargetMonitor {
-  /** Share of first replies and of gaps within the target at which a class meets it. */
+  /** Share of first replies, and of gaps, that must meet the target for the class to meet it. */
   public static final double REQUIRED_SHARE = 0.95;
 
   /** Length of the short window, in milliseconds. */
@@ -25,6 +25,7 @@
 
   private final Map<String, Deque<Bucket>> bucketsByClass = new HashMap<>();
 
+  /** Counts of one interval of {@link #BUCKET_MILLIS}. */
   private static final class Bucket {
     final long startMillis;
     long replies;
@@ -39,17 +40,21 @@
   }
 
   /**
-   * Figures of a class over one window.
+   * Counts of a class over one window.
    *
-   * @param failed requests that ended with an error; each counts as a missed first reply
+   * @param replies number of first replies
+   * @param repliesInTime number of first replies that met the target
+   * @param gaps number of gaps between two tokens
+   * @param gapsInTime number of gaps that met the target
+   * @param failed number of requests that ended with an error; each counts as a missed first reply
    */
   public record Window(long replies, long repliesInTime, long gaps, long gapsInTime, long failed) {
-    /** Returns whether the class meets its targets; a class without requests does. */
+    /** Returns whether the class meets its targets; true for a class without requests. */
     public boolean met() {
-      long asked = replies + failed;
-      boolean firstMet = asked == 0 || repliesInTime >= REQUIRED_SHARE * asked;
-      boolean gapMet = gaps == 0 || gapsInTime >= REQUIRED_SHARE * gaps;
-      return firstMet && gapMet;
+      long requests = replies + failed;
+      boolean firstReplyTargetMet = requests == 0 || repliesInTime >= REQUIRED_SHARE * requests;
+      boolean gapTargetMet = gaps == 0 || gapsInTime >= REQUIRED_SHARE * gaps;
+      return firstReplyTargetMet && gapTargetMet;
     }
 
     /** Returns the sum of two windows. */
@@ -63,10 +68,10 @@
     }
   }
 
-  /** Figures of a class over both windows. */
+  /** Counts of a class over both windows. */
   public record ClassStatus(Window lastMinute, Window last15Minutes) {}
 
-  /** Notes a first reply, or a whole answer of a plain call. */
+  /** Records the first reply of a generation, or the complete response of a plain service. */
   public synchronized void recordFirstReply(
       String className, long millis, long targetMillis, long nowMillis) {
     Bucket bucket = bucket(className, nowMillis);
@@ -76,7 +81,7 @@
     }
   }
 
-  /** Notes the time between two tokens. */
+  /** Records the gap between two tokens of a stream. */
   public synchronized void recordGap(
       String className, long millis, long targetMillis, long nowMillis) {
     Bucket bucket = bucket(className, nowMillis);
@@ -86,12 +91,12 @@
     }
   }
 
-  /** Notes a request that ended with an error. */
+  /** Records a request that ended with an error. */
   public synchronized void recordFailure(String className, long nowMillis) {
     bucket(className, nowMillis).failed++;
   }
 
-  /** Returns the figures of every class. */
+  /** Returns the counts of every class by name. */
   public synchronized Map<String, ClassStatus> statuses(long nowMillis) {
     Map<String, ClassStatus> statuses = new TreeMap<>();
     bucketsByClass.forEach(
--- a/src/main/java/org/curranthaven/internal/observe/package-info.java
+++ b/src/main/java/org/curranthaven/internal/observe/package-info.java
@@ -1,4 +1,4 @@
-/** Metrics, state dump, explanations and traces. */
+/** Metrics, state dump, decision log for {@code explain}, traces and JSON log lines. */
 @NullMarked
 package org.curranthaven.internal.observe;
 
--- a/src/main/java/org/curranthaven/internal/settings/Json.java
+++ b/src/main/java/org/curranthaven/internal/settings/Json.java
@@ -9,9 +9,12 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The project's JSON reader and writer. */
+/** JSON mappers of the project, with helpers for the system's own data. Thread-safe. */
 public final class Json {
-  /** Strict mapper for the system's own data and for operators' files; allows comments. */
+  /**
+   * Strict mapper for the system's own data and for operators' files: rejects unknown and duplicate
+   * members and trailing text, and allows comments and trailing commas.
+   */
   public static final JsonMapper MAPPER =
       JsonMapper.builder()
           .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
@@ -22,13 +25,17 @@
           .disable(SerializationFeature.FAIL_ON_EMPTY_BEANS)
           .build();
 
-  /** Lenient mapper for what callers and backend servers send; unknown members are ignored. */
+  /** Lenient mapper for documents of callers and backend servers; ignores unknown members. */
   public static final JsonMapper LENIENT =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
   private Json() {}
 
-  /** Reads data that the system itself wrote. */
+  /**
+   * Reads data that the system itself wrote.
+   *
+   * @throws UncheckedIOException if the data does not match the type
+   */
   public static <T> T read(ByteString data, Class<T> type) {
     try {
       return MAPPER.readValue(data.newInput(), type);
@@ -37,7 +44,7 @@
     }
   }
 
-  /** Writes a value as bytes. */
+  /** Serializes a value to UTF-8 bytes. */
   public static ByteString write(Object value) {
     try {
       return ByteString.copyFrom(MAPPER.writeValueAsBytes(value));
@@ -46,7 +53,7 @@
     }
   }
 
-  /** Writes a value as text. */
+  /** Serializes a value to a string. */
   public static String text(Object value) {
     return write(value).toStringUtf8();
   }
--- a/src/main/java/org/curranthaven/internal/settings/RoutedSettings.java
+++ b/src/main/java/org/curranthaven/internal/settings/RoutedSettings.java
@@ -11,28 +11,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Settings of a host that serves routed calls in the words of a platform.
+ * Settings of a host that serves routed requests in the protocol of a platform.
  *
  * <pre>{@code
  * Outcome<RoutedSettings> settings = RoutedSettings.read(Path.of("host.jsonc"));
  * }</pre>
  *
  * @param name name of the host, unique in the fleet
- * @param dataCentre data centre it stands in
- * @param peerAddress address for the other hosts, as IP:PORT
- * @param callerAddress address for callers; empty on a host that takes none
- * @param readyAddress address for the balancer's readiness checks; empty on such a host
- * @param controlAddress address for backend servers and operators; empty on a host without the role
- * @param statusAddress address for operators, with metrics and state; empty for none
- * @param dataFolder folder of the durable state; empty on such a host
+ * @param dataCentre data centre that the host runs in
+ * @param peerAddress listening address for the other hosts, as IP:PORT
+ * @param callerAddress listening address for callers; empty on a host that is not a gateway
+ * @param readyAddress listening address for the load balancer's readiness checks; empty for none
+ * @param controlAddress listening address for backend servers and operators; empty on a host that
+ *     is not a control host
+ * @param statusAddress listening address for metrics and the state dump; empty for none
+ * @param dataFolder folder of the durable state; empty on a host that is not a control host
  * @param contacts control hosts, as IP:PORT; the port is replaced by this host's peer port
- * @param firstStart whether the whole fleet starts for the first time, on empty folders
- * @param toleratedLosses control hosts that may be lost at once, with their folders
- * @param drainSeconds longest time that a planned stop may take
- * @param retryRatio retries allowed for each call of a service
- * @param retrySlack retries allowed besides, in each window
- * @param retryWindowSeconds length of that window
- * @param registrationMillis time between two registrations of a backend server
+ * @param firstStart whether the whole fleet starts for the first time, with empty data folders, and
+ *     bootstraps the consensus group
+ * @param toleratedLosses number of control hosts that may be lost at once, with their data folders
+ * @param drainSeconds maximum duration of a planned stop
+ * @param retryRatio retries of a service allowed per request
+ * @param retrySlack retries of a service allowed per window in addition to the ratio
+ * @param retryWindowSeconds length of the sliding window in which retries are counted
+ * @param registrationMillis interval at which a backend server renews its registration
  */
 public record RoutedSettings(
     String name,
@@ -53,7 +55,7 @@
     long registrationMillis) {
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** Registrations missed in a row after which a backend server counts as lost. */
+  /** Number of consecutive missed registrations after which a backend server is removed. */
   private static final long MISSED_REGISTRATIONS_LIMIT = 5;
 
   public RoutedSettings {
@@ -61,10 +63,14 @@
     requireText("dataCentre", dataCentre);
     requireText("peerAddress", peerAddress);
     Addresses.parse(peerAddress);
-    contacts = List.copyOf(Objects.requireNonNull(contacts, "the key contacts is missing"));
+    contacts =
+        List.copyOf(
+            Objects.requireNonNull(
+                contacts, "the key contacts is missing; list the addresses of the control hosts"));
     contacts.forEach(Addresses::parse);
     if (toleratedLosses < 0 || toleratedLosses > 3) {
-      throw new IllegalArgumentException("toleratedLosses must be from 0 to 3");
+      throw new IllegalArgumentException(
+          "toleratedLosses is " + toleratedLosses + "; it must be from 0 to 3");
     }
     if (drainSeconds <= 0 || retryWindowSeconds <= 0 || registrationMillis <= 0) {
       throw new IllegalArgumentException(
@@ -77,42 +83,49 @@
 
   private static void requireText(String key, @Nullable String text) {
     if (text == null || text.isBlank()) {
-      throw new IllegalArgumentException("the key " + key + " is missing or empty");
+      throw new IllegalArgumentException(
+          "the key " + key + " is missing or empty; set it to a text");
     }
   }
 
-  /** Reads and checks a file. */
+  /** Reads and validates a settings file. */
   public static Outcome<RoutedSettings> read(Path file) {
     try {
       return of(Files.readString(file));
     } catch (IOException e) {
       return Outcome.failed(
-          ResultCode.SETTINGS_INVALID, file + " cannot be read: " + e.getMessage());
+          ResultCode.SETTINGS_INVALID,
+          "settings file "
+              + file
+              + " cannot be read ("
+              + e.getMessage()
+              + "); name a readable file");
     }
   }
 
-  /** Reads and checks text. */
+  /** Parses and validates the text of a settings file. */
   public static Outcome<RoutedSettings> of(String text) {
     try {
       return Outcome.success(Json.MAPPER.readValue(text, RoutedSettings.class));
     } catch (JsonProcessingException e) {
       int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
       return Outcome.failed(
-          ResultCode.SETTINGS_INVALID, "line " + line + ": " + e.getOriginalMessage());
+          ResultCode.SETTINGS_INVALID,
+          "settings are invalid at line " + line + ": " + e.getOriginalMessage());
     }
   }
 
-  /** Returns whether the host takes callers. */
+  /** Returns whether the host accepts requests from callers. */
   public boolean isGateway() {
     return callerAddress != null && !callerAddress.isEmpty();
   }
 
-  /** Returns whether the host keeps the durable state. */
+  /** Returns whether the host stores the durable state. */
   public boolean isControl() {
     return dataFolder != null && !dataFolder.isEmpty();
   }
 
-  /** Returns the longest time that a planned stop may take. */
+  /** Returns the maximum duration of a planned stop. */
   public long drainMillis() {
     return (long) (drainSeconds * MILLIS_PER_SECOND);
   }
@@ -122,17 +135,17 @@
     return (long) (retryWindowSeconds * MILLIS_PER_SECOND);
   }
 
-  /** Returns the time without news after which a backend server counts as lost. */
+  /** Returns the time without a registration after which a backend server is removed. */
   public long backendTimeoutMillis() {
     return MISSED_REGISTRATIONS_LIMIT * registrationMillis;
   }
 
-  /** Returns the number of voters that bear the tolerated losses. */
+  /** Returns the number of voters that keep a majority after the tolerated losses. */
   public int votersWanted() {
     return 2 * toleratedLosses + 1;
   }
 
-  /** Returns the peer addresses of the contacts. */
+  /** Returns the addresses of the contacts, with this host's peer port. */
   public List<String> contactPeerAddresses() {
     int peerPort = Addresses.parse(peerAddress).getPort();
     return contacts.stream()
--- a/src/main/java/org/curranthaven/internal/settings/SettingsReader.java
+++ b/src/main/java/org/curranthaven/internal/settings/SettingsReader.java
@@ -19,7 +19,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads and checks a host's settings, reporting every fault at once.
+ * Reads and validates the settings of a host, and collects all faults instead of stopping at the
+ * first one.
  *
  * <pre>{@code
  * SettingsReader reader = SettingsReader.read(Path.of("host.jsonc"));
@@ -27,6 +28,8 @@
  *   start(reader.settings());
  * }
  * }</pre>
+ *
+ * <p>Not thread-safe.
  */
 public final class SettingsReader {
   private static final Set<String> KEYS =
@@ -44,7 +47,7 @@
           "maxBodyBytes",
           "logFormat");
 
-  /** Reads one entry after the other, so that each is known with its line. */
+  /** Reads the entries one by one, so that the line of each is known. */
   private static final ObjectReader ENTRY_READER =
       Json.MAPPER.reader().without(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
@@ -54,11 +57,12 @@
   private final List<SettingsFault> faults = new ArrayList<>();
   private @Nullable HostSettings settings;
 
+  /** A value with the line of its key. */
   private record LocatedValue(int line, JsonNode node) {}
 
   private SettingsReader() {}
 
-  /** Reads and checks a file. */
+  /** Reads and validates a settings file. */
   public static SettingsReader read(Path file) {
     SettingsReader reader = new SettingsReader();
     try {
@@ -69,26 +73,26 @@
     return reader;
   }
 
-  /** Reads and checks text. */
+  /** Parses and validates the text of a settings file. */
   public static SettingsReader of(String text) {
     SettingsReader reader = new SettingsReader();
     reader.parse(text);
     return reader;
   }
 
-  /** Returns every fault found, in the order of the file. */
+  /** Returns all faults, ordered by line. */
   public List<SettingsFault> faults() {
     return faults.stream().sorted(Comparator.comparingInt(SettingsFault::line)).toList();
   }
 
   /**
-   * Returns the settings.
+   * Returns the settings if they are valid.
    *
    * @throws IllegalStateException if there are faults
    */
   public HostSettings settings() {
     if (settings == null) {
-      throw new IllegalStateException("the settings have faults: " + faults);
+      throw new IllegalStateException("the settings are invalid; check faults() first: " + faults);
     }
     return settings;
   }
@@ -104,15 +108,16 @@
       }
     } catch (JsonProcessingException e) {
       int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-      addFault(line, "", "not JSON: " + e.getOriginalMessage(), "Correct the line");
+      addFault(
+          line, "", "invalid JSON: " + e.getOriginalMessage(), "Correct the JSON at this line");
       return;
     } catch (IOException e) {
-      addFault(0, "", "the text cannot be read: " + e.getMessage(), "Name a readable file");
+      addFault(0, "", "the settings cannot be read: " + e.getMessage(), "Name a readable file");
       return;
     }
-    HostSettings checked = buildSettings();
+    HostSettings candidate = buildSettings();
     if (faults.isEmpty()) {
-      settings = checked;
+      settings = candidate;
     }
   }
 
@@ -122,49 +127,55 @@
     parser.nextToken();
     JsonNode node = ENTRY_READER.readTree(parser);
     if (!KEYS.contains(key)) {
-      addFault(line, key, "there is no such key", fixForUnknownKey(key));
+      addFault(line, key, "unknown key", fixForUnknownKey(key));
     } else if (values.putIfAbsent(key, new LocatedValue(line, node)) != null) {
-      addFault(line, key, "the key stands twice", "Keep one of them");
+      addFault(line, key, "the key occurs more than once", "Keep one occurrence");
     }
   }
 
+  /** Suggests the known key that differs only in its unit, or else lists all keys. */
   private static String fixForUnknownKey(String key) {
     String stem = key.replaceAll("(Seconds|Secs|Ms|Minutes|KB|MB|Kb|Mb)$", "");
     return KEYS.stream()
         .filter(known -> !stem.equals(key) && known.startsWith(stem))
         .findFirst()
-        .map(known -> "Write " + known + "; its unit is in the name")
+        .map(known -> "Write " + known + ", in the unit that its name gives")
         .orElse("Known keys: " + String.join(", ", KEYS.stream().sorted().toList()));
   }
 
+  /** Validates all values; the result is usable only if there are no faults. */
   private HostSettings buildSettings() {
     String name = name("name");
     String dataCentre = name("dataCentre");
-    String http = address("httpAddress");
-    String peer = address("peerAddress");
+    String httpAddress = address("httpAddress");
+    String peerAddress = address("peerAddress");
     boolean control = roles().contains("control");
-    Path folder = dataFolder(control);
-    List<String> contacts = controlHosts();
+    Path dataFolder = dataFolder(control);
+    List<String> controlHosts = controlHosts();
     int ledgerGroups = (int) number("ledgerGroups", 2, 1, 64);
-    int voters = (int) number("votersWanted", 3, 1, 7);
-    if (voters % 2 == 0) {
-      addFault(lineOf("votersWanted"), "votersWanted", "must be odd", "Write 1, 3, 5 or 7");
+    int votersWanted = (int) number("votersWanted", 3, 1, 7);
+    if (votersWanted % 2 == 0) {
+      addFault(
+          lineOf("votersWanted"),
+          "votersWanted",
+          "must be odd, but is " + votersWanted,
+          "Write 1, 3, 5 or 7");
     }
-    long drain = number("drainMillis", 600_000, 0, 86_400_000);
-    int body = (int) number("maxBodyBytes", 1_048_576, 1_024, 64 * 1_048_576);
+    long drainMillis = number("drainMillis", 600_000, 0, 86_400_000);
+    int maxBodyBytes = (int) number("maxBodyBytes", 1_048_576, 1_024, 64 * 1_048_576);
     boolean logJson = logJson();
     return new HostSettings(
         name,
         dataCentre,
-        http,
-        peer,
+        httpAddress,
+        peerAddress,
         control,
-        folder,
-        contacts,
+        dataFolder,
+        controlHosts,
         ledgerGroups,
-        voters,
-        drain,
-        body,
+        votersWanted,
+        drainMillis,
+        maxBodyBytes,
         logJson);
   }
 
@@ -204,7 +215,7 @@
       return "";
     }
     if (!value.node().isTextual() || value.node().asText().isBlank()) {
-      addFault(value.line(), key, "must be a text", "Write a text in quotes");
+      addFault(value.line(), key, "must be a non-empty string", "Write it in quotes");
       return "";
     }
     return value.node().asText();
@@ -219,7 +230,7 @@
     List<String> result = new ArrayList<>();
     value.node().forEach(item -> result.add(item.isTextual() ? item.asText() : ""));
     if (!value.node().isArray() || result.isEmpty() || result.contains("")) {
-      addFault(value.line(), key, "must be a list of texts", "Write [\"…\", \"…\"]");
+      addFault(value.line(), key, "must be a non-empty list of strings", "Write [\"…\", \"…\"]");
       return List.of();
     }
     return result;
@@ -237,9 +248,9 @@
   }
 
   private List<String> controlHosts() {
-    List<String> contacts = textList("controlHosts");
-    contacts.forEach(contact -> checkAddress("controlHosts", contact));
-    return contacts;
+    List<String> addresses = textList("controlHosts");
+    addresses.forEach(address -> checkAddress("controlHosts", address));
+    return addresses;
   }
 
   private @Nullable Path dataFolder(boolean control) {
@@ -248,8 +259,8 @@
         addFault(
             lineOf("dataFolder"),
             "dataFolder",
-            "only a host with the role control keeps data",
-            "Remove the key, or add the role");
+            "only a host with the role control has a data folder",
+            "Remove the key, or add the role control");
       }
       return null;
     }
@@ -259,28 +270,35 @@
     }
     Path folder = Path.of(text);
     if (!Files.isDirectory(folder)) {
-      addFault(lineOf("dataFolder"), "dataFolder", folder + " is no folder", "Make it first");
+      addFault(
+          lineOf("dataFolder"),
+          "dataFolder",
+          folder + " is not an existing folder",
+          "Create it first");
     } else if (!Files.isWritable(folder)) {
       addFault(
-          lineOf("dataFolder"), "dataFolder", folder + " cannot be written", "Change its owner");
+          lineOf("dataFolder"),
+          "dataFolder",
+          folder + " is not writable",
+          "Give this process write access");
     }
     return folder;
   }
 
-  private long number(String key, long byDefault, long min, long max) {
+  private long number(String key, long defaultValue, long min, long max) {
     LocatedValue value = values.get(key);
     if (value == null) {
-      return byDefault;
+      return defaultValue;
     }
-    boolean whole = value.node().isIntegralNumber() && value.node().canConvertToLong();
+    boolean isWholeNumber = value.node().isIntegralNumber() && value.node().canConvertToLong();
     long number = value.node().asLong();
-    if (!whole || number < min || number > max) {
+    if (!isWholeNumber || number < min || number > max) {
       addFault(
           value.line(),
           key,
           "must be a whole number from " + min + " to " + max,
-          "The default is " + byDefault);
-      return byDefault;
+          "Correct the value, or remove the key for the default " + defaultValue);
+      return defaultValue;
     }
     return number;
   }
@@ -292,7 +310,8 @@
     }
     String text = value.node().asText();
     if (!text.equals("text") && !text.equals("json")) {
-      addFault(value.line(), "logFormat", "unknown format '" + text + "'", "Write text or json");
+      addFault(
+          value.line(), "logFormat", "unknown log format '" + text + "'", "Write text or json");
     }
     return text.equals("json");
   }
--- a/src/main/java/org/curranthaven/internal/settings/package-info.java
+++ b/src/main/java/org/curranthaven/internal/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings of a host, read and checked. */
+/** Reads and validates the settings of a host. */
 @NullMarked
 package org.curranthaven.internal.settings;
 
--- a/src/main/java/org/curranthaven/platform/BackendTranslation.java
+++ b/src/main/java/org/curranthaven/platform/BackendTranslation.java
@@ -20,16 +20,18 @@
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
-/** Writes calls to backend servers and reads their answers. */
+/** Encodes requests to backend servers and decodes their responses. */
 final class BackendTranslation {
+  /** Path at which an engine copies the state of a running request to another engine. */
   private static final String TRANSFER_PATH = "/api/kv-move";
+
   private static final int MISDIRECTED_REQUEST = 421;
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private BackendTranslation() {}
 
-  static FullHttpRequest backendRequest(BackendRequest call) {
-    InboundRequest inbound = call.request();
+  static FullHttpRequest backendRequest(BackendRequest backendRequest) {
+    InboundRequest inbound = backendRequest.request();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -40,24 +42,24 @@
             DefaultHttpHeadersFactory.trailersFactory());
     HttpHeaders headers = request.headers();
     headers.set(inbound.headers());
-    headers.set(Headers.DEADLINE, call.deadlineLeftMillis());
-    headers.set(Headers.EXPECTED_BACKEND, call.backend().getId());
-    if (!call.workspace().isEmpty()) {
-      headers.set(Headers.WORKSPACE, call.workspace());
+    headers.set(Headers.DEADLINE, backendRequest.deadlineLeftMillis());
+    headers.set(Headers.EXPECTED_BACKEND, backendRequest.backend().getId());
+    if (!backendRequest.workspace().isEmpty()) {
+      headers.set(Headers.WORKSPACE, backendRequest.workspace());
     }
-    if (call.urgency() >= 0) {
-      headers.set(Headers.URGENCY, call.urgency());
+    if (backendRequest.urgency() >= 0) {
+      headers.set(Headers.URGENCY, backendRequest.urgency());
     }
-    if (call.resumeAfter().isEmpty()) {
+    if (backendRequest.resumeAfter().isEmpty()) {
       headers.remove(Headers.LAST_EVENT_ID);
     } else {
-      headers.set(Headers.LAST_EVENT_ID, call.resumeAfter());
+      headers.set(Headers.LAST_EVENT_ID, backendRequest.resumeAfter());
     }
-    if (!call.stateReference().isEmpty()) {
-      headers.set(Headers.STATE_REFERENCE, call.stateReference());
+    if (!backendRequest.stateReference().isEmpty()) {
+      headers.set(Headers.STATE_REFERENCE, backendRequest.stateReference());
     }
-    if (!call.backupAddress().isEmpty()) {
-      headers.set(Headers.BACKUP_ADDRESS, call.backupAddress());
+    if (!backendRequest.backupAddress().isEmpty()) {
+      headers.set(Headers.BACKUP_ADDRESS, backendRequest.backupAddress());
     }
     if (inbound.body().length > 0 || !usuallyHasNoBody(inbound.method())) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, inbound.body().length);
@@ -86,12 +88,12 @@
         headers.containsValue(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true));
   }
 
-  private static long keepAliveMillis(String text) {
-    for (String option : text.split(",")) {
-      String[] pair = option.strip().split("=");
-      if (pair.length == 2 && pair[0].equalsIgnoreCase("timeout")) {
+  private static long keepAliveMillis(String keepAlive) {
+    for (String option : keepAlive.split(",")) {
+      String[] nameAndValue = option.strip().split("=");
+      if (nameAndValue.length == 2 && nameAndValue[0].equalsIgnoreCase("timeout")) {
         try {
-          return (long) (Double.parseDouble(pair[1]) * MILLIS_PER_SECOND);
+          return (long) (Double.parseDouble(nameAndValue[1]) * MILLIS_PER_SECOND);
         } catch (NumberFormatException e) {
           return 0;
         }
@@ -100,11 +102,19 @@
     return 0;
   }
 
+  /**
+   * Body of a state transfer request.
+   *
+   * @param id id of the running request
+   * @param target address of the engine that receives the state
+   * @param last whether the source stops the request before it copies the rest of its state
+   */
   private record TransferBody(String id, String target, boolean last) {}
 
   static FullHttpRequest transferRequest(
-      InboundRequest call, BackendRecord source, BackendRecord target, boolean last) {
-    byte[] body = Json.write(new TransferBody(call.id(), target.getAddress(), last)).toByteArray();
+      InboundRequest inbound, BackendRecord source, BackendRecord target, boolean finalCopy) {
+    byte[] body =
+        Json.write(new TransferBody(inbound.id(), target.getAddress(), finalCopy)).toByteArray();
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, HttpMethod.POST, TRANSFER_PATH, Unpooled.wrappedBuffer(body));
--- a/src/main/java/org/curranthaven/platform/CatalogTranslation.java
+++ b/src/main/java/org/curranthaven/platform/CatalogTranslation.java
@@ -21,18 +21,19 @@
 import org.curranthaven.internal.settings.Json;
 import org.jspecify.annotations.Nullable;
 
-/** Reads the platform's configuration document. */
+/** Decodes the platform's configuration document into a catalog. */
 final class CatalogTranslation implements CatalogCodec {
   @Override
   public Outcome<Catalog> decode(byte[] document) {
     try {
       JsonNode root = Json.LENIENT.readTree(document);
       if (root == null || !root.isObject()) {
-        return invalid("the document is no object");
+        return invalid("the document is not a JSON object; send the complete configuration");
       }
       return Outcome.success(catalog(root));
     } catch (IOException e) {
-      return invalid("the document is not whole JSON");
+      return invalid(
+          "the document is incomplete or not valid JSON; send the complete configuration");
     } catch (IllegalArgumentException e) {
       return invalid(String.valueOf(e.getMessage()));
     }
@@ -47,13 +48,14 @@
     requiredArray(root, "routes").forEach(node -> routes.add(route(node)));
     List<ServiceSpec> services = new ArrayList<>();
     requiredArray(root, "services").forEach(node -> services.add(service(node)));
-    JsonNode tenants = root.get("tenants");
+    // A tenant of the platform is a workspace. Without the member, no route needs a key.
+    JsonNode workspaces = root.get("tenants");
     return new Catalog(
         requiredNumber(root, "version"),
         routes,
         services,
         limits(root.path("limits")),
-        tenants == null || tenants.isNull()
+        workspaces == null || workspaces.isNull()
             ? null
             : workspacesByKey(requiredArray(root, "tenants")));
   }
@@ -74,26 +76,29 @@
         serviceWeights(node));
   }
 
-  private static Repeatability repeatability(String word) {
-    return switch (word) {
+  private static Repeatability repeatability(String kind) {
+    return switch (kind) {
       case "idempotent" -> Repeatability.IDEMPOTENT;
       case "non_idempotent" -> Repeatability.NON_IDEMPOTENT;
       case "stream" -> Repeatability.STREAM;
-      default -> throw new IllegalArgumentException("unknown kind '" + word + "'");
+      default ->
+          throw new IllegalArgumentException(
+              "unknown kind '" + kind + "'; use idempotent, non_idempotent or stream");
     };
   }
 
   private static List<ServiceWeight> serviceWeights(JsonNode node) {
-    List<ServiceWeight> shares = new ArrayList<>();
+    List<ServiceWeight> weights = new ArrayList<>();
+    // The "backends" of a route are services with weights, not backend servers.
     if (node.has("backends") && !node.get("backends").isNull()) {
-      for (JsonNode share : requiredArray(node, "backends")) {
-        shares.add(
-            new ServiceWeight(requiredText(share, "service"), share.path("weight").asDouble(0)));
+      for (JsonNode entry : requiredArray(node, "backends")) {
+        weights.add(
+            new ServiceWeight(requiredText(entry, "service"), entry.path("weight").asDouble(0)));
       }
     } else {
-      shares.add(new ServiceWeight(requiredText(node, "service"), 1));
+      weights.add(new ServiceWeight(requiredText(node, "service"), 1));
     }
-    return shares;
+    return weights;
   }
 
   private static ServiceSpec service(JsonNode node) {
@@ -109,8 +114,11 @@
     }
     return new EngineCapabilities(
         node.path("slots").asInt(1),
+        // Memory of the engine, in tokens.
         node.path("kvCapacity").asInt(1),
+        // Output tokens in one event of a stream.
         Math.max(1, node.path("stride").asInt(1)),
+        // Whether a running request can be migrated.
         node.path("moves").asBoolean(false),
         node.path("backups").asBoolean(false));
   }
@@ -124,15 +132,21 @@
         node.path("idleTimeoutMs").asLong(standard.idleTimeoutMillis()));
   }
 
-  private static Map<String, CatalogWorkspace> workspacesByKey(JsonNode tenants) {
+  private static Map<String, CatalogWorkspace> workspacesByKey(JsonNode workspaceNodes) {
     Map<String, CatalogWorkspace> byKey = new HashMap<>();
-    for (JsonNode tenant : tenants) {
+    for (JsonNode workspaceNode : workspaceNodes) {
       CatalogWorkspace workspace =
-          new CatalogWorkspace(requiredText(tenant, "name"), tenant.path("priority").asInt(-1));
-      for (JsonNode key : requiredArray(tenant, "apiKeys")) {
+          new CatalogWorkspace(
+              requiredText(workspaceNode, "name"), workspaceNode.path("priority").asInt(-1));
+      for (JsonNode key : requiredArray(workspaceNode, "apiKeys")) {
         CatalogWorkspace other = byKey.put(key.asText(), workspace);
         if (other != null && !other.name().equals(workspace.name())) {
-          throw new IllegalArgumentException("two workspaces share a key");
+          throw new IllegalArgumentException(
+              "workspaces "
+                  + other.name()
+                  + " and "
+                  + workspace.name()
+                  + " have the same key; give each its own");
         }
       }
     }
@@ -140,17 +154,17 @@
   }
 
   private static JsonNode requiredArray(JsonNode node, String name) {
-    JsonNode list = node.get(name);
-    if (list == null || !list.isArray()) {
-      throw new IllegalArgumentException("'" + name + "' is no list");
+    JsonNode array = node.get(name);
+    if (array == null || !array.isArray()) {
+      throw new IllegalArgumentException("'" + name + "' is missing or not an array");
     }
-    return list;
+    return array;
   }
 
   private static String requiredText(JsonNode node, String name) {
     JsonNode text = node.get(name);
     if (text == null || !text.isTextual() || text.asText().isEmpty()) {
-      throw new IllegalArgumentException("'" + name + "' is no text");
+      throw new IllegalArgumentException("'" + name + "' is missing, empty or not a string");
     }
     return text.asText();
   }
@@ -158,7 +172,7 @@
   private static long requiredNumber(JsonNode node, String name) {
     JsonNode number = node.get(name);
     if (number == null || !number.isNumber()) {
-      throw new IllegalArgumentException("'" + name + "' is no number");
+      throw new IllegalArgumentException("'" + name + "' is missing or not a number");
     }
     return number.asLong();
   }
--- a/src/main/java/org/curranthaven/platform/ControlTranslation.java
+++ b/src/main/java/org/curranthaven/platform/ControlTranslation.java
@@ -11,10 +11,14 @@
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
-/** Reads the calls of backend servers and operators. */
+/** Decodes requests of backend servers and operators to the control interface. */
 final class ControlTranslation {
+  /** Path prefix of registrations; a runner of the platform is a backend server. */
   private static final String REGISTRATION_PATH_PREFIX = "/api/runners/";
+
+  /** Path of the configuration document, which holds the catalog. */
   private static final String CATALOG_PATH = "/api/config";
+
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
 
@@ -22,8 +26,8 @@
 
   static ControlRequest read(FullHttpRequest request) {
     String uri = request.uri();
-    int query = uri.indexOf('?');
-    String path = query < 0 ? uri : uri.substring(0, query);
+    int queryStart = uri.indexOf('?');
+    String path = queryStart < 0 ? uri : uri.substring(0, queryStart);
     String method = request.method().name();
     if (path.startsWith(REGISTRATION_PATH_PREFIX)
         && path.length() > REGISTRATION_PATH_PREFIX.length()) {
@@ -47,7 +51,7 @@
   }
 
   private static ControlRequest notFound(String method, String path) {
-    return new ControlRequest.Invalid(NOT_FOUND, "there is no call " + method + " " + path);
+    return new ControlRequest.Invalid(NOT_FOUND, "no such control request: " + method + " " + path);
   }
 
   private static ControlRequest registration(String id, byte[] body) {
@@ -57,7 +61,11 @@
       String address = node == null ? "" : node.path("address").asText("");
       JsonNode sequence = node == null ? null : node.get("seq");
       if (node == null || service.isEmpty() || sequence == null || !sequence.isIntegralNumber()) {
-        return new ControlRequest.Invalid(BAD_REQUEST, "a registration needs service and seq");
+        return new ControlRequest.Invalid(
+            BAD_REQUEST,
+            "registration of backend server "
+                + id
+                + " rejected: it needs a non-empty 'service' and a whole number 'seq'");
       }
       Addresses.parse(address);
       return new ControlRequest.Register(
@@ -65,15 +73,17 @@
               .setId(id)
               .setService(service)
               .setAddress(address)
+              // A zone of the platform is a data centre.
               .setDataCentre(node.path("zone").asText(""))
               .setSlots(Math.max(1, node.path("slots").asInt(1)))
               .setLeaving(node.path("state").asText("").equals("draining"))
               .setSequence(sequence.asLong())
+              // Time until the backend server has warmed up.
               .setColdLeftMillis(Math.max(0, node.path("coldLeftMs").asLong(0)))
               .build());
     } catch (IOException | IllegalArgumentException e) {
       return new ControlRequest.Invalid(
-          BAD_REQUEST, "the registration cannot be read: " + e.getMessage());
+          BAD_REQUEST, "registration of backend server " + id + " rejected: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/org/curranthaven/platform/Headers.java
+++ b/src/main/java/org/curranthaven/platform/Headers.java
@@ -2,25 +2,53 @@
 
 import java.util.Set;
 
-/** Names of the platform's headers. */
+/** Names of the platform's headers, under the project's terms. */
 final class Headers {
+  /** Id of a request, not of an attempt: all attempts of a request carry the same id. */
   static final String REQUEST_ID = "Attempt-Id";
+
+  /** Time left until the response must be complete, in milliseconds. */
   static final String DEADLINE = "Deadline-Ms";
+
+  /** Parts of the prompt in order, as {@code id:tokens} separated by commas. */
   static final String PROMPT_PARTS = "Prompt-Prefix";
+
+  /** Id of the event after which a stream resumes. */
   static final String LAST_EVENT_ID = "Last-Event-Id";
+
+  /** Marks a response as coming from the backend server itself. */
   static final String RESPONSE_SEAL = "Response-Seal";
+
+  /** Name of the caller's workspace. */
   static final String WORKSPACE = "Tenant";
+
+  /** Id of the backend server that the request is meant for. */
   static final String EXPECTED_BACKEND = "Expect-Instance";
+
+  /** States that the request did not run and will not run. */
   static final String NOT_RUN = "Not-Executed";
+
   static final String MODEL = "Model";
+
+  /** Length of the prompt and limit on the output, separated by a comma. */
   static final String TOKEN_COUNTS = "Token-Count";
+
+  /** Rank among the requests of an engine, 0 being the most urgent. */
   static final String URGENCY = "Request-Urgency";
+
+  /** Output length that the caller expects, in tokens. */
   static final String OUTPUT_LENGTH_HINT = "Length-Hint";
+
+  /** Key of the caller's workspace. */
   static final String WORKSPACE_KEY = "X-Api-Key";
+
+  /** Where an engine gets the state of a running request from, as {@code address/handle}. */
   static final String STATE_REFERENCE = "Kv-From";
+
+  /** Address of the engine that keeps the backup copy of the request. */
   static final String BACKUP_ADDRESS = "Kv-Backup";
 
-  /** Headers that only this system sets; what callers send under these names is dropped. */
+  /** Headers that only this system sets; a caller's headers of these names are not forwarded. */
   static final Set<String> SET_BY_SYSTEM =
       Set.of(
           "x-api-key",
--- a/src/main/java/org/curranthaven/platform/PlatformProtocol.java
+++ b/src/main/java/org/curranthaven/platform/PlatformProtocol.java
@@ -12,7 +12,7 @@
 import org.curranthaven.internal.relay.WireProtocol;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
-/** The words of the users' platform. */
+/** Encodes and decodes the HTTP messages of the platform. Thread-safe. */
 public final class PlatformProtocol implements WireProtocol {
   private final CatalogTranslation catalogs = new CatalogTranslation();
 
@@ -32,8 +32,8 @@
   }
 
   @Override
-  public FullHttpRequest backendRequest(BackendRequest call) {
-    return BackendTranslation.backendRequest(call);
+  public FullHttpRequest backendRequest(BackendRequest request) {
+    return BackendTranslation.backendRequest(request);
   }
 
   @Override
@@ -43,8 +43,8 @@
 
   @Override
   public FullHttpRequest transferRequest(
-      InboundRequest call, BackendRecord source, BackendRecord target, boolean last) {
-    return BackendTranslation.transferRequest(call, source, target, last);
+      InboundRequest request, BackendRecord source, BackendRecord target, boolean finalCopy) {
+    return BackendTranslation.transferRequest(request, source, target, finalCopy);
   }
 
   @Override
--- a/src/main/java/org/curranthaven/platform/RequestTranslation.java
+++ b/src/main/java/org/curranthaven/platform/RequestTranslation.java
@@ -16,7 +16,7 @@
 import org.curranthaven.internal.relay.InboundRequest;
 import org.curranthaven.internal.transport.wire.PromptPart;
 
-/** Reads callers' requests. */
+/** Decodes callers' requests. */
 final class RequestTranslation {
   private RequestTranslation() {}
 
@@ -24,25 +24,27 @@
     HttpHeaders headers = request.headers();
     String uri = request.uri();
     if (!uri.startsWith("/")) {
-      return Outcome.failed(ResultCode.MALFORMED_BODY, "the request target is no path");
+      return Outcome.failed(
+          ResultCode.MALFORMED_BODY, "the request target is not a path; send it as /path?query");
     }
     if (headers.getAll(HttpHeaderNames.HOST).size() > 1) {
-      return Outcome.failed(ResultCode.MALFORMED_BODY, "the request names two hosts");
+      return Outcome.failed(
+          ResultCode.MALFORMED_BODY, "the request has more than one Host header; send exactly one");
     }
-    int[] tokens = tokenCounts(headers.get(Headers.TOKEN_COUNTS, ""));
-    int query = uri.indexOf('?');
+    int[] promptAndOutput = tokenCounts(headers.get(Headers.TOKEN_COUNTS, ""));
+    int queryStart = uri.indexOf('?');
     return Outcome.success(
         new InboundRequest(
             headers.get(Headers.REQUEST_ID, ""),
             hostName(headers.get(HttpHeaderNames.HOST, "")),
             request.method(),
             uri,
-            query < 0 ? uri : uri.substring(0, query),
+            queryStart < 0 ? uri : uri.substring(0, queryStart),
             headers.get(Headers.WORKSPACE_KEY, "").strip(),
             numberOrZero(headers.get(Headers.DEADLINE, "")),
             headers.get(Headers.MODEL, ""),
-            tokens[0],
-            tokens[1],
+            promptAndOutput[0],
+            promptAndOutput[1],
             (int) numberOrZero(headers.get(Headers.OUTPUT_LENGTH_HINT, "")),
             promptParts(headers.get(Headers.PROMPT_PARTS, "")),
             headers.get(Headers.LAST_EVENT_ID, ""),
@@ -57,26 +59,28 @@
   }
 
   private static HttpHeaders forwardedHeaders(HttpHeaders headers) {
-    Set<String> dropped = HopByHopHeaders.of(headers);
-    dropped.addAll(Headers.SET_BY_SYSTEM);
-    dropped.remove("host");
-    dropped.removeAll(ALWAYS_FORWARDED);
-    HttpHeaders kept = new DefaultHttpHeaders();
-    HopByHopHeaders.copy(headers, kept, dropped);
-    return kept;
+    Set<String> droppedNames = HopByHopHeaders.of(headers);
+    droppedNames.addAll(Headers.SET_BY_SYSTEM);
+    droppedNames.remove("host");
+    droppedNames.removeAll(ALWAYS_FORWARDED);
+    HttpHeaders forwarded = new DefaultHttpHeaders();
+    HopByHopHeaders.copy(headers, forwarded, droppedNames);
+    return forwarded;
   }
 
-  /** Headers that a caller cannot have dropped by naming them as options of its connection. */
+  /** Headers that are forwarded even if the caller names them in its Connection header. */
   private static final Set<String> ALWAYS_FORWARDED =
       Set.of("attempt-id", "model", "token-count", "prompt-prefix", "last-event-id");
 
+  /** Returns the length of the prompt and the limit on the output. */
   private static int[] tokenCounts(String text) {
-    String[] parts = text.split(",");
-    int input = (int) numberOrZero(parts[0]);
-    int output = parts.length > 1 ? (int) numberOrZero(parts[1]) : 0;
-    return new int[] {input, output};
+    String[] counts = text.split(",");
+    int promptTokens = (int) numberOrZero(counts[0]);
+    int maxOutputTokens = counts.length > 1 ? (int) numberOrZero(counts[1]) : 0;
+    return new int[] {promptTokens, maxOutputTokens};
   }
 
+  /** Returns the number in the text; 0 if the text is blank, negative or not a number. */
   private static long numberOrZero(String text) {
     try {
       return text.isBlank() ? 0 : Math.max(0, (long) Double.parseDouble(text.strip()));
