--- a/src/test/java/org/curranthaven/internal/observe/TargetMonitorTest.java
+++ b/src/test/java/org/curranthaven/internal/observe/TargetMonitorTest.java
@@ -14,29 +14,29 @@
   }
 
   @Test
-  void a_class_meets_its_target_when_95_of_100_are_within_it() {
+  void a_class_meets_its_target_when_95_of_100_first_replies_are_within_it() {
     for (int i = 0; i < 100; i++) {
-      monitor.recordFirstReply("door", i < 95 ? 300 : 500, 400, 1_000);
+      monitor.recordFirstReply("interactive", i < 95 ? 300 : 500, 400, 1_000);
     }
     assertThat(lastMinute(2_000).met()).isTrue();
 
-    monitor.recordFirstReply("door", 500, 400, 1_000);
+    monitor.recordFirstReply("interactive", 500, 400, 1_000);
     assertThat(lastMinute(2_000).met()).isFalse();
   }
 
   @Test
   void a_failed_request_counts_as_a_missed_first_reply() {
     for (int i = 0; i < 10; i++) {
-      monitor.recordFirstReply("door", 300, 400, 1_000);
+      monitor.recordFirstReply("interactive", 300, 400, 1_000);
     }
-    monitor.recordFailure("door", 1_000);
+    monitor.recordFailure("interactive", 1_000);
 
     assertThat(lastMinute(2_000).met()).isFalse();
   }
 
   @Test
-  void what_is_older_than_the_window_does_not_count() {
-    monitor.recordFirstReply("door", 500, 400, 1_000);
+  void first_replies_older_than_the_window_are_not_counted() {
+    monitor.recordFirstReply("interactive", 500, 400, 1_000);
 
     assertThat(lastMinute(70_000).replies()).isZero();
     assertThat(monitor.statuses(70_000).values().iterator().next().last15Minutes().replies())
--- a/src/test/java/org/curranthaven/internal/settings/SettingsReaderTest.java
+++ b/src/test/java/org/curranthaven/internal/settings/SettingsReaderTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void the_example_passes_the_check() throws IOException {
+  void the_example_settings_are_valid() throws IOException {
     SettingsReader reader = SettingsReader.of(example());
 
     assertThat(reader.faults()).isEmpty();
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void every_fault_is_reported_at_once_with_its_line() throws IOException {
+  void all_faults_are_reported_together_with_their_lines() throws IOException {
     String text =
         example()
             .replace("\"httpAddress\": \"127.0.0.1:8400\"", "\"httpAddress\": \"localhost\"")
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void a_file_that_is_not_json_is_refused_with_its_line() {
+  void invalid_json_is_reported_with_its_line() {
     assertThat(SettingsReader.of("{\n \"name\": oops }").faults())
         .singleElement()
         .extracting(SettingsFault::line)
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void a_missing_file_is_a_fault() {
+  void a_missing_settings_file_is_a_fault() {
     assertThat(SettingsReader.read(Path.of("/nowhere/host.jsonc")).faults()).hasSize(1);
   }
 
--- a/src/test/java/org/curranthaven/platform/CatalogTranslationTest.java
+++ b/src/test/java/org/curranthaven/platform/CatalogTranslationTest.java
@@ -31,13 +31,13 @@
     return new CatalogTranslation().decode(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static Catalog valid(String text) {
+  private static Catalog decodeValid(String text) {
     return ((Outcome.Success<Catalog>) decode(text)).value();
   }
 
   @Test
   void the_route_with_the_longest_prefix_is_chosen() {
-    Catalog catalog = valid(DOCUMENT);
+    Catalog catalog = decodeValid(DOCUMENT);
 
     assertThat(catalog.revision()).isEqualTo(7);
     assertThat(catalog.routeFor("stories.example", "/a/b/c").orElseThrow().name()).isEqualTo("r-2");
@@ -46,16 +46,16 @@
   }
 
   @Test
-  void a_service_of_weight_0_gets_no_call() {
-    Catalog catalog = valid(DOCUMENT);
+  void a_service_of_weight_0_gets_no_requests() {
+    Catalog catalog = decodeValid(DOCUMENT);
 
     assertThat(catalog.routeFor("stories.example", "/a/b/").orElseThrow().serviceFor(0))
         .isEqualTo("s2");
   }
 
   @Test
-  void keys_lead_to_their_workspaces() {
-    Catalog catalog = valid(DOCUMENT);
+  void each_key_belongs_to_its_workspace() {
+    Catalog catalog = decodeValid(DOCUMENT);
 
     assertThat(catalog.workspaceOf("k2")).isNotNull();
     assertThat(catalog.workspaceOf("k9")).isNull();
@@ -63,16 +63,16 @@
   }
 
   @Test
-  void a_document_that_is_cut_short_is_invalid() {
+  void a_truncated_document_is_invalid() {
     for (int length = 0; length < DOCUMENT.strip().length(); length += 13) {
       assertThat(decode(DOCUMENT.strip().substring(0, length)))
-          .as("the first %d characters", length)
+          .as("document truncated to %d characters", length)
           .isInstanceOf(Outcome.Failed.class);
     }
   }
 
   @Test
-  void contradictions_are_invalid() {
+  void contradictory_documents_are_invalid() {
     assertThat(
             decode(
                 DOCUMENT.replace(
--- a/src/test/java/org/curranthaven/platform/FakeBackend.java
+++ b/src/test/java/org/curranthaven/platform/FakeBackend.java
@@ -15,21 +15,23 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.jspecify.annotations.Nullable;
 
-/** A backend server whose answers a test writes byte by byte. */
+/** Backend server for tests; a script writes the bytes of its responses. Thread-safe. */
 final class FakeBackend implements AutoCloseable {
   private final ServerSocket socket;
   private final ResponseScript script;
   private final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
   private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-  /** One request as it arrived. */
+  /** A request as received; header names are in lower case. */
   record ReceivedRequest(String line, Map<String, String> headers, String body) {
     String header(String name) {
       return headers.getOrDefault(name.toLowerCase(Locale.ROOT), "");
     }
   }
 
-  /** Answers one request on its connection; closes the connection to break off. */
+  /**
+   * Writes the response to a request on its connection, or closes the connection to end it early.
+   */
   interface ResponseScript {
     void respond(ReceivedRequest request, Socket connection) throws Exception;
   }
@@ -70,13 +72,13 @@
         request = connection.isClosed() ? null : read(in);
       }
     } catch (Exception e) {
-      // The other side closed the connection, or the script did.
+      // The gateway or the script closed the connection.
     }
   }
 
   private static @Nullable ReceivedRequest read(InputStream in) throws IOException {
-    String line = readLine(in);
-    if (line.isEmpty()) {
+    String requestLine = readLine(in);
+    if (requestLine.isEmpty()) {
       return null;
     }
     Map<String, String> headers = new TreeMap<>();
@@ -89,17 +91,17 @@
     }
     int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
     String body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
-    return new ReceivedRequest(line, headers, body);
+    return new ReceivedRequest(requestLine, headers, body);
   }
 
   private static String readLine(InputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
-    int next = in.read();
-    while (next >= 0 && next != '\n') {
-      if (next != '\r') {
-        line.write(next);
+    int octet = in.read();
+    while (octet >= 0 && octet != '\n') {
+      if (octet != '\r') {
+        line.write(octet);
       }
-      next = in.read();
+      octet = in.read();
     }
     return line.toString(StandardCharsets.US_ASCII);
   }
@@ -109,7 +111,7 @@
     connection.getOutputStream().flush();
   }
 
-  /** Returns a whole answer to the request. */
+  /** Returns a complete response to the request. */
   static String response(ReceivedRequest request, int status, String body) {
     return "HTTP/1.1 %d X\r\nAttempt-Id: %s\r\nResponse-Seal: s\r\nContent-Length: %d\r\n\r\n%s"
         .formatted(
@@ -119,7 +121,7 @@
             body);
   }
 
-  /** Returns the head of a stream. */
+  /** Returns the status line and headers of a response with an event stream. */
   static String streamResponseHead(ReceivedRequest request) {
     return """
         HTTP/1.1 200 OK\r
@@ -132,11 +134,12 @@
         .formatted(request.header("Attempt-Id"));
   }
 
-  /** Returns one chunk of a chunked body; the last one for an empty text. */
+  /** Returns one chunk of a chunked body; an empty text gives the final chunk. */
   static String chunk(String text) {
     return "%x\r\n%s\r\n".formatted(text.getBytes(StandardCharsets.UTF_8).length, text);
   }
 
+  /** Returns a chunk with one event, which holds one token. */
   static String event(int id) {
     return chunk("id: %d\ndata: token %d\n\n".formatted(id, id));
   }
--- a/src/test/java/org/curranthaven/platform/HttpRequestFuzzTest.java
+++ b/src/test/java/org/curranthaven/platform/HttpRequestFuzzTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Sends damaged requests to both doors; each seed gives the same bytes. */
+/**
+ * Sends damaged requests to the caller address of the gateway and to the control address of the
+ * control host. A seed always gives the same bytes.
+ */
 @Timeout(180)
 class HttpRequestFuzzTest extends RoutedFleetFixture {
   private static final int CASES = 250;
@@ -28,7 +31,7 @@
           + "{\"service\":\"plain\",\"address\":\"127.0.0.1:9\",\"slots\":4,"
           + "\"state\":\"draining\",\"seq\":999999}";
 
-  private static final List<String> SPLICES =
+  private static final List<String> INSERTIONS =
       List.of(
           "\r\n",
           "\n",
@@ -43,23 +46,30 @@
           ":",
           "x".repeat(40_000));
 
-  /** Returns the text with a few bytes changed, left out or put in. */
+  /**
+   * Returns the text with one to three changes: a byte replaced, bytes deleted or inserted, or the
+   * end cut off.
+   */
   private static byte[] damaged(String text, SplittableRandom random) {
     StringBuilder damaged = new StringBuilder(text);
     int changes = random.nextInt(1, 4);
     for (int i = 0; i < changes; i++) {
-      int at = random.nextInt(damaged.length());
+      int position = random.nextInt(damaged.length());
       switch (random.nextInt(4)) {
-        case 0 -> damaged.setCharAt(at, (char) random.nextInt(256));
-        case 1 -> damaged.delete(at, Math.min(damaged.length(), at + random.nextInt(1, 12)));
-        case 2 -> damaged.insert(at, SPLICES.get(random.nextInt(SPLICES.size())));
-        default -> damaged.setLength(Math.max(1, at));
+        case 0 -> damaged.setCharAt(position, (char) random.nextInt(256));
+        case 1 ->
+            damaged.delete(position, Math.min(damaged.length(), position + random.nextInt(1, 12)));
+        case 2 -> damaged.insert(position, INSERTIONS.get(random.nextInt(INSERTIONS.size())));
+        default -> damaged.setLength(Math.max(1, position));
       }
     }
     return damaged.toString().getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** Sends bytes and reads until the other side closes; returns what came. */
+  /**
+   * Sends bytes and reads until the server closes the connection; returns the response, or an empty
+   * text if the connection was reset.
+   */
   private static String send(String address, byte[] bytes) throws IOException {
     int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -68,24 +78,33 @@
       socket.shutdownOutput();
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     } catch (SocketTimeoutException e) {
-      throw new AssertionError("neither answered nor closed", e);
+      throw new AssertionError(
+          "server at "
+              + address
+              + " neither responded nor closed the connection within "
+              + READ_TIMEOUT_MILLIS
+              + " ms",
+          e);
     } catch (IOException e) {
       return "";
     }
   }
 
   @Test
-  void damaged_calls_are_answered_or_closed_and_harm_no_other_call() throws Exception {
+  void damaged_requests_end_with_a_response_or_a_closed_connection_and_affect_no_other_request()
+      throws Exception {
     try (FakeBackend backend =
         new FakeBackend(
             (request, connection) ->
-                FakeBackend.write(connection, FakeBackend.response(request, 200, "whole")))) {
+                FakeBackend.write(connection, FakeBackend.response(request, 200, "complete")))) {
       register("i-1", backend, "ready", 1);
       SplittableRandom random = new SplittableRandom(41);
       for (int i = 0; i < CASES; i++) {
         send(callerAddress, damaged(VALID_REQUEST, random));
         if (i % PROBE_EVERY == 0) {
-          assertThat(sendRawRequest("/pages/probe", "")).as("after case %d", i).endsWith("whole");
+          assertThat(sendRawRequest("/pages/probe", ""))
+              .as("after case %d", i)
+              .endsWith("complete");
         }
       }
       assertThat(backend.received())
@@ -96,22 +115,22 @@
   }
 
   @Test
-  void damaged_control_calls_change_no_catalog_and_stop_nothing() throws Exception {
+  void damaged_control_requests_change_no_catalog_and_stop_no_host() throws Exception {
     try (FakeBackend backend =
         new FakeBackend(
             (request, connection) ->
-                FakeBackend.write(connection, FakeBackend.response(request, 200, "whole")))) {
+                FakeBackend.write(connection, FakeBackend.response(request, 200, "complete")))) {
       register("i-9", backend, "ready", 1);
       SplittableRandom random = new SplittableRandom(42);
       String catalog = CATALOG.formatted(1).strip();
-      String change =
+      String catalogRequest =
           "PUT /api/config HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
               .formatted(catalog.length(), catalog);
       for (int i = 0; i < CASES; i++) {
-        send(controlAddress, damaged(i % 2 == 0 ? REGISTRATION : change, random));
+        send(controlAddress, damaged(i % 2 == 0 ? REGISTRATION : catalogRequest, random));
       }
       assertThat(sendControlRequest("GET", "/api/config", "").body()).contains("\"version\":1");
-      assertThat(sendRawRequest("/pages/probe", "")).endsWith("whole");
+      assertThat(sendRawRequest("/pages/probe", "")).endsWith("complete");
     }
   }
 }
--- a/src/test/java/org/curranthaven/platform/PlatformWordsTest.java
+++ b/src/test/java/org/curranthaven/platform/PlatformWordsTest.java
@@ -10,7 +10,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Holds the platform's words inside its folder, and the folder small. */
+/**
+ * Checks that the platform's names for headers, paths and JSON members occur only in the package
+ * that translates them, and that this package stays small.
+ */
 class PlatformWordsTest {
   private static final Path SOURCES = Path.of("src/main/java/org/curranthaven");
   private static final Path PLATFORM_FOLDER = SOURCES.resolve("platform");
@@ -59,25 +62,25 @@
   }
 
   @Test
-  void no_word_of_the_platform_stands_outside_its_folder() throws IOException {
-    List<String> found = new ArrayList<>();
+  void no_name_of_the_platform_occurs_outside_its_package() throws IOException {
+    List<String> violations = new ArrayList<>();
     for (Path file : sourceFiles(SOURCES)) {
       if (!file.startsWith(PLATFORM_FOLDER)) {
         String text = Files.readString(file);
         PLATFORM_NAMES.stream()
             .filter(text::contains)
-            .forEach(word -> found.add(file + ": " + word));
+            .forEach(name -> violations.add(file + ": " + name));
       }
     }
-    assertThat(found).isEmpty();
+    assertThat(violations).isEmpty();
   }
 
   @Test
-  void the_folder_stays_small() throws IOException {
-    long lines = 0;
+  void the_package_stays_small() throws IOException {
+    long lineCount = 0;
     for (Path file : sourceFiles(PLATFORM_FOLDER)) {
-      lines += Files.readAllLines(file).size();
+      lineCount += Files.readAllLines(file).size();
     }
-    assertThat(lines).isLessThan(MAX_LINES);
+    assertThat(lineCount).isLessThan(MAX_LINES);
   }
 }
--- a/src/test/java/org/curranthaven/platform/RequestTranslationTest.java
+++ b/src/test/java/org/curranthaven/platform/RequestTranslationTest.java
@@ -45,20 +45,20 @@
   }
 
   @Test
-  void a_request_is_decoded_once() {
-    InboundRequest call = read(request());
+  void a_request_and_its_headers_are_decoded() {
+    InboundRequest inbound = read(request());
 
-    assertThat(call.host()).isEqualTo("stories.example");
-    assertThat(call.path()).isEqualTo("/a/x");
-    assertThat(call.key()).isEqualTo("k1");
-    assertThat(call.promptTokens()).isEqualTo(1_460);
-    assertThat(call.maxOutputTokens()).isEqualTo(80);
-    assertThat(call.parts()).hasSize(2);
-    assertThat(call.deadlineMillis()).isEqualTo(39_000);
+    assertThat(inbound.host()).isEqualTo("stories.example");
+    assertThat(inbound.path()).isEqualTo("/a/x");
+    assertThat(inbound.key()).isEqualTo("k1");
+    assertThat(inbound.promptTokens()).isEqualTo(1_460);
+    assertThat(inbound.maxOutputTokens()).isEqualTo(80);
+    assertThat(inbound.parts()).hasSize(2);
+    assertThat(inbound.deadlineMillis()).isEqualTo(39_000);
   }
 
   @Test
-  void headers_that_only_the_system_sets_are_never_passed_on_from_a_caller() {
+  void headers_that_only_the_system_sets_are_not_forwarded_from_a_caller() {
     FullHttpRequest request = request();
     for (String name : Headers.SET_BY_SYSTEM) {
       request.headers().set(name, "forged");
@@ -69,26 +69,26 @@
   }
 
   @Test
-  void the_key_is_replaced_by_the_workspace() {
-    FullHttpRequest passed = forwarded(request());
+  void the_key_is_replaced_by_the_workspace_name() {
+    FullHttpRequest forwarded = forwarded(request());
 
-    assertThat(passed.headers().get("X-Api-Key")).isNull();
-    assertThat(passed.headers().get("Tenant")).isEqualTo("t1");
-    assertThat(passed.headers().get("Expect-Instance")).isEqualTo("i-1");
-    assertThat(passed.headers().get("Deadline-Ms")).isEqualTo("500");
+    assertThat(forwarded.headers().get("X-Api-Key")).isNull();
+    assertThat(forwarded.headers().get("Tenant")).isEqualTo("t1");
+    assertThat(forwarded.headers().get("Expect-Instance")).isEqualTo("i-1");
+    assertThat(forwarded.headers().get("Deadline-Ms")).isEqualTo("500");
   }
 
   @Test
-  void method_path_query_body_and_own_headers_stay_as_they_are() {
+  void method_path_query_body_and_custom_headers_are_forwarded_unchanged() {
     FullHttpRequest request = request();
-    request.headers().add("Connection", "x-once, Attempt-Id").add("X-Once", "1").add("X-Own", "2");
+    request.headers().add("Connection", "x-hop, Attempt-Id").add("X-Hop", "1").add("X-Custom", "2");
 
-    FullHttpRequest passed = forwarded(request);
+    FullHttpRequest forwarded = forwarded(request);
 
-    assertThat(passed.uri()).isEqualTo("/a/x?y=1");
-    assertThat(passed.content().toString(StandardCharsets.UTF_8)).isEqualTo("body");
-    assertThat(passed.headers().get("X-Own")).isEqualTo("2");
-    assertThat(passed.headers().get("X-Once")).isNull();
-    assertThat(passed.headers().get("Attempt-Id")).isEqualTo("id-1");
+    assertThat(forwarded.uri()).isEqualTo("/a/x?y=1");
+    assertThat(forwarded.content().toString(StandardCharsets.UTF_8)).isEqualTo("body");
+    assertThat(forwarded.headers().get("X-Custom")).isEqualTo("2");
+    assertThat(forwarded.headers().get("X-Hop")).isNull();
+    assertThat(forwarded.headers().get("Attempt-Id")).isEqualTo("id-1");
   }
 }
--- a/src/test/java/org/curranthaven/platform/RoutedFleetFixture.java
+++ b/src/test/java/org/curranthaven/platform/RoutedFleetFixture.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts one control host and one gateway on loopback before each test. */
+/** Starts one control host and one gateway on loopback addresses before each test. */
 abstract class RoutedFleetFixture {
   static final String CATALOG =
       """
@@ -55,23 +55,24 @@
   @BeforeEach
   void startFleet() throws Exception {
     List<String> addresses = LocalFleet.freeAddresses(3);
-    String controlPeer = addresses.get(0);
+    String controlPeerAddress = addresses.get(0);
     controlAddress = addresses.get(1);
     callerAddress = addresses.get(2);
     PlatformProtocol protocol = new PlatformProtocol();
-    DataFolder data = ((Outcome.Success<DataFolder>) DataFolder.open(folder)).value();
+    DataFolder dataFolder = ((Outcome.Success<DataFolder>) DataFolder.open(folder)).value();
     new ControlHost(
-            settings("control-1", controlPeer, controlPeer, null, controlAddress, folder),
+            settings(
+                "control-1", controlPeerAddress, controlPeerAddress, null, controlAddress, folder),
             protocol,
-            data,
+            dataFolder,
             Clock.system())
         .start();
     new Gateway(
-            // Hosts find each other at the same port, so the gateway has an address of its own.
+            // All hosts use the same peer port, so the gateway needs a separate IP address.
             settings(
                 "gateway-1",
-                controlPeer.replace("127.0.0.1", "127.0.0.2"),
-                controlPeer,
+                controlPeerAddress.replace("127.0.0.1", "127.0.0.2"),
+                controlPeerAddress,
                 callerAddress,
                 null,
                 null),
@@ -86,22 +87,22 @@
 
   private static RoutedSettings settings(
       String name,
-      String peer,
+      String peerAddress,
       String contact,
-      @Nullable String caller,
-      @Nullable String control,
-      @Nullable Path data) {
+      @Nullable String callerAddress,
+      @Nullable String controlAddress,
+      @Nullable Path dataFolder) {
     return new RoutedSettings(
         name,
         "here",
-        peer,
-        caller,
+        peerAddress,
+        callerAddress,
         null,
-        control,
+        controlAddress,
         null,
-        data == null ? null : data.toString(),
+        dataFolder == null ? null : dataFolder.toString(),
         List.of(contact),
-        data != null,
+        dataFolder != null,
         0,
         1,
         0.2,
@@ -120,17 +121,19 @@
     return client.send(request, HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Sends a catalog until it is accepted, as operators do. */
+  /** Sends a catalog repeatedly until the control host accepts it, as operators do. */
   void putCatalog(String catalog) throws Exception {
     while (sendControlRequest("PUT", "/api/config", catalog).statusCode() != 200) {
       Thread.sleep(100);
     }
   }
 
+  /** Registers a backend server of the plain service. */
   void register(String id, FakeBackend backend, String state, long seq) throws Exception {
     register(id, backend, state, seq, "plain");
   }
 
+  /** Sends a registration repeatedly until the control host accepts it. */
   void register(String id, FakeBackend backend, String state, long seq, String service)
       throws Exception {
     String body =
@@ -143,38 +146,43 @@
     }
   }
 
+  /** Sends a request with the gateway's address as its host name, which no route has. */
   HttpResponse<String> sendRequest(String path) throws Exception {
     return client.send(buildRequest(path), HttpResponse.BodyHandlers.ofString());
   }
 
   private HttpRequest buildRequest(String path) {
     return HttpRequest.newBuilder(URI.create("http://" + callerAddress + path))
-        .header("Attempt-Id", "call-" + nextRequestNumber++)
+        .header("Attempt-Id", "request-" + nextRequestNumber++)
         .header("Deadline-Ms", "60000")
         .header("X-Api-Key", "k1")
         .POST(HttpRequest.BodyPublishers.ofString("question"))
         .build();
   }
 
-  /** The JDK's client sets the host name itself, so the catalog's host is written by hand here. */
+  /**
+   * Sends a request with the host name of the catalog's routes, which the JDK's HTTP client cannot
+   * set, and returns the response.
+   */
   String sendRawRequest(String path, String headers) throws Exception {
     try (Socket socket = openRawRequest(path, headers)) {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
   }
 
+  /** Sends a request with the host name of the catalog's routes; the caller reads the response. */
   Socket openRawRequest(String path, String headers) throws Exception {
     int port = Integer.parseInt(callerAddress.substring(callerAddress.indexOf(':') + 1));
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-    String request =
-        "POST %s HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: call-%d\r\nDeadline-Ms: 60000\r\n%s"
+    String rawRequest =
+        "POST %s HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: request-%d\r\nDeadline-Ms: 60000\r\n%s"
                 .formatted(path, nextRequestNumber++, headers)
             + "X-Api-Key: k1\r\nConnection: close\r\nContent-Length: 8\r\n\r\nquestion";
-    FakeBackend.write(socket, request);
+    FakeBackend.write(socket, rawRequest);
     return socket;
   }
 
-  static int status(String answer) {
-    return Integer.parseInt(answer.split(" ", 3)[1]);
+  static int status(String response) {
+    return Integer.parseInt(response.split(" ", 3)[1]);
   }
 }
