--- a/src/test/java/org/curranthaven/platform/RoutedFleetFixture.java
+++ b/src/test/java/org/curranthaven/platform/RoutedFleetFixture.java
@@ -174,9 +174,13 @@
   Socket openRawRequest(String path, String headers) throws Exception {
     int port = Integer.parseInt(callerAddress.substring(callerAddress.indexOf(':') + 1));
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+    String head =
+        "POST %s HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: request-%d\r\n"
+            .formatted(path, nextRequestNumber++);
     String rawRequest =
-        "POST %s HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: request-%d\r\nDeadline-Ms: 60000\r\n%s"
-                .formatted(path, nextRequestNumber++, headers)
+        head
+            + "Deadline-Ms: 60000\r\n"
+            + headers
             + "X-Api-Key: k1\r\nConnection: close\r\nContent-Length: 8\r\n\r\nquestion";
     FakeBackend.write(socket, rawRequest);
     return socket;
