--- a/src/main/java/org/curranthaven/internal/gateway/Metrics.java
+++ b/src/main/java/org/curranthaven/internal/gateway/Metrics.java
@@ -38,7 +38,7 @@
 
   /** Counts a request that ended with an error. */
   public void failed(String className, ResultCode code) {
-    targetMonitor.failed(className, clock.nowMillis());
+    targetMonitor.recordFailure(className, clock.nowMillis());
     Counter.builder("curranthaven_failures")
         .tag("class", className)
         .tag("code", String.valueOf(code.number()))
@@ -53,14 +53,14 @@
 
   /** Records the time from a request's arrival to its first token or plain service response. */
   public void firstReply(ServiceClass serviceClass, long millis) {
-    targetMonitor.firstReply(
+    targetMonitor.recordFirstReply(
         serviceClass.name(), millis, serviceClass.targets().firstReplyMillis(), clock.nowMillis());
     timer("curranthaven_first_reply", serviceClass.name()).record(Duration.ofMillis(millis));
   }
 
   /** Records the time between two tokens of a stream. */
   public void tokenGap(ServiceClass serviceClass, long millis) {
-    targetMonitor.gap(
+    targetMonitor.recordGap(
         serviceClass.name(), millis, serviceClass.targets().gapMillis(), clock.nowMillis());
     timer("curranthaven_token_gap", serviceClass.name()).record(Duration.ofMillis(millis));
   }
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -102,7 +102,7 @@
             random,
             new RetryLimits(
                 settings.retryRatio(), settings.retrySlack(), settings.retryWindowMillis()),
-            settings.backendSilenceMillis(),
+            settings.backendTimeoutMillis(),
             this::connectedGateways,
             network::send);
     this.leaderClient = new LeaderClient(eventLoop, clock, network, leadership::leaderHost);
--- a/src/main/java/org/curranthaven/platform/CatalogTranslation.java
+++ b/src/main/java/org/curranthaven/platform/CatalogTranslation.java
@@ -21,18 +21,19 @@
 import org.curranthaven.internal.settings.Json;
 import org.jspecify.annotations.Nullable;
 
-/** Reads the platform's configuration document. */
+/** Decodes the platform's configuration document into a catalog. */
 final class CatalogTranslation implements CatalogCodec {
   @Override
   public Outcome<Catalog> decode(byte[] document) {
     try {
       JsonNode root = Json.LENIENT.readTree(document);
       if (root == null || !root.isObject()) {
-        return invalid("the document is no object");
+        return invalid("the document is not a JSON object; send the complete configuration");
       }
       return Outcome.success(catalog(root));
     } catch (IOException e) {
-      return invalid("the document is not whole JSON");
+      return invalid(
+          "the document is incomplete or not valid JSON; send the complete configuration");
     } catch (IllegalArgumentException e) {
       return invalid(String.valueOf(e.getMessage()));
     }
@@ -44,68 +45,80 @@
 
   private static Catalog catalog(JsonNode root) {
     List<Route> routes = new ArrayList<>();
-    list(root, "routes").forEach(node -> routes.add(route(node)));
+    requiredArray(root, "routes").forEach(node -> routes.add(route(node)));
     List<ServiceSpec> services = new ArrayList<>();
-    list(root, "services").forEach(node -> services.add(service(node)));
-    JsonNode tenants = root.get("tenants");
+    requiredArray(root, "services").forEach(node -> services.add(service(node)));
+    // A tenant of the platform is a workspace. Without the member, no route needs a key.
+    JsonNode workspaces = root.get("tenants");
     return new Catalog(
-        whole(root, "version"),
+        requiredNumber(root, "version"),
         routes,
         services,
         limits(root.path("limits")),
-        tenants == null || tenants.isNull() ? null : workspaces(list(root, "tenants")));
+        workspaces == null || workspaces.isNull()
+            ? null
+            : workspacesByKey(requiredArray(root, "tenants")));
   }
 
   private static Route route(JsonNode node) {
     return new Route(
-        text(node, "name"),
-        text(node, "host").toLowerCase(Locale.ROOT),
-        text(node, "pathPrefix"),
-        kind(text(node, "kind")),
-        whole(node, "timeoutMs"),
+        requiredText(node, "name"),
+        requiredText(node, "host").toLowerCase(Locale.ROOT),
+        requiredText(node, "pathPrefix"),
+        repeatability(requiredText(node, "kind")),
+        requiredNumber(node, "timeoutMs"),
         node.path("targetLatencyMs").asLong(node.path("timeoutMs").asLong()),
         node.path("gapTargetMs").asLong(0),
         node.path("priority").asInt(0),
         Math.max(1, node.path("attempts").asInt(1)),
         node.path("anonymous").asBoolean(false),
         node.path("resumable").asBoolean(false),
-        shares(node));
+        serviceWeights(node));
   }
 
-  private static Repeatability kind(String word) {
-    return switch (word) {
+  private static Repeatability repeatability(String kind) {
+    return switch (kind) {
       case "idempotent" -> Repeatability.IDEMPOTENT;
       case "non_idempotent" -> Repeatability.NON_IDEMPOTENT;
       case "stream" -> Repeatability.STREAM;
-      default -> throw new IllegalArgumentException("unknown kind '" + word + "'");
+      default ->
+          throw new IllegalArgumentException(
+              "unknown kind '" + kind + "'; use idempotent, non_idempotent or stream");
     };
   }
 
-  private static List<ServiceWeight> shares(JsonNode node) {
-    List<ServiceWeight> shares = new ArrayList<>();
+  private static List<ServiceWeight> serviceWeights(JsonNode node) {
+    List<ServiceWeight> weights = new ArrayList<>();
+    // The "backends" of a route are services with weights, not backend servers.
     if (node.has("backends") && !node.get("backends").isNull()) {
-      for (JsonNode share : list(node, "backends")) {
-        shares.add(new ServiceWeight(text(share, "service"), share.path("weight").asDouble(0)));
+      for (JsonNode entry : requiredArray(node, "backends")) {
+        weights.add(
+            new ServiceWeight(requiredText(entry, "service"), entry.path("weight").asDouble(0)));
       }
     } else {
-      shares.add(new ServiceWeight(text(node, "service"), 1));
+      weights.add(new ServiceWeight(requiredText(node, "service"), 1));
     }
-    return shares;
+    return weights;
   }
 
   private static ServiceSpec service(JsonNode node) {
     return new ServiceSpec(
-        text(node, "name"), node.path("maxConns").asInt(0), engine(node.get("engine")));
+        requiredText(node, "name"),
+        node.path("maxConns").asInt(0),
+        engineCapabilities(node.get("engine")));
   }
 
-  private static @Nullable EngineCapabilities engine(@Nullable JsonNode node) {
+  private static @Nullable EngineCapabilities engineCapabilities(@Nullable JsonNode node) {
     if (node == null || node.isNull()) {
       return null;
     }
     return new EngineCapabilities(
         node.path("slots").asInt(1),
+        // Memory of the engine, in tokens.
         node.path("kvCapacity").asInt(1),
+        // Output tokens in one event of a stream.
         Math.max(1, node.path("stride").asInt(1)),
+        // Whether a running request can be migrated.
         node.path("moves").asBoolean(false),
         node.path("backups").asBoolean(false));
   }
@@ -119,41 +132,47 @@
         node.path("idleTimeoutMs").asLong(standard.idleTimeoutMillis()));
   }
 
-  private static Map<String, CatalogWorkspace> workspaces(JsonNode tenants) {
+  private static Map<String, CatalogWorkspace> workspacesByKey(JsonNode workspaceNodes) {
     Map<String, CatalogWorkspace> byKey = new HashMap<>();
-    for (JsonNode tenant : tenants) {
+    for (JsonNode workspaceNode : workspaceNodes) {
       CatalogWorkspace workspace =
-          new CatalogWorkspace(text(tenant, "name"), tenant.path("priority").asInt(-1));
-      for (JsonNode key : list(tenant, "apiKeys")) {
+          new CatalogWorkspace(
+              requiredText(workspaceNode, "name"), workspaceNode.path("priority").asInt(-1));
+      for (JsonNode key : requiredArray(workspaceNode, "apiKeys")) {
         CatalogWorkspace other = byKey.put(key.asText(), workspace);
         if (other != null && !other.name().equals(workspace.name())) {
-          throw new IllegalArgumentException("two workspaces share a key");
+          throw new IllegalArgumentException(
+              "workspaces "
+                  + other.name()
+                  + " and "
+                  + workspace.name()
+                  + " have the same key; give each its own");
         }
       }
     }
     return byKey;
   }
 
-  private static JsonNode list(JsonNode node, String name) {
-    JsonNode list = node.get(name);
-    if (list == null || !list.isArray()) {
-      throw new IllegalArgumentException("'" + name + "' is no list");
+  private static JsonNode requiredArray(JsonNode node, String name) {
+    JsonNode array = node.get(name);
+    if (array == null || !array.isArray()) {
+      throw new IllegalArgumentException("'" + name + "' is missing or not an array");
     }
-    return list;
+    return array;
   }
 
-  private static String text(JsonNode node, String name) {
+  private static String requiredText(JsonNode node, String name) {
     JsonNode text = node.get(name);
     if (text == null || !text.isTextual() || text.asText().isEmpty()) {
-      throw new IllegalArgumentException("'" + name + "' is no text");
+      throw new IllegalArgumentException("'" + name + "' is missing, empty or not a string");
     }
     return text.asText();
   }
 
-  private static long whole(JsonNode node, String name) {
+  private static long requiredNumber(JsonNode node, String name) {
     JsonNode number = node.get(name);
     if (number == null || !number.isNumber()) {
-      throw new IllegalArgumentException("'" + name + "' is no number");
+      throw new IllegalArgumentException("'" + name + "' is missing or not a number");
     }
     return number.asLong();
   }
--- a/src/main/java/org/curranthaven/platform/PlatformProtocol.java
+++ b/src/main/java/org/curranthaven/platform/PlatformProtocol.java
@@ -12,7 +12,7 @@
 import org.curranthaven.internal.relay.WireProtocol;
 import org.curranthaven.internal.transport.wire.BackendRecord;
 
-/** The words of the users' platform. */
+/** Encodes and decodes the HTTP messages of the platform. Thread-safe. */
 public final class PlatformProtocol implements WireProtocol {
   private final CatalogTranslation catalogs = new CatalogTranslation();
 
@@ -32,24 +32,24 @@
   }
 
   @Override
-  public FullHttpRequest backendRequest(BackendRequest call) {
-    return BackendTranslation.request(call);
+  public FullHttpRequest backendRequest(BackendRequest request) {
+    return BackendTranslation.backendRequest(request);
   }
 
   @Override
   public ResponseHead readResponseHead(HttpResponse response) {
-    return BackendTranslation.answer(response);
+    return BackendTranslation.responseHead(response);
   }
 
   @Override
   public FullHttpRequest transferRequest(
-      InboundRequest call, BackendRecord source, BackendRecord target, boolean last) {
-    return BackendTranslation.moveRequest(call, source, target, last);
+      InboundRequest request, BackendRecord source, BackendRecord target, boolean finalCopy) {
+    return BackendTranslation.transferRequest(request, source, target, finalCopy);
   }
 
   @Override
   public TransferResponse readTransferResponse(int status, byte[] body) {
-    return BackendTranslation.moveAnswer(status, body);
+    return BackendTranslation.transferResponse(status, body);
   }
 
   @Override
--- a/src/test/java/org/curranthaven/platform/PlatformWordsTest.java
+++ b/src/test/java/org/curranthaven/platform/PlatformWordsTest.java
@@ -10,13 +10,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Holds the platform's words inside its folder, and the folder small. */
+/**
+ * Checks that the platform's names for headers, paths and JSON members occur only in the package
+ * that translates them, and that this package stays small.
+ */
 class PlatformWordsTest {
   private static final Path SOURCES = Path.of("src/main/java/org/curranthaven");
-  private static final Path FOLDER = SOURCES.resolve("platform");
+  private static final Path PLATFORM_FOLDER = SOURCES.resolve("platform");
   private static final int MAX_LINES = 1_200;
 
-  private static final List<String> WORDS =
+  private static final List<String> PLATFORM_NAMES =
       List.of(
           "Attempt-Id",
           "Deadline-Ms",
@@ -52,30 +55,32 @@
           "heartbeatAddr",
           "non_idempotent");
 
-  private static List<Path> sources(Path folder) throws IOException {
+  private static List<Path> sourceFiles(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       return files.filter(file -> file.toString().endsWith(".java")).toList();
     }
   }
 
   @Test
-  void no_word_of_the_platform_stands_outside_its_folder() throws IOException {
-    List<String> found = new ArrayList<>();
-    for (Path file : sources(SOURCES)) {
-      if (!file.startsWith(FOLDER)) {
+  void no_name_of_the_platform_occurs_outside_its_package() throws IOException {
+    List<String> violations = new ArrayList<>();
+    for (Path file : sourceFiles(SOURCES)) {
+      if (!file.startsWith(PLATFORM_FOLDER)) {
         String text = Files.readString(file);
-        WORDS.stream().filter(text::contains).forEach(word -> found.add(file + ": " + word));
+        PLATFORM_NAMES.stream()
+            .filter(text::contains)
+            .forEach(name -> violations.add(file + ": " + name));
       }
     }
-    assertThat(found).isEmpty();
+    assertThat(violations).isEmpty();
   }
 
   @Test
-  void the_folder_stays_small() throws IOException {
-    long lines = 0;
-    for (Path file : sources(FOLDER)) {
-      lines += Files.readAllLines(file).size();
+  void the_package_stays_small() throws IOException {
+    long lineCount = 0;
+    for (Path file : sourceFiles(PLATFORM_FOLDER)) {
+      lineCount += Files.readAllLines(file).size();
     }
-    assertThat(lines).isLessThan(MAX_LINES);
+    assertThat(lineCount).isLessThan(MAX_LINES);
   }
 }
--- a/src/test/java/org/curranthaven/platform/RoutedFleetFixture.java
+++ b/src/test/java/org/curranthaven/platform/RoutedFleetFixture.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts one control host and one gateway on loopback before each test. */
+/** Starts one control host and one gateway on loopback addresses before each test. */
 abstract class RoutedFleetFixture {
   static final String CATALOG =
       """
@@ -50,58 +50,59 @@
   private final HttpClient client = HttpClient.newHttpClient();
   String controlAddress = "";
   String callerAddress = "";
-  private int nextId;
+  private int nextRequestNumber;
 
   @BeforeEach
   void startFleet() throws Exception {
     List<String> addresses = LocalFleet.freeAddresses(3);
-    String controlPeer = addresses.get(0);
+    String controlPeerAddress = addresses.get(0);
     controlAddress = addresses.get(1);
     callerAddress = addresses.get(2);
     PlatformProtocol protocol = new PlatformProtocol();
-    DataFolder data = ((Outcome.Success<DataFolder>) DataFolder.open(folder)).value();
+    DataFolder dataFolder = ((Outcome.Success<DataFolder>) DataFolder.open(folder)).value();
     new ControlHost(
-            settings("control-1", controlPeer, controlPeer, null, controlAddress, folder),
+            settings(
+                "control-1", controlPeerAddress, controlPeerAddress, null, controlAddress, folder),
             protocol,
-            data,
+            dataFolder,
             Clock.system())
         .start();
     new Gateway(
-            // Hosts find each other at the same port, so the gateway has an address of its own.
+            // All hosts use the same peer port, so the gateway needs a separate IP address.
             settings(
                 "gateway-1",
-                controlPeer.replace("127.0.0.1", "127.0.0.2"),
-                controlPeer,
+                controlPeerAddress.replace("127.0.0.1", "127.0.0.2"),
+                controlPeerAddress,
                 callerAddress,
                 null,
                 null),
             protocol,
             Clock.system())
         .start();
-    put(CATALOG.formatted(1));
-    while (status(rawCall("/nowhere/", "")) != 404) {
+    putCatalog(CATALOG.formatted(1));
+    while (status(sendRawRequest("/nowhere/", "")) != 404) {
       Thread.sleep(50);
     }
   }
 
   private static RoutedSettings settings(
       String name,
-      String peer,
+      String peerAddress,
       String contact,
-      @Nullable String caller,
-      @Nullable String control,
-      @Nullable Path data) {
+      @Nullable String callerAddress,
+      @Nullable String controlAddress,
+      @Nullable Path dataFolder) {
     return new RoutedSettings(
         name,
         "here",
-        peer,
-        caller,
+        peerAddress,
+        callerAddress,
         null,
-        control,
+        controlAddress,
         null,
-        data == null ? null : data.toString(),
+        dataFolder == null ? null : dataFolder.toString(),
         List.of(contact),
-        data != null,
+        dataFolder != null,
         0,
         1,
         0.2,
@@ -110,7 +111,8 @@
         60_000);
   }
 
-  HttpResponse<String> control(String method, String path, String body) throws Exception {
+  HttpResponse<String> sendControlRequest(String method, String path, String body)
+      throws Exception {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + controlAddress + path))
             .method(method, HttpRequest.BodyPublishers.ofString(body))
@@ -119,17 +121,19 @@
     return client.send(request, HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Sends a catalog until it is accepted, as operators do. */
-  void put(String catalog) throws Exception {
-    while (control("PUT", "/api/config", catalog).statusCode() != 200) {
+  /** Sends a catalog repeatedly until the control host accepts it, as operators do. */
+  void putCatalog(String catalog) throws Exception {
+    while (sendControlRequest("PUT", "/api/config", catalog).statusCode() != 200) {
       Thread.sleep(100);
     }
   }
 
+  /** Registers a backend server of the plain service. */
   void register(String id, FakeBackend backend, String state, long seq) throws Exception {
     register(id, backend, state, seq, "plain");
   }
 
+  /** Sends a registration repeatedly until the control host accepts it. */
   void register(String id, FakeBackend backend, String state, long seq, String service)
       throws Exception {
     String body =
@@ -137,43 +141,52 @@
         {"service":"%s","address":"%s","zone":"here","slots":4,"state":"%s","seq":%d}
         """
             .formatted(service, backend.address(), state, seq);
-    while (control("PUT", "/api/runners/" + id, body).statusCode() != 200) {
+    while (sendControlRequest("PUT", "/api/runners/" + id, body).statusCode() != 200) {
       Thread.sleep(100);
     }
   }
 
-  HttpResponse<String> call(String path) throws Exception {
-    return client.send(request(path), HttpResponse.BodyHandlers.ofString());
+  /** Sends a request with the gateway's address as its host name, which no route has. */
+  HttpResponse<String> sendRequest(String path) throws Exception {
+    return client.send(buildRequest(path), HttpResponse.BodyHandlers.ofString());
   }
 
-  private HttpRequest request(String path) {
+  private HttpRequest buildRequest(String path) {
     return HttpRequest.newBuilder(URI.create("http://" + callerAddress + path))
-        .header("Attempt-Id", "call-" + nextId++)
+        .header("Attempt-Id", "request-" + nextRequestNumber++)
         .header("Deadline-Ms", "60000")
         .header("X-Api-Key", "k1")
         .POST(HttpRequest.BodyPublishers.ofString("question"))
         .build();
   }
 
-  /** The JDK's client sets the host name itself, so the catalog's host is written by hand here. */
-  String rawCall(String path, String headers) throws Exception {
-    try (Socket socket = open(path, headers)) {
+  /**
+   * Sends a request with the host name of the catalog's routes, which the JDK's HTTP client cannot
+   * set, and returns the response.
+   */
+  String sendRawRequest(String path, String headers) throws Exception {
+    try (Socket socket = openRawRequest(path, headers)) {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
   }
 
-  Socket open(String path, String headers) throws Exception {
+  /** Sends a request with the host name of the catalog's routes; the caller reads the response. */
+  Socket openRawRequest(String path, String headers) throws Exception {
     int port = Integer.parseInt(callerAddress.substring(callerAddress.indexOf(':') + 1));
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-    String request =
-        "POST %s HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: call-%d\r\nDeadline-Ms: 60000\r\n%s"
-                .formatted(path, nextId++, headers)
+    String head =
+        "POST %s HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: request-%d\r\n"
+            .formatted(path, nextRequestNumber++);
+    String rawRequest =
+        head
+            + "Deadline-Ms: 60000\r\n"
+            + headers
             + "X-Api-Key: k1\r\nConnection: close\r\nContent-Length: 8\r\n\r\nquestion";
-    FakeBackend.write(socket, request);
+    FakeBackend.write(socket, rawRequest);
     return socket;
   }
 
-  static int status(String answer) {
-    return Integer.parseInt(answer.split(" ", 3)[1]);
+  static int status(String response) {
+    return Integer.parseInt(response.split(" ", 3)[1]);
   }
 }
