--- a/src/main/java/org/curranthaven/internal/bench/ClaimsBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/ClaimsBench.java
@@ -24,8 +24,8 @@
   private static final int CALLERS = 128;
   private static final int CLAIMS = 12_000;
   private static final int LATENCY_CLAIMS = 500;
-  private static final int SYNCS = 500;
-  private static final long READY_MILLIS = 20_000;
+  private static final int SYNCED_WRITES = 500;
+  private static final long READY_TIMEOUT_MILLIS = 20_000;
 
   private final Consumer<String> out;
 
@@ -36,20 +36,21 @@
 
   /** Runs everything. */
   public void run() throws IOException, InterruptedException {
-    double syncsPerSecond = syncsPerSecond();
+    double syncsPerSecond = syncedWritesPerSecond();
     out.accept("synced writes of 256 bytes a second: %.0f".formatted(syncsPerSecond));
     try (LocalFleet fleet = LocalFleet.start(3, 3)) {
       Ledger ledger = fleet.host(0).ledger();
       boolean led =
-          LocalFleet.await(READY_MILLIS, () -> claimOnce(ledger) instanceof Outcome.Success);
+          LocalFleet.await(
+              READY_TIMEOUT_MILLIS, () -> claimOnce(ledger) instanceof Outcome.Success);
       if (!led) {
         throw new IOException("the ledger groups have no leader");
       }
       // The groups' voters and the code's compilation settle first.
-      throughput(ledger, CLAIMS / 4);
+      measureThroughput(ledger, CLAIMS / 4);
       Thread.sleep(2_000);
-      latency(ledger);
-      double claims = throughput(ledger, CLAIMS);
+      measureLatency(ledger);
+      double claims = measureThroughput(ledger, CLAIMS);
       out.accept(
           "claims a second, %d callers, 3 voters: %.0f, %.2f times the synced writes"
               .formatted(CALLERS, claims, claims / syncsPerSecond));
@@ -68,7 +69,7 @@
     }
   }
 
-  private void latency(Ledger ledger) {
+  private void measureLatency(Ledger ledger) {
     long[] micros = new long[LATENCY_CLAIMS];
     for (int i = 0; i < LATENCY_CLAIMS; i++) {
       long start = System.nanoTime();
@@ -81,7 +82,7 @@
             .formatted(micros[LATENCY_CLAIMS / 2], micros[(int) (LATENCY_CLAIMS * 0.99)]));
   }
 
-  private double throughput(Ledger ledger, int claims) throws InterruptedException {
+  private double measureThroughput(Ledger ledger, int claims) throws InterruptedException {
     AtomicLong failed = new AtomicLong();
     AtomicLongArray nanos = new AtomicLongArray(claims);
     AtomicLong next = new AtomicLong();
@@ -115,15 +116,15 @@
     return claims / seconds;
   }
 
-  private static double syncsPerSecond() throws IOException {
+  private static double syncedWritesPerSecond() throws IOException {
     Path file = Files.createTempFile("curranthaven-", ".sync");
     try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
       long start = System.nanoTime();
-      for (int i = 0; i < SYNCS; i++) {
+      for (int i = 0; i < SYNCED_WRITES; i++) {
         channel.write(ByteBuffer.allocate(256));
         channel.force(false);
       }
-      return SYNCS * 1e9 / (System.nanoTime() - start);
+      return SYNCED_WRITES * 1e9 / (System.nanoTime() - start);
     } finally {
       Files.delete(file);
     }
--- a/src/main/java/org/curranthaven/internal/bench/LineFit.java
+++ b/src/main/java/org/curranthaven/internal/bench/LineFit.java
@@ -5,12 +5,12 @@
 /**
  * A straight line through measured points, by least squares.
  *
- * @param base value at size 0
+ * @param intercept value at size 0
  * @param slope value added for each unit of size
- * @param largestErrorShare largest distance of a point from the line, as a share of the largest
+ * @param maxRelativeError largest distance of a point from the line, as a share of the largest
  *     value
  */
-public record LineFit(double base, double slope, double largestErrorShare) {
+public record LineFit(double intercept, double slope, double maxRelativeError) {
 
   /** A measured point. */
   public record Point(double size, double value) {}
@@ -34,7 +34,7 @@
   }
 
   /** Returns the value of the line at a size. */
-  public double at(double size) {
-    return base + slope * size;
+  public double valueAt(double size) {
+    return intercept + slope * size;
   }
 }
--- a/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
@@ -27,10 +27,10 @@
 /** Measures what a host adds to streams: from an engine directly and through a host, in turns. */
 public final class OverheadBench {
   private static final int ROUNDS = 3;
-  private static final int TOKENS = 200;
+  private static final int TOKENS_PER_STREAM = 200;
   private static final int ENGINES = 4;
-  private static final long READY_MILLIS = 20_000;
-  private static final long PATIENCE_SECONDS = 120;
+  private static final long READY_TIMEOUT_MILLIS = 20_000;
+  private static final long ROUND_TIMEOUT_SECONDS = 120;
 
   private final Consumer<String> out;
   private final int streams;
@@ -48,62 +48,62 @@
   }
 
   private static final class Sample {
-    final Histogram firstMicros = new Histogram(60_000_000, 3);
+    final Histogram firstTokenMicros = new Histogram(60_000_000, 3);
     final Histogram gapMicros = new Histogram(60_000_000, 3);
     final AtomicLong tokens = new AtomicLong();
-    final AtomicLong broken = new AtomicLong();
-    long nanos;
+    final AtomicLong failures = new AtomicLong();
+    long elapsedNanos;
 
-    synchronized void first(long micros) {
-      firstMicros.recordValue(micros);
+    synchronized void recordFirstToken(long micros) {
+      firstTokenMicros.recordValue(micros);
     }
 
-    synchronized void gap(long micros) {
+    synchronized void recordGap(long micros) {
       gapMicros.recordValue(micros);
     }
   }
 
   /** Sets up a host that serves a class and a model; it is the bench's own operator. */
-  public interface Setup {
+  public interface FleetSetup {
     /** Configures the fleet behind the HTTP address. */
     void configure(String httpAddress) throws IOException, InterruptedException;
   }
 
   /** Runs everything. */
-  public void run(Setup setup) throws IOException, InterruptedException {
+  public void run(FleetSetup setup) throws IOException, InterruptedException {
     try (LocalFleet fleet = LocalFleet.start(1, 1)) {
       String host = fleet.httpAddresses().getFirst();
       setup.configure(host);
-      fleet.awaitReady(READY_MILLIS);
+      fleet.awaitReady(READY_TIMEOUT_MILLIS);
       List<StandinEngine> engines = new java.util.ArrayList<>();
       for (int i = 0; i < ENGINES; i++) {
-        engines.add(StandinEngine.start(options("story-" + i, fleet), new RunLog()));
+        engines.add(StandinEngine.start(engineOptions("story-" + i, fleet), new RunLog()));
       }
       Thread.sleep(2_000);
       Sample direct = new Sample();
       Sample through = new Sample();
       Sample warmUp = new Sample();
-      round(warmUp, i -> host);
-      round(warmUp, i -> engines.get(i % ENGINES).address());
+      runRound(warmUp, i -> host);
+      runRound(warmUp, i -> engines.get(i % ENGINES).address());
       for (int i = 0; i < ROUNDS; i++) {
-        round(direct, j -> engines.get(j % ENGINES).address());
-        round(through, j -> host);
+        runRound(direct, j -> engines.get(j % ENGINES).address());
+        runRound(through, j -> host);
       }
-      report("first token", direct.firstMicros, through.firstMicros);
-      report("gap", direct.gapMicros, through.gapMicros);
+      reportPercentiles("first token", direct.firstTokenMicros, through.firstTokenMicros);
+      reportPercentiles("gap", direct.gapMicros, through.gapMicros);
       out.accept(
           "%d streams: direct %.0f tokens/s, through a host %.0f tokens/s; broken %d and %d"
               .formatted(
                   streams,
-                  direct.tokens.get() * 1e9 / direct.nanos,
-                  through.tokens.get() * 1e9 / through.nanos,
-                  direct.broken.get(),
-                  through.broken.get()));
+                  direct.tokens.get() * 1e9 / direct.elapsedNanos,
+                  through.tokens.get() * 1e9 / through.elapsedNanos,
+                  direct.failures.get(),
+                  through.failures.get()));
       engines.forEach(StandinEngine::close);
     }
   }
 
-  private static StandinOptions options(String name, LocalFleet fleet) {
+  private static StandinOptions engineOptions(String name, LocalFleet fleet) {
     return new StandinOptions(
         name,
         "a",
@@ -115,7 +115,7 @@
         true);
   }
 
-  private void report(String name, Histogram direct, Histogram through) {
+  private void reportPercentiles(String name, Histogram direct, Histogram through) {
     for (double percentile : new double[] {50, 99}) {
       long before = direct.getValueAtPercentile(percentile);
       long after = through.getValueAtPercentile(percentile);
@@ -125,25 +125,25 @@
     }
   }
 
-  private void round(Sample sample, java.util.function.IntFunction<String> address)
+  private void runRound(Sample sample, java.util.function.IntFunction<String> address)
       throws InterruptedException {
     long start = System.nanoTime();
     try (ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor()) {
       for (int i = 0; i < streams; i++) {
         String target = address.apply(i);
-        executor.execute(() -> stream(target, sample));
+        executor.execute(() -> readStream(target, sample));
       }
       executor.shutdown();
-      executor.awaitTermination(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      executor.awaitTermination(ROUND_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
-    sample.nanos += System.nanoTime() - start;
+    sample.elapsedNanos += System.nanoTime() - start;
   }
 
-  private void stream(String address, Sample sample) {
+  private void readStream(String address, Sample sample) {
     String id = UUID.randomUUID().toString();
     String body =
         "{\"model\":\"story\",\"stream\":true,\"generation_id\":\"%s\",\"prompt\":\"[[nonce=%s tokens=%d]]\"}"
-            .formatted(id, id, TOKENS);
+            .formatted(id, id, TOKENS_PER_STREAM);
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + address + "/v1/completions"))
             .header("Authorization", "Bearer " + Workloads.KEY)
@@ -163,20 +163,20 @@
         }
         long now = System.nanoTime();
         if (tokens++ == 0) {
-          sample.first((now - last) / 1_000);
+          sample.recordFirstToken((now - last) / 1_000);
         } else {
-          sample.gap((now - last) / 1_000);
+          sample.recordGap((now - last) / 1_000);
         }
         last = now;
       }
     } catch (IOException e) {
-      sample.broken.incrementAndGet();
+      sample.failures.incrementAndGet();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
     sample.tokens.addAndGet(tokens);
-    if (tokens != TOKENS) {
-      sample.broken.incrementAndGet();
+    if (tokens != TOKENS_PER_STREAM) {
+      sample.failures.incrementAndGet();
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/bench/RestartBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/RestartBench.java
@@ -20,8 +20,8 @@
 
 /** Measures how long a control host takes to read its state after many changes. */
 public final class RestartBench {
-  private static final int[] CHANGES = {100, 1_000, 100_000};
-  private static final int SNAPSHOT_CHANGES = 4_000;
+  private static final int[] CHANGE_COUNTS = {100, 1_000, 100_000};
+  private static final int CHANGES_PER_SNAPSHOT = 4_000;
 
   private final Consumer<String> out;
 
@@ -32,9 +32,9 @@
 
   /** Runs everything. */
   public void run() throws IOException {
-    for (int changes : CHANGES) {
+    for (int changes : CHANGE_COUNTS) {
       Path folder = Files.createTempDirectory("curranthaven-");
-      long bytes = write(folder, changes);
+      long bytes = writeChanges(folder, changes);
       long start = System.nanoTime();
       FleetState state = new FleetState();
       try (GroupStorage storage = GroupStorage.open(folder)) {
@@ -53,7 +53,7 @@
     }
   }
 
-  private static long write(Path folder, int changes) throws IOException {
+  private static long writeChanges(Path folder, int changes) throws IOException {
     FleetState state = new FleetState();
     try (GroupStorage storage = GroupStorage.open(folder)) {
       for (int i = 1; i <= changes; i++) {
@@ -74,7 +74,7 @@
                 .build();
         state.apply(i, command);
         storage.persist(new RaftDecision.AppendEntries(List.of(entry)));
-        if (i % SNAPSHOT_CHANGES == 0) {
+        if (i % CHANGES_PER_SNAPSHOT == 0) {
           SnapshotFile snapshot =
               SnapshotFile.newBuilder()
                   .setLastIndex(i)
--- a/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
@@ -40,15 +40,15 @@
 
 /** Measures what each role's work costs at several sizes, and fits lines through it. */
 public final class SlopesBench {
-  private static final int[] SERVERS = {13, 45, 90, 270, 810};
-  private static final int[] WORKSPACES = {10, 100, 1_000, 4_000};
-  private static final int[] RECEIVERS = {3, 8, 40, 370};
-  private static final int[] RECORDS = {1_000, 10_000, 40_000};
+  private static final int[] BACKEND_COUNTS = {13, 45, 90, 270, 810};
+  private static final int[] WORKSPACE_COUNTS = {10, 100, 1_000, 4_000};
+  private static final int[] RECEIVER_COUNTS = {3, 8, 40, 370};
+  private static final int[] RECORD_COUNTS = {1_000, 10_000, 40_000};
   private static final int DECISIONS = 4_000;
-  private static final int TARGET_STREAMS = 115;
+  private static final int OPEN_STREAMS = 115;
   private static final int REPEATS = 5;
-  private static final int ENVELOPE_BYTES = 12;
-  private static final long PATIENCE_SECONDS = 60;
+  private static final int ENVELOPE_OVERHEAD_BYTES = 12;
+  private static final long PUSH_TIMEOUT_SECONDS = 60;
   private static final double NANOS_PER_MICRO = 1e3;
 
   private final Consumer<String> out;
@@ -62,47 +62,48 @@
   public void run() throws IOException, InterruptedException {
     // The code is compiled by the time that it is measured.
     for (int i = 0; i < REPEATS; i++) {
-      decisionP99Micros(SERVERS[2], 500);
-      announcementsMicros(SERVERS[2]);
-      claimsMicros(new LedgerState(), RECORDS[1]);
+      decisionP99Micros(BACKEND_COUNTS[2], 500);
+      announcementsMicros(BACKEND_COUNTS[2]);
+      claimsMicros(new LedgerState(), RECORD_COUNTS[1]);
     }
-    decisions();
-    announcements();
-    configuration();
-    ledger();
-    push();
+    measureDecisions();
+    measureAnnouncements();
+    measureConfiguration();
+    measureLedger();
+    measurePush();
   }
 
-  private void row(String name, String unit, List<LineFit.Point> points) {
+  private void reportFit(String name, String unit, List<LineFit.Point> points) {
     LineFit fit = LineFit.of(points);
     StringBuilder values = new StringBuilder();
     points.forEach(point -> values.append(" %.0f:%.2f".formatted(point.size(), point.value())));
     out.accept(
         "%-34s %-10s%s | base %.3f slope %.5f error %.0f%%"
-            .formatted(name, unit, values, fit.base(), fit.slope(), 100 * fit.largestErrorShare()));
+            .formatted(
+                name, unit, values, fit.intercept(), fit.slope(), 100 * fit.maxRelativeError()));
   }
 
   // ---- routing ----------------------------------------------------------------------------------
 
-  private void decisions() {
+  private void measureDecisions() {
     List<LineFit.Point> idle = new ArrayList<>();
     List<LineFit.Point> crowded = new ArrayList<>();
-    for (int servers : SERVERS) {
+    for (int servers : BACKEND_COUNTS) {
       idle.add(new LineFit.Point(servers, decisionP99Micros(servers, 0)));
       crowded.add(new LineFit.Point(servers, decisionP99Micros(servers, 500)));
     }
-    row("decision p99, by servers", "us", idle);
-    row("decision p99, 500 queued", "us", crowded);
+    reportFit("decision p99, by servers", "us", idle);
+    reportFit("decision p99, 500 queued", "us", crowded);
     List<LineFit.Point> byQueue = new ArrayList<>();
     for (int queued : new int[] {0, 500, 2_000, 10_000}) {
       byQueue.add(new LineFit.Point(queued, decisionP99Micros(90, queued)));
     }
-    row("decision p99 at 90, by queue", "us", byQueue);
+    reportFit("decision p99 at 90, by queue", "us", byQueue);
     List<LineFit.Point> ticks = new ArrayList<>();
-    for (int servers : SERVERS) {
+    for (int servers : BACKEND_COUNTS) {
       ticks.add(new LineFit.Point(servers, tickMicros(servers)));
     }
-    row("tick, 115 streams and 500 queued", "us", ticks);
+    reportFit("tick, 115 streams and 500 queued", "us", ticks);
   }
 
   /** Returns the time to handle an arrival; with a queue, every server's memory is full. */
@@ -112,7 +113,7 @@
             "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(1));
     int used = queued > 0 ? 2_000 : 200;
     for (int i = 0; i < servers; i++) {
-      core.handle(new RoutingEvent.BackendReported(report("engine-" + i, used)), 0);
+      core.handle(new RoutingEvent.BackendReported(backendReport("engine-" + i, used)), 0);
     }
     long id = 1;
     for (int i = 0; i < queued; i++) {
@@ -137,14 +138,14 @@
         new RoutingCore(
             "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(1));
     for (int i = 0; i < servers; i++) {
-      core.handle(new RoutingEvent.BackendReported(report("engine-" + i, 200)), 0);
+      core.handle(new RoutingEvent.BackendReported(backendReport("engine-" + i, 200)), 0);
     }
     long id = 1;
-    for (int i = 0; i < TARGET_STREAMS; i++) {
+    for (int i = 0; i < OPEN_STREAMS; i++) {
       core.handle(new RoutingEvent.Arrived(request(id++)), 1);
     }
     for (int i = 0; i < servers; i++) {
-      core.handle(new RoutingEvent.BackendReported(report("engine-" + i, 2_000)), 1);
+      core.handle(new RoutingEvent.BackendReported(backendReport("engine-" + i, 2_000)), 1);
     }
     for (int i = 0; i < 500; i++) {
       core.handle(new RoutingEvent.Arrived(request(id++)), 1);
@@ -158,7 +159,7 @@
     return best;
   }
 
-  private static BackendReport report(String name, int used) {
+  private static BackendReport backendReport(String name, int used) {
     return new BackendReport(
         name, "a", Set.of("story"), 2_000, used, used / 50, 0, 64, 0, Long.MIN_VALUE / 2);
   }
@@ -179,19 +180,19 @@
 
   // ---- soft state -------------------------------------------------------------------------------
 
-  private void announcements() {
+  private void measureAnnouncements() {
     List<LineFit.Point> micros = new ArrayList<>();
     List<LineFit.Point> bytes = new ArrayList<>();
-    for (int servers : SERVERS) {
+    for (int servers : BACKEND_COUNTS) {
       micros.add(new LineFit.Point(servers, announcementsMicros(servers)));
       long size = 0;
       for (int i = 0; i < servers; i++) {
-        size += Json.write(announcement(i, 1)).size() + ENVELOPE_BYTES;
+        size += Json.write(announcement(i, 1)).size() + ENVELOPE_OVERHEAD_BYTES;
       }
       bytes.add(new LineFit.Point(servers, size));
     }
-    row("announcements written and read", "us", micros);
-    row("announcements on the wire", "bytes", bytes);
+    reportFit("announcements written and read", "us", micros);
+    reportFit("announcements on the wire", "bytes", bytes);
   }
 
   private static double announcementsMicros(int servers) {
@@ -240,10 +241,10 @@
     return new Configuration(1, new TreeMap<>(), map, new TreeMap<>(), new TreeMap<>());
   }
 
-  private void configuration() {
+  private void measureConfiguration() {
     List<LineFit.Point> bytes = new ArrayList<>();
     List<LineFit.Point> micros = new ArrayList<>();
-    for (int workspaces : WORKSPACES) {
+    for (int workspaces : WORKSPACE_COUNTS) {
       ByteString json = Json.write(configurationOf(workspaces));
       bytes.add(new LineFit.Point(workspaces, json.size()));
       double best = Double.MAX_VALUE;
@@ -254,16 +255,16 @@
       }
       micros.add(new LineFit.Point(workspaces, best));
     }
-    row("configuration, by workspaces", "bytes", bytes);
-    row("configuration read", "us", micros);
+    reportFit("configuration, by workspaces", "bytes", bytes);
+    reportFit("configuration read", "us", micros);
   }
 
   // ---- ledger -----------------------------------------------------------------------------------
 
-  private void ledger() {
+  private void measureLedger() {
     List<LineFit.Point> heap = new ArrayList<>();
     List<LineFit.Point> micros = new ArrayList<>();
-    for (int records : RECORDS) {
+    for (int records : RECORD_COUNTS) {
       LedgerState ledger = new LedgerState();
       long before = usedHeapBytes();
       micros.add(new LineFit.Point(records, claimsMicros(ledger, records)));
@@ -272,8 +273,8 @@
         throw new IllegalStateException("the ledger did not keep every claim");
       }
     }
-    row("claims applied, in all", "us", micros);
-    row("claims on the heap, no answers", "bytes", heap);
+    reportFit("claims applied, in all", "us", micros);
+    reportFit("claims on the heap, no answers", "bytes", heap);
   }
 
   private static double claimsMicros(LedgerState ledger, int records) {
@@ -306,12 +307,12 @@
 
   // ---- push -------------------------------------------------------------------------------------
 
-  private void push() throws IOException, InterruptedException {
+  private void measurePush() throws IOException, InterruptedException {
     List<LineFit.Point> millis = new ArrayList<>();
-    for (int receivers : RECEIVERS) {
+    for (int receivers : RECEIVER_COUNTS) {
       millis.add(new LineFit.Point(receivers, pushMillis(receivers)));
     }
-    row("one change read by all", "ms", millis);
+    reportFit("one change read by all", "ms", millis);
   }
 
   private record Change(List<Edit> edits) {}
@@ -334,7 +335,7 @@
     CountDownLatch[] acknowledged = {new CountDownLatch(receivers)};
     List<Thread> threads = new ArrayList<>();
     PeerNetwork sender =
-        network(
+        createNetwork(
             "sender",
             addresses.getFirst(),
             List.of(),
@@ -347,7 +348,7 @@
     for (int i = 1; i <= receivers; i++) {
       threads.add(
           start(
-              network(
+              createNetwork(
                   "receiver-" + i,
                   addresses.get(i),
                   List.of(addresses.getFirst()),
@@ -361,7 +362,7 @@
     }
     try {
       LocalFleet.await(
-          TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS),
+          TimeUnit.SECONDS.toMillis(PUSH_TIMEOUT_SECONDS),
           () -> sender.connected().size() == receivers);
       double best = Double.MAX_VALUE;
       for (int repeat = 0; repeat < REPEATS; repeat++) {
@@ -373,7 +374,7 @@
               Envelope.newBuilder()
                   .setFreshnessGrant(FreshnessGrant.newBuilder().addDeltas(delta)));
         }
-        if (!acknowledged[0].await(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+        if (!acknowledged[0].await(PUSH_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
           throw new IOException("not every receiver has answered");
         }
         best = Math.min(best, (System.nanoTime() - start) / 1e6);
@@ -384,12 +385,12 @@
     }
   }
 
-  private interface Receiver {
+  private interface MessageHandler {
     void received(PeerNetwork network, HostRecord from, Envelope message);
   }
 
-  private static PeerNetwork network(
-      String name, String address, List<String> contacts, Receiver receiver) {
+  private static PeerNetwork createNetwork(
+      String name, String address, List<String> contacts, MessageHandler receiver) {
     PeerNetwork[] network = new PeerNetwork[1];
     PeerListener listener =
         new PeerListener() {
--- a/src/main/java/org/curranthaven/internal/cli/AdminClient.java
+++ b/src/main/java/org/curranthaven/internal/cli/AdminClient.java
@@ -19,7 +19,7 @@
 
 /** Operators' calls to one host. */
 final class AdminClient {
-  private static final Duration TIMEOUT = Duration.ofSeconds(20);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(20);
   private static final int STATUS_OK = 200;
 
   private final String host;
@@ -34,7 +34,9 @@
   /** Returns a JSON page. */
   JsonNode get(String path) throws IOException, InterruptedException {
     HttpRequest request =
-        HttpRequest.newBuilder(URI.create("http://" + host + path)).timeout(TIMEOUT).build();
+        HttpRequest.newBuilder(URI.create("http://" + host + path))
+            .timeout(REQUEST_TIMEOUT)
+            .build();
     return Json.LENIENT.readTree(client.send(request, HttpResponse.BodyHandlers.ofString()).body());
   }
 
@@ -44,12 +46,13 @@
   }
 
   /** Makes a change on the given revision; returns when it is in force everywhere. */
-  Outcome<JsonNode> change(String changeId, long baseRevision, String operator, List<Edit> edits)
+  Outcome<JsonNode> submitChange(
+      String changeId, long baseRevision, String operator, List<Edit> edits)
       throws IOException, InterruptedException {
     ConfigurationChange change = new ConfigurationChange(changeId, baseRevision, operator, edits);
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + host + "/admin/v1/changes"))
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .header("Content-Type", "application/json")
             .POST(HttpRequest.BodyPublishers.ofString(Json.text(change)))
             .build();
@@ -58,16 +61,16 @@
     if (response.statusCode() == STATUS_OK) {
       return Outcome.success(body);
     }
-    return Outcome.failed(failure(body));
+    return Outcome.failed(parseFailure(body));
   }
 
   /** Makes a change on the revision in force on the host, with a new change id. */
-  Outcome<JsonNode> change(String operator, List<Edit> edits)
+  Outcome<JsonNode> submitChange(String operator, List<Edit> edits)
       throws IOException, InterruptedException {
-    return change(UUID.randomUUID().toString(), configuration().revision(), operator, edits);
+    return submitChange(UUID.randomUUID().toString(), configuration().revision(), operator, edits);
   }
 
-  private static Failure failure(JsonNode body) {
+  private static Failure parseFailure(JsonNode body) {
     int number = body.path("code").asInt();
     ResultCode code = ResultCode.INTERNAL;
     for (ResultCode candidate : ResultCode.values()) {
--- a/src/main/java/org/curranthaven/internal/cli/PageCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/AdminGetCommand.java
@@ -9,38 +9,38 @@
 /**
  * A command that prints one page of a host: {@code get}, {@code history}, {@code dump} and more.
  */
-final class PageCommand implements Command {
+final class AdminGetCommand implements Command {
   private final String name;
   private final String help;
   private final String path;
-  private final String argument;
+  private final String argumentName;
 
   /**
    * Creates the command.
    *
    * @param argument name of an argument that is appended to the path, empty for none
    */
-  PageCommand(String name, String help, String path, String argument) {
+  AdminGetCommand(String name, String help, String path, String argument) {
     this.name = name;
     this.help = help;
     this.path = path;
-    this.argument = argument;
+    this.argumentName = argument;
   }
 
   @Override
   public void register(Subparsers parsers) {
     Subparser parser = parsers.addParser(name).help(help);
-    if (!argument.isEmpty()) {
-      parser.addArgument(argument).help("as the answer's X-Request-Id header gave it");
+    if (!argumentName.isEmpty()) {
+      parser.addArgument(argumentName).help("as the answer's X-Request-Id header gave it");
     }
-    HostOption.add(parser);
+    AdminOptions.add(parser);
     parser.setDefault(Main.COMMAND, this);
   }
 
   @Override
   public int run(Namespace arguments) throws IOException, InterruptedException {
-    String suffix = argument.isEmpty() ? "" : arguments.getString(argument);
-    JsonNode page = HostOption.client(arguments).get(path + suffix);
+    String suffix = argumentName.isEmpty() ? "" : arguments.getString(argumentName);
+    JsonNode page = AdminOptions.client(arguments).get(path + suffix);
     System.out.println(arguments.getBoolean("json") ? page.toString() : page.toPrettyString());
     return 0;
   }
--- a/src/main/java/org/curranthaven/internal/cli/HostOption.java
+++ b/src/main/java/org/curranthaven/internal/cli/AdminOptions.java
@@ -5,10 +5,10 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 
 /** The options that operators' commands share. */
-final class HostOption {
+final class AdminOptions {
   private static final String DEFAULT_HOST = "127.0.0.1:8400";
 
-  private HostOption() {}
+  private AdminOptions() {}
 
   static void add(Subparser parser) {
     parser
@@ -22,7 +22,7 @@
     return new AdminClient(arguments.getString("host"));
   }
 
-  static String operator() {
+  static String operatorName() {
     return System.getProperty("user.name", "operator");
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/ApplyCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ApplyCommand.java
@@ -24,12 +24,12 @@
 /** {@code apply} and {@code diff}: brings the configuration to what a file says. */
 final class ApplyCommand implements Command {
   /** What a file holds; a list that is left out is left alone. */
-  record Wanted(
+  record DesiredConfiguration(
       List<ServiceClass> classes,
       List<Workspace> workspaces,
       List<Model> models,
       List<PlainService> services) {
-    Wanted {
+    DesiredConfiguration {
       classes = classes == null ? List.of() : List.copyOf(classes);
       workspaces = workspaces == null ? List.of() : List.copyOf(workspaces);
       models = models == null ? List.of() : List.copyOf(models);
@@ -50,25 +50,25 @@
         .addArgument("--prune")
         .action(Arguments.storeTrue())
         .help("also remove what the file does not name");
-    HostOption.add(parser);
+    AdminOptions.add(parser);
     parser.setDefault(Main.COMMAND, this).setDefault("action", name);
   }
 
   @Override
   public int run(Namespace arguments) throws IOException, InterruptedException {
-    Wanted wanted;
+    DesiredConfiguration wanted;
     try {
       wanted =
           Json.MAPPER.readValue(
-              Files.readString(Path.of(arguments.getString("file"))), Wanted.class);
+              Files.readString(Path.of(arguments.getString("file"))), DesiredConfiguration.class);
     } catch (JsonProcessingException e) {
       int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-      return Main.fail(
+      return Main.reportFailure(
           Failure.of(
               ResultCode.CONFIGURATION_INVALID,
               arguments.getString("file") + ":" + line + ": " + e.getOriginalMessage()));
     }
-    AdminClient client = HostOption.client(arguments);
+    AdminClient client = AdminOptions.client(arguments);
     Configuration current = client.configuration();
     List<Edit> edits = edits(wanted, current, arguments.getBoolean("prune"));
     if (arguments.getString("action").equals("diff") || edits.isEmpty()) {
@@ -77,15 +77,15 @@
       return 0;
     }
     return ChangeReporter.report(
-        client.change(
+        client.submitChange(
             java.util.UUID.randomUUID().toString(),
             current.revision(),
-            HostOption.operator(),
+            AdminOptions.operatorName(),
             edits),
         arguments.getBoolean("json"));
   }
 
-  static List<Edit> edits(Wanted wanted, Configuration current, boolean prune) {
+  static List<Edit> edits(DesiredConfiguration wanted, Configuration current, boolean prune) {
     List<Edit> edits = new ArrayList<>();
     for (ServiceClass value : wanted.classes()) {
       if (!value.equals(current.classes().get(value.name()))) {
@@ -108,10 +108,10 @@
       }
     }
     if (prune) {
-      prune(edits, Edit.Kind.WORKSPACE, current.workspaces(), names(wanted.workspaces()));
-      prune(edits, Edit.Kind.SERVICE, current.services(), names(wanted.services()));
-      prune(edits, Edit.Kind.MODEL, current.models(), names(wanted.models()));
-      prune(edits, Edit.Kind.CLASS, current.classes(), names(wanted.classes()));
+      addRemovals(edits, Edit.Kind.WORKSPACE, current.workspaces(), names(wanted.workspaces()));
+      addRemovals(edits, Edit.Kind.SERVICE, current.services(), names(wanted.services()));
+      addRemovals(edits, Edit.Kind.MODEL, current.models(), names(wanted.models()));
+      addRemovals(edits, Edit.Kind.CLASS, current.classes(), names(wanted.classes()));
     }
     return edits;
   }
@@ -130,7 +130,7 @@
         .toList();
   }
 
-  private static void prune(
+  private static void addRemovals(
       List<Edit> edits, Edit.Kind kind, Map<String, ?> current, List<String> wanted) {
     for (String name : current.keySet()) {
       if (!wanted.contains(name)) {
--- a/src/main/java/org/curranthaven/internal/cli/ChangeReporter.java
+++ b/src/main/java/org/curranthaven/internal/cli/ChangeReporter.java
@@ -9,7 +9,7 @@
 
   static int report(Outcome<JsonNode> outcome, boolean json) {
     return switch (outcome) {
-      case Outcome.Failed<JsonNode> failed -> Main.fail(failed.failure());
+      case Outcome.Failed<JsonNode> failed -> Main.reportFailure(failed.failure());
       case Outcome.Success<JsonNode> success -> {
         JsonNode result = success.value();
         if (json) {
--- a/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
@@ -65,7 +65,7 @@
       List<Action> actions = Actions.draw(seed, DEFAULT_ACTIONS);
       Violation violation = Actions.violation(seed, replicas, actions, breakage);
       if (violation != null) {
-        return report(seed, replicas, actions, breakage, violation);
+        return reportViolation(seed, replicas, actions, breakage, violation);
       }
     }
     System.out.printf(
@@ -74,14 +74,14 @@
     return 0;
   }
 
-  private static int report(
+  private static int reportViolation(
       long seed, int replicas, List<Action> actions, InjectedFault breakage, Violation violation) {
     List<Action> shortest = Actions.shorten(seed, replicas, actions, breakage);
     System.out.println("seed " + seed + ": " + violation.getMessage());
     System.out.println("shortest trace found, " + shortest.size() + " actions:");
     shortest.forEach(action -> System.out.println("  " + action));
     @Nullable Violation last = Actions.violation(seed, replicas, shortest, breakage);
-    return Main.fail(
+    return Main.reportFailure(
         Failure.of(
             ResultCode.PROMISE_BROKEN,
             "an invariant does not hold: " + (last == null ? violation : last).getMessage()));
--- a/src/main/java/org/curranthaven/internal/cli/ItemCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ConfigurationItemCommand.java
@@ -24,32 +24,32 @@
 import org.curranthaven.internal.settings.Json;
 
 /** {@code class}, {@code workspace}, {@code model} and {@code service}: set, remove and list. */
-final class ItemCommand implements Command {
+final class ConfigurationItemCommand implements Command {
   private final Edit.Kind kind;
 
-  ItemCommand(Edit.Kind kind) {
+  ConfigurationItemCommand(Edit.Kind kind) {
     this.kind = kind;
   }
 
-  private String word() {
+  private String kindName() {
     return kind.name().toLowerCase(Locale.ROOT);
   }
 
   @Override
   public void register(Subparsers parsers) {
-    Subparser parser = parsers.addParser(word()).help("set, remove or list a " + word());
+    Subparser parser = parsers.addParser(kindName()).help("set, remove or list a " + kindName());
     Subparsers actions = parser.addSubparsers().metavar("ACTION");
-    Subparser set = action(actions, "set", "add or change it; in force everywhere on return");
+    Subparser set = addAction(actions, "set", "add or change it; in force everywhere on return");
     set.addArgument("name").help("name");
     addFields(set);
-    Subparser remove = action(actions, "remove", "remove it");
+    Subparser remove = addAction(actions, "remove", "remove it");
     remove.addArgument("name").help("name");
-    action(actions, "list", "list all");
+    addAction(actions, "list", "list all");
   }
 
-  private Subparser action(Subparsers actions, String name, String help) {
+  private Subparser addAction(Subparsers actions, String name, String help) {
     Subparser parser = actions.addParser(name).help(help);
-    HostOption.add(parser);
+    AdminOptions.add(parser);
     if (!name.equals("list")) {
       parser
           .addArgument("--base-revision")
@@ -64,9 +64,9 @@
   private void addFields(Subparser set) {
     switch (kind) {
       case CLASS -> {
-        number(set, "--first-reply-millis", "longest time to the first token");
-        number(set, "--gap-millis", "longest time between two tokens");
-        number(set, "--answer-millis", "longest time to the whole answer");
+        addNumberArgument(set, "--first-reply-millis", "longest time to the first token");
+        addNumberArgument(set, "--gap-millis", "longest time between two tokens");
+        addNumberArgument(set, "--answer-millis", "longest time to the whole answer");
         set.addArgument("--not-repeatable")
             .action(Arguments.storeTrue())
             .help("its calls may run at most once");
@@ -79,27 +79,28 @@
             .setDefault(0.0)
             .help("limit over all hosts; 0 for none");
       }
-      case MODEL -> number(set, "--max-output-tokens", "largest answer that may be asked for");
+      case MODEL ->
+          addNumberArgument(set, "--max-output-tokens", "largest answer that may be asked for");
       case SERVICE ->
           set.addArgument("--default-class").required(true).help("class of calls that name none");
     }
   }
 
-  private static void number(Subparser parser, String name, String help) {
+  private static void addNumberArgument(Subparser parser, String name, String help) {
     parser.addArgument(name).type(Long.class).required(true).help(help);
   }
 
   @Override
   public int run(Namespace arguments) throws IOException, InterruptedException {
-    AdminClient client = HostOption.client(arguments);
+    AdminClient client = AdminOptions.client(arguments);
     if (arguments.getString("action").equals("list")) {
       items(client.configuration()).values().forEach(item -> System.out.println(Json.text(item)));
       return 0;
     }
     try {
-      return change(arguments, client, edit(arguments));
+      return submit(arguments, client, edit(arguments));
     } catch (IllegalArgumentException e) {
-      return Main.fail(
+      return Main.reportFailure(
           Failure.of(ResultCode.CONFIGURATION_INVALID, String.valueOf(e.getMessage())));
     }
   }
@@ -143,15 +144,15 @@
     };
   }
 
-  private static int change(Namespace arguments, AdminClient client, Edit edit)
+  private static int submit(Namespace arguments, AdminClient client, Edit edit)
       throws IOException, InterruptedException {
     Long base = arguments.getLong("base_revision");
     String id = arguments.getString("change_id");
     Outcome<JsonNode> outcome =
-        client.change(
+        client.submitChange(
             id == null ? UUID.randomUUID().toString() : id,
             base == null ? client.configuration().revision() : base,
-            HostOption.operator(),
+            AdminOptions.operatorName(),
             List.of(edit));
     return ChangeReporter.report(outcome, arguments.getBoolean("json"));
   }
--- a/src/main/java/org/curranthaven/internal/cli/DemoCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoCommand.java
@@ -43,7 +43,7 @@
 
   @Override
   public int run(Namespace arguments) throws IOException, InterruptedException {
-    Logging.quiet();
+    Logging.configureErrorsOnly();
     boolean json = arguments.getBoolean("json");
     DemoRun.Options options =
         new DemoRun.Options(
--- a/src/main/java/org/curranthaven/internal/cli/DemoRun.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoRun.java
@@ -26,8 +26,8 @@
   private static final int HOSTS = 5;
   private static final int CONTROL_HOSTS = 3;
   private static final int ENGINE_BLOCKS = 260;
-  private static final long READY_MILLIS = 15_000;
-  private static final long END_MILLIS = 60_000;
+  private static final long READY_TIMEOUT_MILLIS = 15_000;
+  private static final long COMPLETION_TIMEOUT_MILLIS = 60_000;
   private static final long RECLAIM_NOTICE_MILLIS = 1_500;
   private static final int MILLIS_PER_SECOND = 1_000;
 
@@ -44,9 +44,9 @@
    * @param seconds how long to send requests
    * @param requestsPerSecond mean rate of requests
    * @param seed seed of the load
-   * @param hold whether to keep running afterwards
+   * @param keepRunning whether to keep running afterwards
    */
-  record Options(int seconds, double requestsPerSecond, long seed, boolean hold) {}
+  record Options(int seconds, double requestsPerSecond, long seed, boolean keepRunning) {}
 
   /** What a run showed. */
   record Report(
@@ -65,10 +65,10 @@
         Balancer balancer = new Balancer(fleet.httpAddresses())) {
       startStandins(fleet.httpAddresses());
       configure(fleet);
-      say("five hosts in three data centres are ready, configuration in force");
-      Report report = load(fleet, balancer);
-      if (options.hold()) {
-        hold(fleet);
+      printProgress("five hosts in three data centres are ready, configuration in force");
+      Report report = runLoad(fleet, balancer);
+      if (options.keepRunning()) {
+        keepRunning(fleet);
       }
       return report;
     } finally {
@@ -79,16 +79,20 @@
 
   private void startStandins(List<String> hosts) throws IOException {
     for (int i = 1; i <= 3; i++) {
-      engines.add(StandinEngine.start(engine("story-" + i, Workloads.STORY, hosts), runLog));
-      engines.add(StandinEngine.start(engine("lounge-" + i, Workloads.LOUNGE, hosts), runLog));
+      engines.add(
+          StandinEngine.start(standinOptions("story-" + i, Workloads.STORY, hosts), runLog));
+      engines.add(
+          StandinEngine.start(standinOptions("lounge-" + i, Workloads.LOUNGE, hosts), runLog));
     }
     for (int i = 1; i <= 2; i++) {
-      services.add(StandinService.start(engine("desk-" + i, Workloads.DESK, hosts), runLog));
-      services.add(StandinService.start(engine("archive-" + i, Workloads.ARCHIVE, hosts), runLog));
+      services.add(
+          StandinService.start(standinOptions("desk-" + i, Workloads.DESK, hosts), runLog));
+      services.add(
+          StandinService.start(standinOptions("archive-" + i, Workloads.ARCHIVE, hosts), runLog));
     }
   }
 
-  private static StandinOptions engine(String name, String model, List<String> hosts) {
+  private static StandinOptions standinOptions(String name, String model, List<String> hosts) {
     return new StandinOptions(
         name,
         "a",
@@ -104,60 +108,63 @@
     AdminClient admin = new AdminClient(fleet.httpAddresses().getLast());
     boolean answering =
         LocalFleet.await(
-            READY_MILLIS, () -> !fleet.host(HOSTS - 1).network().connected().isEmpty());
+            READY_TIMEOUT_MILLIS, () -> !fleet.host(HOSTS - 1).network().connected().isEmpty());
     Outcome<JsonNode> outcome =
         answering
-            ? admin.change("demo-setup", 0, "demo", Workloads.configuration())
+            ? admin.submitChange("demo-setup", 0, "demo", Workloads.configuration())
             : Outcome.failed(
                 org.curranthaven.api.ResultCode.HOST_UNREACHABLE, "the hosts do not connect");
     if (outcome instanceof Outcome.Failed<JsonNode> failed) {
       throw new IOException(failed.failure().sentence());
     }
-    if (!fleet.awaitReady(READY_MILLIS)) {
+    if (!fleet.awaitReady(READY_TIMEOUT_MILLIS)) {
       throw new IOException("not every host became ready");
     }
   }
 
-  private Report load(LocalFleet fleet, Balancer balancer) throws InterruptedException {
-    LocalFleet.await(READY_MILLIS, () -> balancer.readyCount() == HOSTS);
+  private Report runLoad(LocalFleet fleet, Balancer balancer) throws InterruptedException {
+    LocalFleet.await(READY_TIMEOUT_MILLIS, () -> balancer.readyCount() == HOSTS);
     try (LoadGenerator load =
         new LoadGenerator(Workloads.kinds(), Workloads.classes(), balancer, runLog)) {
-      Thread faults = Thread.ofPlatform().daemon(true).start(() -> faults(fleet, load));
+      Thread faults = Thread.ofPlatform().daemon(true).start(() -> injectFaults(fleet, load));
       load.run(
           (long) options.seconds() * MILLIS_PER_SECOND,
           options.requestsPerSecond(),
           options.seed());
       faults.join();
-      say("all " + load.sent() + " requests are sent; waiting for " + load.open() + " answers");
-      int unfinished = load.awaitEnd(END_MILLIS);
+      printProgress(
+          "all " + load.sent() + " requests are sent; waiting for " + load.open() + " answers");
+      int unfinished = load.awaitEnd(COMPLETION_TIMEOUT_MILLIS);
       long preemptions = engines.stream().mapToLong(StandinEngine::preemptions).sum();
       return new Report(load.classes(), load.promises(), preemptions, unfinished);
     }
   }
 
-  private void faults(LocalFleet fleet, LoadGenerator load) {
+  private void injectFaults(LocalFleet fleet, LoadGenerator load) {
     try {
-      waitUntil(0.15);
+      sleepUntil(0.15);
       boolean silenced = engines.stream().anyMatch(StandinEngine::silenceOneConnection);
-      say(silenced ? "fault: one open stream goes silent for good" : "no stream to silence");
-      waitUntil(0.3);
-      say("fault: engine " + engines.get(0).name() + " is lost");
+      printProgress(
+          silenced ? "fault: one open stream goes silent for good" : "no stream to silence");
+      sleepUntil(0.3);
+      printProgress("fault: engine " + engines.get(0).name() + " is lost");
       engines.get(0).close();
-      waitUntil(0.45);
+      sleepUntil(0.45);
       StandinEngine reclaimed = engines.get(3);
-      say("fault: engine " + reclaimed.name() + " is reclaimed at short notice");
+      printProgress("fault: engine " + reclaimed.name() + " is reclaimed at short notice");
       reclaimed.announceState(BackendAnnouncement.State.RECLAIMED);
       Thread.sleep(RECLAIM_NOTICE_MILLIS);
       reclaimed.close();
-      waitUntil(0.6);
+      sleepUntil(0.6);
       HostProcess leaving = fleet.host(0);
-      say("planned stop of " + leaving.name() + ", which may lead groups");
+      printProgress("planned stop of " + leaving.name() + ", which may lead groups");
       load.plannedStop(leaving.settings().httpAddress());
       int left = leaving.drain();
       leaving.stop();
-      say("planned stop of " + leaving.name() + " is done; " + left + " requests were open");
-      waitUntil(0.8);
-      say("fault: " + fleet.host(4).name() + " stops at once");
+      printProgress(
+          "planned stop of " + leaving.name() + " is done; " + left + " requests were open");
+      sleepUntil(0.8);
+      printProgress("fault: " + fleet.host(4).name() + " stops at once");
       fleet.host(4).stop();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -166,7 +173,7 @@
 
   private long loadStartNanos;
 
-  private void waitUntil(double share) throws InterruptedException {
+  private void sleepUntil(double share) throws InterruptedException {
     if (loadStartNanos == 0) {
       loadStartNanos = System.nanoTime();
     }
@@ -176,20 +183,20 @@
     }
   }
 
-  private void hold(LocalFleet fleet) throws InterruptedException {
-    say("holding; try for example:");
-    say(
+  private void keepRunning(LocalFleet fleet) throws InterruptedException {
+    printProgress("holding; try for example:");
+    printProgress(
         "  curl -N http://"
             + fleet.httpAddresses().get(1)
             + "/v1/completions -H 'Authorization: Bearer "
             + Workloads.KEY
             + "' -d '{\"model\":\"lounge\",\"stream\":true,"
             + "\"prompt\":\"[[nonce=me tokens=20]]\"}'");
-    say("  curl http://" + fleet.httpAddresses().get(1) + "/admin/v1/dump");
+    printProgress("  curl http://" + fleet.httpAddresses().get(1) + "/admin/v1/dump");
     Thread.sleep(Long.MAX_VALUE);
   }
 
-  private void say(String text) {
+  private void printProgress(String text) {
     progress.accept("%6.1f s  %s".formatted((System.nanoTime() - startNanos) / 1e9, text));
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
@@ -15,8 +15,8 @@
 
 /** {@code load}: asks hosts as callers do, in both users' shapes, and checks every answer. */
 final class LoadCommand implements Command {
-  private static final long END_MILLIS = 120_000;
-  private static final long BALANCER_MILLIS = 500;
+  private static final long COMPLETION_TIMEOUT_MILLIS = 120_000;
+  private static final long BALANCER_STARTUP_DELAY_MILLIS = 500;
   private static final int MILLIS_PER_SECOND = 1_000;
 
   @Override
@@ -48,7 +48,7 @@
       int exit =
           ChangeReporter.report(
               new AdminClient(hosts.getFirst())
-                  .change(HostOption.operator(), Workloads.configuration()),
+                  .submitChange(AdminOptions.operatorName(), Workloads.configuration()),
               false);
       if (exit != 0) {
         return exit;
@@ -57,12 +57,12 @@
     try (Balancer balancer = new Balancer(hosts);
         LoadGenerator load =
             new LoadGenerator(Workloads.kinds(), Workloads.classes(), balancer, new RunLog())) {
-      Thread.sleep(BALANCER_MILLIS);
+      Thread.sleep(BALANCER_STARTUP_DELAY_MILLIS);
       load.run(
           (long) arguments.getInt("seconds") * MILLIS_PER_SECOND,
           arguments.getDouble("rate"),
           arguments.getLong("seed"));
-      int unfinished = load.awaitEnd(END_MILLIS);
+      int unfinished = load.awaitEnd(COMPLETION_TIMEOUT_MILLIS);
       if (arguments.getBoolean("json")) {
         System.out.println(
             Json.text(Map.of("classes", load.classes(), "promises", load.promises())));
--- a/src/main/java/org/curranthaven/internal/cli/Logging.java
+++ b/src/main/java/org/curranthaven/internal/cli/Logging.java
@@ -22,7 +22,7 @@
   }
 
   /** Writes warnings and errors only. */
-  static void quiet() {
+  static void configureErrorsOnly() {
     Configuration.set("writer", "console");
     Configuration.set("writer.stream", "err");
     Configuration.set("writer.format", "{date: HH:mm:ss.SSS} {level} {message}");
--- a/src/main/java/org/curranthaven/internal/cli/Main.java
+++ b/src/main/java/org/curranthaven/internal/cli/Main.java
@@ -46,19 +46,20 @@
       parser.handleError(e);
       return ResultCode.USAGE.exitCode();
     } catch (ConnectException e) {
-      return fail(Failure.of(ResultCode.HOST_UNREACHABLE, "the host does not answer"));
+      return reportFailure(Failure.of(ResultCode.HOST_UNREACHABLE, "the host does not answer"));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return ResultCode.INTERNAL.exitCode();
     } catch (IOException e) {
-      return fail(Failure.of(ResultCode.HOST_UNREACHABLE, "the call failed: " + e.getMessage()));
+      return reportFailure(
+          Failure.of(ResultCode.HOST_UNREACHABLE, "the call failed: " + e.getMessage()));
     } catch (Exception e) {
-      return fail(Failure.of(ResultCode.INTERNAL, "the command failed: " + e));
+      return reportFailure(Failure.of(ResultCode.INTERNAL, "the command failed: " + e));
     }
   }
 
   /** Prints a failure and returns its exit code. */
-  static int fail(Failure failure) {
+  static int reportFailure(Failure failure) {
     System.err.println("curranthaven: " + failure.sentence());
     return failure.code().exitCode();
   }
@@ -87,18 +88,19 @@
         new ServeRoutedCommand(),
         new RehearseCommand(),
         new SettingsCommand(),
-        new ItemCommand(Edit.Kind.CLASS),
-        new ItemCommand(Edit.Kind.WORKSPACE),
-        new ItemCommand(Edit.Kind.MODEL),
-        new ItemCommand(Edit.Kind.SERVICE),
+        new ConfigurationItemCommand(Edit.Kind.CLASS),
+        new ConfigurationItemCommand(Edit.Kind.WORKSPACE),
+        new ConfigurationItemCommand(Edit.Kind.MODEL),
+        new ConfigurationItemCommand(Edit.Kind.SERVICE),
         new ApplyCommand(),
-        new PageCommand("get", "print the configuration in force", "/admin/v1/configuration", ""),
-        new PageCommand("history", "print the revisions", "/admin/v1/history", ""),
+        new AdminGetCommand(
+            "get", "print the configuration in force", "/admin/v1/configuration", ""),
+        new AdminGetCommand("history", "print the revisions", "/admin/v1/history", ""),
         new StatusCommand(),
-        new PageCommand("hosts", "list the hosts", "/admin/v1/hosts", ""),
-        new PageCommand("backends", "list the backend servers", "/admin/v1/backends", ""),
-        new PageCommand("dump", "print a host's whole state", "/admin/v1/dump", ""),
-        new PageCommand(
+        new AdminGetCommand("hosts", "list the hosts", "/admin/v1/hosts", ""),
+        new AdminGetCommand("backends", "list the backend servers", "/admin/v1/backends", ""),
+        new AdminGetCommand("dump", "print a host's whole state", "/admin/v1/dump", ""),
+        new AdminGetCommand(
             "explain", "print the decisions made for a request", "/admin/v1/explain/", "request"),
         new StandinCommand(),
         new LoadCommand(),
--- a/src/main/java/org/curranthaven/internal/cli/StopSignals.java
+++ b/src/main/java/org/curranthaven/internal/cli/ProcessSignals.java
@@ -10,11 +10,11 @@
  * Calls back on SIGTERM and SIGINT. The JDK's signal class is reached by reflection, since a
  * shutdown hook cannot tell a second signal from the first.
  */
-final class StopSignals {
-  private StopSignals() {}
+final class ProcessSignals {
+  private ProcessSignals() {}
 
   /** Registers an action, which is given the number of signals so far. */
-  static void onStop(IntConsumer action) {
+  static void onTermination(IntConsumer action) {
     AtomicInteger count = new AtomicInteger();
     for (String name : new String[] {"TERM", "INT"}) {
       try {
@@ -45,7 +45,7 @@
     Object signal = signalClass.getConstructor(String.class).newInstance(name);
     Object handler =
         Proxy.newProxyInstance(
-            StopSignals.class.getClassLoader(),
+            ProcessSignals.class.getClassLoader(),
             new Class<?>[] {handlerClass},
             (proxy, method, arguments) -> {
               Thread.ofPlatform().daemon(true).start(action);
--- a/src/main/java/org/curranthaven/internal/cli/RehearseCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/RehearseCommand.java
@@ -28,7 +28,7 @@
  * call, and exits. The build runs it to record which classes a start needs.
  */
 final class RehearseCommand implements Command {
-  private static final long SETTLE_MILLIS = 2_500;
+  private static final long STARTUP_DELAY_MILLIS = 2_500;
   private static final int SOCKET_TIMEOUT_MILLIS = 2_000;
 
   @Override
@@ -44,9 +44,9 @@
   @Override
   public int run(Namespace arguments) throws InterruptedException, IOException {
     Logging.configure(true);
-    WireProtocol protocol = ServeRoutedCommand.protocol(arguments.getString("protocol"));
+    WireProtocol protocol = ServeRoutedCommand.findProtocol(arguments.getString("protocol"));
     if (protocol == null) {
-      return Main.fail(Failure.of(ResultCode.USAGE, "there is no such protocol"));
+      return Main.reportFailure(Failure.of(ResultCode.USAGE, "there is no such protocol"));
     }
     List<String> addresses = LocalFleet.freeAddresses(3);
     String controlPeer = addresses.get(0);
@@ -56,15 +56,21 @@
     RoutedSettings control =
         settings("control-1", controlPeer, controlPeer, null, controlAddress, folder);
     RoutedSettings gateway =
-        settings("gateway-1", otherHost(controlPeer), controlPeer, callerAddress, null, null);
+        settings(
+            "gateway-1",
+            secondLoopbackAddress(controlPeer),
+            controlPeer,
+            callerAddress,
+            null,
+            null);
     if (!(DataFolder.open(folder) instanceof Outcome.Success<DataFolder> opened)) {
-      return Main.fail(Failure.of(ResultCode.STORAGE_FAILED, folder + " cannot be used"));
+      return Main.reportFailure(Failure.of(ResultCode.STORAGE_FAILED, folder + " cannot be used"));
     }
     new ControlHost(control, protocol, opened.value(), Clock.system()).start();
     new Gateway(gateway, protocol, Clock.system()).start();
-    Thread.sleep(SETTLE_MILLIS);
-    call(callerAddress);
-    call(controlAddress);
+    Thread.sleep(STARTUP_DELAY_MILLIS);
+    sendRequest(callerAddress);
+    sendRequest(controlAddress);
     return 0;
   }
 
@@ -95,11 +101,11 @@
   }
 
   /** Returns the same port at another loopback address: hosts find each other at one port. */
-  private static String otherHost(String address) {
+  private static String secondLoopbackAddress(String address) {
     return address.replace("127.0.0.1", "127.0.0.2");
   }
 
-  private static void call(String address) throws IOException {
+  private static void sendRequest(String address) throws IOException {
     int colon = address.indexOf(':');
     int port = Integer.parseInt(address.substring(colon + 1));
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
--- a/src/main/java/org/curranthaven/internal/cli/ReplayCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ReplayCommand.java
@@ -39,7 +39,7 @@
     try {
       result = TraceReplay.run(Files.readAllLines(Path.of(arguments.getString("trace"))));
     } catch (JsonProcessingException e) {
-      return Main.fail(
+      return Main.reportFailure(
           Failure.of(ResultCode.MALFORMED_BODY, "the trace: " + e.getOriginalMessage()));
     }
     if (arguments.getBoolean("decisions")) {
@@ -54,7 +54,7 @@
         Json.MAPPER.readValue(Files.readString(Path.of(expect)), TraceReplay.Outcomes.class);
     return stated.equals(result.outcomes())
         ? 0
-        : Main.fail(
+        : Main.reportFailure(
             Failure.of(ResultCode.REPLAY_DIFFERS, "the outcomes differ from " + Json.text(stated)));
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/ServeCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ServeCommand.java
@@ -33,21 +33,21 @@
     Path file = Path.of(arguments.getString("settings"));
     Outcome<HostSettings> checked = SettingsCommand.check(file);
     if (checked instanceof Outcome.Failed<HostSettings> failed) {
-      return Main.fail(failed.failure());
+      return Main.reportFailure(failed.failure());
     }
     HostSettings settings = ((Outcome.Success<HostSettings>) checked).value();
     Logging.configure(settings.logJson());
     String record = arguments.getString("record");
     Path trace = record == null ? null : Path.of(record);
     return switch (HostProcess.start(settings, Clock.system(), trace)) {
-      case Outcome.Failed<HostProcess> failed -> Main.fail(failed.failure());
+      case Outcome.Failed<HostProcess> failed -> Main.reportFailure(failed.failure());
       case Outcome.Success<HostProcess> success -> serve(success.value());
     };
   }
 
   private static int serve(HostProcess host) throws InterruptedException {
     CountDownLatch signal = new CountDownLatch(1);
-    StopSignals.onStop(
+    ProcessSignals.onTermination(
         count -> {
           if (count == 1) {
             signal.countDown();
@@ -58,12 +58,12 @@
           }
         });
     Logger.info("{} serves at {}", host.name(), host.settings().httpAddress());
-    Thread watcher = Thread.ofVirtual().start(() -> watch(host, signal));
+    Thread watcher = Thread.ofVirtual().start(() -> awaitHostExit(host, signal));
     signal.await();
     watcher.interrupt();
     String reason = host.failureReason();
     if (reason != null) {
-      return Main.fail(
+      return Main.reportFailure(
           org.curranthaven.api.Failure.of(ResultCode.INTERNAL, "the host went down: " + reason));
     }
     Logger.info("{} drains {} open requests", host.name(), host.openRequests());
@@ -76,7 +76,7 @@
     return 0;
   }
 
-  private static void watch(HostProcess host, CountDownLatch signal) {
+  private static void awaitHostExit(HostProcess host, CountDownLatch signal) {
     try {
       host.join();
       signal.countDown();
--- a/src/main/java/org/curranthaven/internal/cli/ServeRoutedCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ServeRoutedCommand.java
@@ -38,18 +38,19 @@
   public int run(Namespace arguments) throws InterruptedException {
     Logging.configure(true);
     String name = arguments.getString("protocol");
-    WireProtocol protocol = protocol(name);
+    WireProtocol protocol = findProtocol(name);
     if (protocol == null) {
-      return Main.fail(Failure.of(ResultCode.USAGE, "there is no protocol '" + name + "'"));
+      return Main.reportFailure(
+          Failure.of(ResultCode.USAGE, "there is no protocol '" + name + "'"));
     }
     return switch (RoutedSettings.read(Path.of(arguments.getString("settings")))) {
-      case Outcome.Failed<RoutedSettings> failed -> Main.fail(failed.failure());
+      case Outcome.Failed<RoutedSettings> failed -> Main.reportFailure(failed.failure());
       case Outcome.Success<RoutedSettings> success -> serve(success.value(), protocol);
     };
   }
 
   /** Returns the protocol of the name, or null. */
-  static @Nullable WireProtocol protocol(String name) {
+  static @Nullable WireProtocol findProtocol(String name) {
     return ServiceLoader.load(WireProtocol.class).stream()
         .map(ServiceLoader.Provider::get)
         .filter(found -> found.name().equals(name))
@@ -60,8 +61,8 @@
   private static int serve(RoutedSettings settings, WireProtocol protocol)
       throws InterruptedException {
     CountDownLatch stop = new CountDownLatch(1);
-    StopSignals.onStop(count -> stop.countDown());
-    StopSignals.onReload(
+    ProcessSignals.onTermination(count -> stop.countDown());
+    ProcessSignals.onReload(
         () -> Logger.info("settings are read at the start only; the signal changes nothing"));
     return settings.isControl()
         ? serveControl(settings, protocol, stop)
@@ -86,7 +87,7 @@
       throws InterruptedException {
     switch (DataFolder.open(Path.of(String.valueOf(settings.dataFolder())))) {
       case Outcome.Failed<DataFolder> failed -> {
-        return Main.fail(failed.failure());
+        return Main.reportFailure(failed.failure());
       }
       case Outcome.Success<DataFolder> success -> {
         ControlHost host = new ControlHost(settings, protocol, success.value(), Clock.system());
--- a/src/main/java/org/curranthaven/internal/cli/SettingsCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/SettingsCommand.java
@@ -16,7 +16,7 @@
 
 /** {@code settings check} and {@code settings example}. */
 final class SettingsCommand implements Command {
-  private static final String EXAMPLE = "/org/curranthaven/example.jsonc";
+  private static final String EXAMPLE_RESOURCE = "/org/curranthaven/example.jsonc";
 
   @Override
   public void register(Subparsers parsers) {
@@ -39,7 +39,7 @@
       return 0;
     }
     return switch (check(Path.of(arguments.getString("file")))) {
-      case Outcome.Failed<HostSettings> failed -> Main.fail(failed.failure());
+      case Outcome.Failed<HostSettings> failed -> Main.reportFailure(failed.failure());
       case Outcome.Success<HostSettings> success -> {
         System.out.println("the settings of " + success.value().name() + " are sound");
         yield 0;
@@ -48,9 +48,9 @@
   }
 
   static String example() throws IOException {
-    try (InputStream in = SettingsCommand.class.getResourceAsStream(EXAMPLE)) {
+    try (InputStream in = SettingsCommand.class.getResourceAsStream(EXAMPLE_RESOURCE)) {
       if (in == null) {
-        throw new IOException(EXAMPLE + " is not part of the program");
+        throw new IOException(EXAMPLE_RESOURCE + " is not part of the program");
       }
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
--- a/src/main/java/org/curranthaven/internal/cli/StandinCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/StandinCommand.java
@@ -22,7 +22,7 @@
     Subparser parser = parsers.addParser("standin").help("run a stand-in backend server");
     Subparsers kinds = parser.addSubparsers().metavar("KIND");
     Subparser engine = kinds.addParser("engine").help("run a stand-in model engine");
-    common(engine, "engine");
+    addCommonArguments(engine, "engine");
     engine.addArgument("--model").required(true).help("model that it serves");
     engine
         .addArgument("--blocks")
@@ -34,11 +34,11 @@
         .action(Arguments.storeTrue())
         .help("take orders with old fencing numbers");
     Subparser service = kinds.addParser("service").help("run a stand-in plain service");
-    common(service, "service");
+    addCommonArguments(service, "service");
     service.addArgument("--service").dest("model").required(true).help("service that it is");
   }
 
-  private void common(Subparser parser, String kind) {
+  private void addCommonArguments(Subparser parser, String kind) {
     parser.addArgument("--name").required(true).help("name of the server");
     parser.addArgument("--data-centre").setDefault("a").help("data centre it stands in");
     parser.addArgument("--port").type(Integer.class).setDefault(0).help("port; 0 for any");
--- a/src/main/java/org/curranthaven/internal/cli/StatusCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/StatusCommand.java
@@ -17,8 +17,8 @@
 
 /** {@code status}: each class against its targets, per data centre and in all. */
 final class StatusCommand implements Command {
-  private static final long WATCH_MILLIS = 2_000;
-  private static final String ALL = "all";
+  private static final long WATCH_INTERVAL_MILLIS = 2_000;
+  private static final String ALL_DATA_CENTRES = "all";
 
   @Override
   public void register(Subparsers parsers) {
@@ -30,7 +30,7 @@
                 "Shows each class against its targets over the last minute and the last 15 minutes,"
                     + " per data centre and in all. A class meets a target if 95 of 100 first"
                     + " replies, and of gaps, are within it. Exits with 2 if a class does not.");
-    HostOption.add(parser);
+    AdminOptions.add(parser);
     parser.addArgument("--watch").action(Arguments.storeTrue()).help("repeat every 2 seconds");
     parser.setDefault(Main.COMMAND, this);
   }
@@ -38,14 +38,14 @@
   /** Figures by data centre, then by class. */
   private record Status(Map<String, Map<String, TargetMonitor.ClassStatus>> byDataCentre) {
     boolean met() {
-      return byDataCentre.getOrDefault(ALL, Map.of()).values().stream()
+      return byDataCentre.getOrDefault(ALL_DATA_CENTRES, Map.of()).values().stream()
           .allMatch(status -> status.lastMinute().met());
     }
   }
 
   @Override
   public int run(Namespace arguments) throws IOException, InterruptedException {
-    AdminClient client = HostOption.client(arguments);
+    AdminClient client = AdminOptions.client(arguments);
     boolean watch = arguments.getBoolean("watch");
     Status status;
     do {
@@ -57,7 +57,7 @@
         print(status, client.configuration());
       }
       if (watch) {
-        Thread.sleep(WATCH_MILLIS);
+        Thread.sleep(WATCH_INTERVAL_MILLIS);
       }
     } while (watch);
     return status.met() ? 0 : ResultCode.TARGETS_NOT_MET.exitCode();
@@ -74,13 +74,13 @@
         System.err.println("host " + host.path("name").asText() + " does not answer");
         continue;
       }
-      add(sums, ALL, classes);
-      add(sums, host.path("dataCentre").asText(), classes);
+      merge(sums, ALL_DATA_CENTRES, classes);
+      merge(sums, host.path("dataCentre").asText(), classes);
     }
     return new Status(sums);
   }
 
-  private static void add(
+  private static void merge(
       Map<String, Map<String, TargetMonitor.ClassStatus>> sums,
       String dataCentre,
       Map<String, TargetMonitor.ClassStatus> classes) {
@@ -123,16 +123,16 @@
         dataCentre,
         name,
         minute.met() ? "yes" : "NO",
-        share(minute.repliesInTime(), minute.replies() + minute.failed())
+        percentage(minute.repliesInTime(), minute.replies() + minute.failed())
             + " / "
-            + share(quarter.repliesInTime(), quarter.replies() + quarter.failed()),
-        share(minute.gapsInTime(), minute.gaps())
+            + percentage(quarter.repliesInTime(), quarter.replies() + quarter.failed()),
+        percentage(minute.gapsInTime(), minute.gaps())
             + " / "
-            + share(quarter.gapsInTime(), quarter.gaps()),
+            + percentage(quarter.gapsInTime(), quarter.gaps()),
         minute.failed());
   }
 
-  private static String share(long part, long whole) {
+  private static String percentage(long part, long whole) {
     return whole == 0 ? "-" : "%.1f%%".formatted(100.0 * part / whole);
   }
 }
