--- a/src/main/java/org/curranthaven/internal/bench/LineFit.java
+++ b/src/main/java/org/curranthaven/internal/bench/LineFit.java
@@ -3,34 +3,34 @@
 import java.util.List;
 
 /**
- * A straight line through measured points, by least squares.
+ * Straight line fitted to measured points by the method of least squares.
  *
  * @param intercept value at size 0
  * @param slope value added for each unit of size
- * @param maxRelativeError largest distance of a point from the line, as a share of the largest
- *     value
+ * @param maxRelativeError largest vertical distance of a point from the line, as a share of the
+ *     largest value
  */
 public record LineFit(double intercept, double slope, double maxRelativeError) {
 
-  /** A measured point. */
+  /** Value measured at a size. */
   public record Point(double size, double value) {}
 
-  /** Fits a line. */
+  /** Fits a line to points of at least two different sizes. */
   public static LineFit of(List<Point> points) {
-    double n = points.size();
+    double count = points.size();
     double sumX = points.stream().mapToDouble(Point::size).sum();
     double sumY = points.stream().mapToDouble(Point::value).sum();
-    double sumXx = points.stream().mapToDouble(p -> p.size() * p.size()).sum();
-    double sumXy = points.stream().mapToDouble(p -> p.size() * p.value()).sum();
-    double slope = (n * sumXy - sumX * sumY) / (n * sumXx - sumX * sumX);
-    double base = (sumY - slope * sumX) / n;
-    double largest = points.stream().mapToDouble(Point::value).max().orElse(1);
-    double error =
+    double sumXx = points.stream().mapToDouble(point -> point.size() * point.size()).sum();
+    double sumXy = points.stream().mapToDouble(point -> point.size() * point.value()).sum();
+    double slope = (count * sumXy - sumX * sumY) / (count * sumXx - sumX * sumX);
+    double intercept = (sumY - slope * sumX) / count;
+    double largestValue = points.stream().mapToDouble(Point::value).max().orElse(1);
+    double largestError =
         points.stream()
-            .mapToDouble(p -> Math.abs(p.value() - base - slope * p.size()))
+            .mapToDouble(point -> Math.abs(point.value() - intercept - slope * point.size()))
             .max()
             .orElse(0);
-    return new LineFit(base, slope, error / largest);
+    return new LineFit(intercept, slope, largestError / largestValue);
   }
 
   /** Returns the value of the line at a size. */
--- a/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
@@ -24,12 +24,16 @@
 import org.curranthaven.internal.standin.StandinOptions;
 import org.curranthaven.internal.standin.Workloads;
 
-/** Measures what a host adds to streams: from an engine directly and through a host, in turns. */
+/**
+ * Measures the latency that a host adds to streams. Rounds of streams directly from engines
+ * alternate with rounds through a host.
+ */
 public final class OverheadBench {
   private static final int ROUNDS = 3;
   private static final int TOKENS_PER_STREAM = 200;
   private static final int ENGINES = 4;
   private static final long READY_TIMEOUT_MILLIS = 20_000;
+  private static final long REGISTRATION_DELAY_MILLIS = 2_000;
   private static final long ROUND_TIMEOUT_SECONDS = 120;
 
   private final Consumer<String> out;
@@ -40,13 +44,15 @@
   /**
    * Creates the benchmark.
    *
-   * @param streams streams open at once
+   * @param streams number of concurrent streams
+   * @param out receives each line of the report
    */
   public OverheadBench(int streams, Consumer<String> out) {
     this.streams = streams;
     this.out = out;
   }
 
+  /** Measurements of one or more rounds; the histograms are guarded by this object. */
   private static final class Sample {
     final Histogram firstTokenMicros = new Histogram(60_000_000, 3);
     final Histogram gapMicros = new Histogram(60_000_000, 3);
@@ -63,13 +69,13 @@
     }
   }
 
-  /** Sets up a host that serves a class and a model; it is the bench's own operator. */
+  /** Configures the host that the benchmark starts, in place of an operator. */
   public interface FleetSetup {
-    /** Configures the fleet behind the HTTP address. */
+    /** Configures the classes, models and workspace of the load at the HTTP address of a host. */
     void configure(String httpAddress) throws IOException, InterruptedException;
   }
 
-  /** Runs everything. */
+  /** Runs the benchmark. */
   public void run(FleetSetup setup) throws IOException, InterruptedException {
     try (LocalFleet fleet = LocalFleet.start(1, 1)) {
       String host = fleet.httpAddresses().getFirst();
@@ -79,26 +85,26 @@
       for (int i = 0; i < ENGINES; i++) {
         engines.add(StandinEngine.start(engineOptions("story-" + i, fleet), new RunLog()));
       }
-      Thread.sleep(2_000);
+      Thread.sleep(REGISTRATION_DELAY_MILLIS);
       Sample direct = new Sample();
-      Sample through = new Sample();
+      Sample viaHost = new Sample();
       Sample warmUp = new Sample();
       runRound(warmUp, i -> host);
       runRound(warmUp, i -> engines.get(i % ENGINES).address());
       for (int i = 0; i < ROUNDS; i++) {
         runRound(direct, j -> engines.get(j % ENGINES).address());
-        runRound(through, j -> host);
+        runRound(viaHost, j -> host);
       }
-      reportPercentiles("first token", direct.firstTokenMicros, through.firstTokenMicros);
-      reportPercentiles("gap", direct.gapMicros, through.gapMicros);
+      reportPercentiles("first token", direct.firstTokenMicros, viaHost.firstTokenMicros);
+      reportPercentiles("gap", direct.gapMicros, viaHost.gapMicros);
       out.accept(
-          "%d streams: direct %.0f tokens/s, through a host %.0f tokens/s; broken %d and %d"
+          "%d streams: direct %.0f tokens/s, through a host %.0f tokens/s; failures %d and %d"
               .formatted(
                   streams,
                   direct.tokens.get() * 1e9 / direct.elapsedNanos,
-                  through.tokens.get() * 1e9 / through.elapsedNanos,
+                  viaHost.tokens.get() * 1e9 / viaHost.elapsedNanos,
                   direct.failures.get(),
-                  through.failures.get()));
+                  viaHost.failures.get()));
       engines.forEach(StandinEngine::close);
     }
   }
@@ -115,30 +121,41 @@
         true);
   }
 
-  private void reportPercentiles(String name, Histogram direct, Histogram through) {
+  private void reportPercentiles(String name, Histogram direct, Histogram viaHost) {
     for (double percentile : new double[] {50, 99}) {
-      long before = direct.getValueAtPercentile(percentile);
-      long after = through.getValueAtPercentile(percentile);
+      long directMicros = direct.getValueAtPercentile(percentile);
+      long viaHostMicros = viaHost.getValueAtPercentile(percentile);
       out.accept(
           "%s p%.0f: direct %.2f ms, through a host %.2f ms, ratio %.2f"
-              .formatted(name, percentile, before / 1e3, after / 1e3, (double) after / before));
+              .formatted(
+                  name,
+                  percentile,
+                  directMicros / 1e3,
+                  viaHostMicros / 1e3,
+                  (double) viaHostMicros / directMicros));
     }
   }
 
-  private void runRound(Sample sample, java.util.function.IntFunction<String> address)
+  /**
+   * Runs all streams concurrently.
+   *
+   * @param addressOf returns the address for the stream with an index
+   */
+  private void runRound(Sample sample, java.util.function.IntFunction<String> addressOf)
       throws InterruptedException {
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor()) {
       for (int i = 0; i < streams; i++) {
-        String target = address.apply(i);
-        executor.execute(() -> readStream(target, sample));
+        String address = addressOf.apply(i);
+        executor.execute(() -> readStream(address, sample));
       }
       executor.shutdown();
       executor.awaitTermination(ROUND_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
-    sample.elapsedNanos += System.nanoTime() - start;
+    sample.elapsedNanos += System.nanoTime() - startNanos;
   }
 
+  /** Sends one request and records the time of each token. */
   private void readStream(String address, Sample sample) {
     String id = UUID.randomUUID().toString();
     String body =
@@ -150,7 +167,7 @@
             .header("Curranthaven-Class", "draft")
             .POST(HttpRequest.BodyPublishers.ofString(body))
             .build();
-    long last = System.nanoTime();
+    long previousNanos = System.nanoTime();
     int tokens = 0;
     try (BufferedReader reader =
         new BufferedReader(
@@ -161,13 +178,13 @@
         if (!line.startsWith("data: {")) {
           continue;
         }
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         if (tokens++ == 0) {
-          sample.recordFirstToken((now - last) / 1_000);
+          sample.recordFirstToken((nowNanos - previousNanos) / 1_000);
         } else {
-          sample.recordGap((now - last) / 1_000);
+          sample.recordGap((nowNanos - previousNanos) / 1_000);
         }
-        last = now;
+        previousNanos = nowNanos;
       }
     } catch (IOException e) {
       sample.failures.incrementAndGet();
--- a/src/main/java/org/curranthaven/internal/bench/RestartBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/RestartBench.java
@@ -18,7 +18,7 @@
 import org.curranthaven.internal.transport.wire.LogEntry;
 import org.curranthaven.internal.transport.wire.SnapshotFile;
 
-/** Measures how long a control host takes to read its state after many changes. */
+/** Measures how long a control host takes to load its state from disk after many changes. */
 public final class RestartBench {
   private static final int[] CHANGE_COUNTS = {100, 1_000, 100_000};
   private static final int CHANGES_PER_SNAPSHOT = 4_000;
@@ -30,12 +30,12 @@
     this.out = out;
   }
 
-  /** Runs everything. */
+  /** Runs the benchmark for each number of changes. */
   public void run() throws IOException {
     for (int changes : CHANGE_COUNTS) {
       Path folder = Files.createTempDirectory("curranthaven-");
       long bytes = writeChanges(folder, changes);
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
       FleetState state = new FleetState();
       try (GroupStorage storage = GroupStorage.open(folder)) {
         SnapshotFile snapshot = storage.loadedState().snapshot();
@@ -46,13 +46,14 @@
           state.apply(entry.getIndex(), entry.getData());
         }
       }
-      double millis = (System.nanoTime() - start) / 1e6;
+      double millis = (System.nanoTime() - startNanos) / 1e6;
       out.accept(
           "restart after %d changes: %.0f ms, revision %d, %d kB read"
               .formatted(changes, millis, state.current().revision(), bytes / 1_024));
     }
   }
 
+  /** Writes changes with regular snapshots, and returns the size of the folder in bytes. */
   private static long writeChanges(Path folder, int changes) throws IOException {
     FleetState state = new FleetState();
     try (GroupStorage storage = GroupStorage.open(folder)) {
--- a/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
@@ -38,14 +38,17 @@
 import org.curranthaven.internal.transport.wire.HostRecord;
 import org.curranthaven.internal.transport.wire.LedgerCommand;
 
-/** Measures what each role's work costs at several sizes, and fits lines through it. */
+/** Measures the cost of the work of each role at several sizes, and fits a line to each series. */
 public final class SlopesBench {
   private static final int[] BACKEND_COUNTS = {13, 45, 90, 270, 810};
   private static final int[] WORKSPACE_COUNTS = {10, 100, 1_000, 4_000};
   private static final int[] RECEIVER_COUNTS = {3, 8, 40, 370};
   private static final int[] RECORD_COUNTS = {1_000, 10_000, 40_000};
   private static final int DECISIONS = 4_000;
+
+  /** Open streams of one host at the target load. */
   private static final int OPEN_STREAMS = 115;
+
   private static final int REPEATS = 5;
   private static final int ENVELOPE_OVERHEAD_BYTES = 12;
   private static final long PUSH_TIMEOUT_SECONDS = 60;
@@ -58,9 +61,9 @@
     this.out = out;
   }
 
-  /** Runs everything. */
+  /** Runs all measurements. */
   public void run() throws IOException, InterruptedException {
-    // The code is compiled by the time that it is measured.
+    // Warm-up: lets the JVM compile the code before it is measured.
     for (int i = 0; i < REPEATS; i++) {
       decisionP99Micros(BACKEND_COUNTS[2], 500);
       announcementsMicros(BACKEND_COUNTS[2]);
@@ -86,82 +89,98 @@
   // ---- routing ----------------------------------------------------------------------------------
 
   private void measureDecisions() {
-    List<LineFit.Point> idle = new ArrayList<>();
-    List<LineFit.Point> crowded = new ArrayList<>();
-    for (int servers : BACKEND_COUNTS) {
-      idle.add(new LineFit.Point(servers, decisionP99Micros(servers, 0)));
-      crowded.add(new LineFit.Point(servers, decisionP99Micros(servers, 500)));
+    List<LineFit.Point> withoutQueue = new ArrayList<>();
+    List<LineFit.Point> withQueue = new ArrayList<>();
+    for (int backends : BACKEND_COUNTS) {
+      withoutQueue.add(new LineFit.Point(backends, decisionP99Micros(backends, 0)));
+      withQueue.add(new LineFit.Point(backends, decisionP99Micros(backends, 500)));
     }
-    reportFit("decision p99, by servers", "us", idle);
-    reportFit("decision p99, 500 queued", "us", crowded);
+    reportFit("decision p99, by backend servers", "us", withoutQueue);
+    reportFit("decision p99, 500 queued", "us", withQueue);
     List<LineFit.Point> byQueue = new ArrayList<>();
-    for (int queued : new int[] {0, 500, 2_000, 10_000}) {
-      byQueue.add(new LineFit.Point(queued, decisionP99Micros(90, queued)));
+    for (int queuedRequests : new int[] {0, 500, 2_000, 10_000}) {
+      byQueue.add(new LineFit.Point(queuedRequests, decisionP99Micros(90, queuedRequests)));
     }
-    reportFit("decision p99 at 90, by queue", "us", byQueue);
+    reportFit("decision p99, 90 backends, by queue", "us", byQueue);
     List<LineFit.Point> ticks = new ArrayList<>();
-    for (int servers : BACKEND_COUNTS) {
-      ticks.add(new LineFit.Point(servers, tickMicros(servers)));
+    for (int backends : BACKEND_COUNTS) {
+      ticks.add(new LineFit.Point(backends, tickMicros(backends)));
     }
     reportFit("tick, 115 streams and 500 queued", "us", ticks);
   }
 
-  /** Returns the time to handle an arrival; with a queue, every server's memory is full. */
-  private static double decisionP99Micros(int servers, int queued) {
+  /**
+   * Returns the 99th percentile of the time to handle an arrival.
+   *
+   * @param backends number of backend servers
+   * @param queuedRequests number of queued requests; if positive, the memory of every backend
+   *     server is full
+   */
+  private static double decisionP99Micros(int backends, int queuedRequests) {
     RoutingCore core =
         new RoutingCore(
             "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(1));
-    int used = queued > 0 ? 2_000 : 200;
-    for (int i = 0; i < servers; i++) {
-      core.handle(new RoutingEvent.BackendReported(backendReport("engine-" + i, used)), 0);
+    int usedBlocks = queuedRequests > 0 ? 2_000 : 200;
+    for (int i = 0; i < backends; i++) {
+      core.handle(new RoutingEvent.BackendReported(backendReport("engine-" + i, usedBlocks)), 0);
     }
-    long id = 1;
-    for (int i = 0; i < queued; i++) {
-      core.handle(new RoutingEvent.Arrived(request(id++)), 1);
+    long requestId = 1;
+    for (int i = 0; i < queuedRequests; i++) {
+      core.handle(new RoutingEvent.Arrived(request(requestId++)), 1);
     }
-    long[] nanos = new long[DECISIONS];
+    long[] decisionNanos = new long[DECISIONS];
     for (int i = 0; i < 2 * DECISIONS; i++) {
-      RoutingEvent arrival = new RoutingEvent.Arrived(request(id));
-      long start = System.nanoTime();
+      RoutingEvent arrival = new RoutingEvent.Arrived(request(requestId));
+      long startNanos = System.nanoTime();
       core.handle(arrival, 2);
-      nanos[i % DECISIONS] = System.nanoTime() - start;
-      core.handle(new RoutingEvent.Abandoned(id), 2);
-      core.handle(new RoutingEvent.Finished(id++, 20, RoutingEvent.RequestOutcome.CANCELLED), 2);
+      decisionNanos[i % DECISIONS] = System.nanoTime() - startNanos;
+      core.handle(new RoutingEvent.Abandoned(requestId), 2);
+      core.handle(
+          new RoutingEvent.Finished(requestId++, 20, RoutingEvent.RequestOutcome.CANCELLED), 2);
     }
-    Arrays.sort(nanos);
-    return nanos[(int) (DECISIONS * 0.99)] / NANOS_PER_MICRO;
+    Arrays.sort(decisionNanos);
+    return decisionNanos[(int) (DECISIONS * 0.99)] / NANOS_PER_MICRO;
   }
 
-  /** Returns the mean time of a tick with the target's open streams on a host and a queue. */
-  private static double tickMicros(int servers) {
+  /** Returns the shortest time of a tick with {@link #OPEN_STREAMS} streams and a queue. */
+  private static double tickMicros(int backends) {
     RoutingCore core =
         new RoutingCore(
             "host-1", new Policy.Forecast(ForecastOptions.standard()), new SplittableRandom(1));
-    for (int i = 0; i < servers; i++) {
+    for (int i = 0; i < backends; i++) {
       core.handle(new RoutingEvent.BackendReported(backendReport("engine-" + i, 200)), 0);
     }
-    long id = 1;
+    long requestId = 1;
     for (int i = 0; i < OPEN_STREAMS; i++) {
-      core.handle(new RoutingEvent.Arrived(request(id++)), 1);
+      core.handle(new RoutingEvent.Arrived(request(requestId++)), 1);
     }
-    for (int i = 0; i < servers; i++) {
+    for (int i = 0; i < backends; i++) {
       core.handle(new RoutingEvent.BackendReported(backendReport("engine-" + i, 2_000)), 1);
     }
     for (int i = 0; i < 500; i++) {
-      core.handle(new RoutingEvent.Arrived(request(id++)), 1);
+      core.handle(new RoutingEvent.Arrived(request(requestId++)), 1);
     }
-    double best = Double.MAX_VALUE;
+    double bestTime = Double.MAX_VALUE;
     for (int repeat = 0; repeat < REPEATS * 20; repeat++) {
-      long start = System.nanoTime();
+      long startNanos = System.nanoTime();
       core.handle(new RoutingEvent.Tick(), 2);
-      best = Math.min(best, (System.nanoTime() - start) / NANOS_PER_MICRO);
+      bestTime = Math.min(bestTime, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
     }
-    return best;
+    return bestTime;
   }
 
-  private static BackendReport backendReport(String name, int used) {
+  private static BackendReport backendReport(String name, int usedBlocks) {
     return new BackendReport(
-        name, "a", Set.of("story"), 2_000, used, used / 50, 0, 64, 0, Long.MIN_VALUE / 2);
+        name,
+        "a",
+        Set.of("story"),
+        2_000,
+        usedBlocks,
+        usedBlocks / 50,
+        0,
+        64,
+        0,
+        Long.MIN_VALUE / 2);
   }
 
   private static RequestAttributes request(long id) {
@@ -178,45 +197,45 @@
         Set.of());
   }
 
-  // ---- soft state -------------------------------------------------------------------------------
+  // ---- announcements ----------------------------------------------------------------------------
 
   private void measureAnnouncements() {
     List<LineFit.Point> micros = new ArrayList<>();
     List<LineFit.Point> bytes = new ArrayList<>();
-    for (int servers : BACKEND_COUNTS) {
-      micros.add(new LineFit.Point(servers, announcementsMicros(servers)));
+    for (int backends : BACKEND_COUNTS) {
+      micros.add(new LineFit.Point(backends, announcementsMicros(backends)));
       long size = 0;
-      for (int i = 0; i < servers; i++) {
+      for (int i = 0; i < backends; i++) {
         size += Json.write(announcement(i, 1)).size() + ENVELOPE_OVERHEAD_BYTES;
       }
-      bytes.add(new LineFit.Point(servers, size));
+      bytes.add(new LineFit.Point(backends, size));
     }
-    reportFit("announcements written and read", "us", micros);
+    reportFit("announcements encoded and decoded", "us", micros);
     reportFit("announcements on the wire", "bytes", bytes);
   }
 
-  private static double announcementsMicros(int servers) {
-    double best = Double.MAX_VALUE;
+  private static double announcementsMicros(int backends) {
+    double bestTime = Double.MAX_VALUE;
     for (int repeat = 0; repeat < REPEATS * 4; repeat++) {
       BackendView view = new BackendView();
-      long start = System.nanoTime();
-      for (int i = 0; i < servers; i++) {
+      long startNanos = System.nanoTime();
+      for (int i = 0; i < backends; i++) {
         ByteString json = Json.write(announcement(i, repeat));
         view.announced(Json.read(json, BackendAnnouncement.class), 5, 0);
       }
-      best = Math.min(best, (System.nanoTime() - start) / NANOS_PER_MICRO);
+      bestTime = Math.min(bestTime, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
     }
-    return best;
+    return bestTime;
   }
 
-  private static BackendAnnouncement announcement(int place, long sequence) {
+  private static BackendAnnouncement announcement(int index, long sequence) {
     return new BackendAnnouncement(
-        "engine-" + place,
+        "engine-" + index,
         1_764_800_000_000L,
         sequence,
         "10.0.0.1:9000",
-        "dc-" + place % 9,
-        List.of("model-" + place % 40),
+        "dc-" + index % 9,
+        List.of("model-" + index % 40),
         "",
         "general",
         2_000,
@@ -233,12 +252,12 @@
   // ---- configuration ----------------------------------------------------------------------------
 
   private static Configuration configurationOf(int workspaces) {
-    TreeMap<String, Workspace> map = new TreeMap<>();
+    TreeMap<String, Workspace> byName = new TreeMap<>();
     for (int i = 0; i < workspaces; i++) {
       String name = "workspace-" + i;
-      map.put(name, new Workspace(name, Hashes.sha256Hex(name), "draft", 10));
+      byName.put(name, new Workspace(name, Hashes.sha256Hex(name), "draft", 10));
     }
-    return new Configuration(1, new TreeMap<>(), map, new TreeMap<>(), new TreeMap<>());
+    return new Configuration(1, new TreeMap<>(), byName, new TreeMap<>(), new TreeMap<>());
   }
 
   private void measureConfiguration() {
@@ -247,16 +266,16 @@
     for (int workspaces : WORKSPACE_COUNTS) {
       ByteString json = Json.write(configurationOf(workspaces));
       bytes.add(new LineFit.Point(workspaces, json.size()));
-      double best = Double.MAX_VALUE;
+      double bestTime = Double.MAX_VALUE;
       for (int repeat = 0; repeat < REPEATS * 4; repeat++) {
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         Json.read(json, Configuration.class);
-        best = Math.min(best, (System.nanoTime() - start) / NANOS_PER_MICRO);
+        bestTime = Math.min(bestTime, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
       }
-      micros.add(new LineFit.Point(workspaces, best));
+      micros.add(new LineFit.Point(workspaces, bestTime));
     }
-    reportFit("configuration, by workspaces", "bytes", bytes);
-    reportFit("configuration read", "us", micros);
+    reportFit("configuration size, by workspaces", "bytes", bytes);
+    reportFit("configuration decoded", "us", micros);
   }
 
   // ---- ledger -----------------------------------------------------------------------------------
@@ -266,23 +285,24 @@
     List<LineFit.Point> micros = new ArrayList<>();
     for (int records : RECORD_COUNTS) {
       LedgerState ledger = new LedgerState();
-      long before = usedHeapBytes();
+      long heapBefore = usedHeapBytes();
       micros.add(new LineFit.Point(records, claimsMicros(ledger, records)));
-      heap.add(new LineFit.Point(records, usedHeapBytes() - before));
+      heap.add(new LineFit.Point(records, usedHeapBytes() - heapBefore));
       if (ledger.size() != records) {
-        throw new IllegalStateException("the ledger did not keep every claim");
+        throw new IllegalStateException(
+            "the ledger kept " + ledger.size() + " of " + records + " claims");
       }
     }
-    reportFit("claims applied, in all", "us", micros);
-    reportFit("claims on the heap, no answers", "bytes", heap);
+    reportFit("all claims applied", "us", micros);
+    reportFit("claims on the heap, no responses", "bytes", heap);
   }
 
   private static double claimsMicros(LedgerState ledger, int records) {
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     for (int i = 0; i < records; i++) {
       ledger.apply(claim(i));
     }
-    return (System.nanoTime() - start) / NANOS_PER_MICRO;
+    return (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
   }
 
   private static LedgerCommand claim(int i) {
@@ -305,16 +325,17 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  // ---- push -------------------------------------------------------------------------------------
+  // ---- configuration push -----------------------------------------------------------------------
 
   private void measurePush() throws IOException, InterruptedException {
     List<LineFit.Point> millis = new ArrayList<>();
     for (int receivers : RECEIVER_COUNTS) {
       millis.add(new LineFit.Point(receivers, pushMillis(receivers)));
     }
-    reportFit("one change read by all", "ms", millis);
+    reportFit("change applied by all receivers", "ms", millis);
   }
 
+  /** Encoded as the edits of a {@link ConfigurationDelta}. */
   private record Change(List<Edit> edits) {}
 
   private static Change changeOf(int workspaces) {
@@ -322,17 +343,20 @@
     configurationOf(workspaces)
         .workspaces()
         .values()
-        .forEach(w -> edits.add(new Edit.PutWorkspace(w)));
+        .forEach(workspace -> edits.add(new Edit.PutWorkspace(workspace)));
     return new Change(edits);
   }
 
-  /** Returns the time until every receiver has applied a change to 4,000 workspaces and said so. */
+  /**
+   * Returns the shortest time until every receiver has applied a change to a configuration of 4,000
+   * workspaces and has acknowledged it.
+   */
   private static double pushMillis(int receivers) throws IOException, InterruptedException {
     ConfigurationDelta delta =
         ConfigurationDelta.newBuilder().setRevision(2).setEdits(Json.write(changeOf(1))).build();
     Configuration base = configurationOf(4_000);
     List<String> addresses = LocalFleet.freeAddresses(receivers + 1);
-    CountDownLatch[] acknowledged = {new CountDownLatch(receivers)};
+    CountDownLatch[] unacknowledged = {new CountDownLatch(receivers)};
     List<Thread> threads = new ArrayList<>();
     PeerNetwork sender =
         createNetwork(
@@ -341,7 +365,7 @@
             List.of(),
             (network, from, message) -> {
               if (message.hasFreshnessRequest()) {
-                acknowledged[0].countDown();
+                unacknowledged[0].countDown();
               }
             });
     threads.add(start(sender));
@@ -364,39 +388,47 @@
       LocalFleet.await(
           TimeUnit.SECONDS.toMillis(PUSH_TIMEOUT_SECONDS),
           () -> sender.connected().size() == receivers);
-      double best = Double.MAX_VALUE;
+      double bestTime = Double.MAX_VALUE;
       for (int repeat = 0; repeat < REPEATS; repeat++) {
-        acknowledged[0] = new CountDownLatch(receivers);
-        long start = System.nanoTime();
+        unacknowledged[0] = new CountDownLatch(receivers);
+        long startNanos = System.nanoTime();
         for (HostRecord host : sender.connected()) {
           sender.send(
               host.getName(),
               Envelope.newBuilder()
                   .setFreshnessGrant(FreshnessGrant.newBuilder().addDeltas(delta)));
         }
-        if (!acknowledged[0].await(PUSH_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-          throw new IOException("not every receiver has answered");
+        if (!unacknowledged[0].await(PUSH_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+          throw new IOException(
+              unacknowledged[0].getCount()
+                  + " of "
+                  + receivers
+                  + " receivers did not acknowledge the change within "
+                  + PUSH_TIMEOUT_SECONDS
+                  + " s");
         }
-        best = Math.min(best, (System.nanoTime() - start) / 1e6);
+        bestTime = Math.min(bestTime, (System.nanoTime() - startNanos) / 1e6);
       }
-      return best;
+      return bestTime;
     } finally {
       threads.forEach(Thread::interrupt);
     }
   }
 
+  /** Handles a message that a network received. */
   private interface MessageHandler {
     void received(PeerNetwork network, HostRecord from, Envelope message);
   }
 
+  /** Returns a network whose messages go to a handler; {@link #start} runs it. */
   private static PeerNetwork createNetwork(
-      String name, String address, List<String> contacts, MessageHandler receiver) {
+      String name, String address, List<String> contacts, MessageHandler handler) {
     PeerNetwork[] network = new PeerNetwork[1];
     PeerListener listener =
         new PeerListener() {
           @Override
           public void received(HostRecord from, Envelope message) {
-            receiver.received(network[0], from, message);
+            handler.received(network[0], from, message);
           }
 
           @Override
--- a/src/main/java/org/curranthaven/internal/bench/package-info.java
+++ b/src/main/java/org/curranthaven/internal/bench/package-info.java
@@ -1,4 +1,7 @@
-/** Benchmarks that measure slopes and ratios against baselines in the same run. */
+/**
+ * Benchmarks that measure how costs grow with size, and ratios to baselines measured in the same
+ * run.
+ */
 @NullMarked
 package org.curranthaven.internal.bench;
 
--- a/src/main/java/org/curranthaven/internal/cli/AdminClient.java
+++ b/src/main/java/org/curranthaven/internal/cli/AdminClient.java
@@ -17,21 +17,25 @@
 import org.curranthaven.internal.configuration.Edit;
 import org.curranthaven.internal.settings.Json;
 
-/** Operators' calls to one host. */
+/** HTTP client of the admin API of one host. */
 final class AdminClient {
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(20);
   private static final int STATUS_OK = 200;
 
   private final String host;
-  private final HttpClient client =
-      HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
+  private final HttpClient client = HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
 
-  /** Creates a client of the host with the HTTP address. */
+  /**
+   * Creates a client.
+   *
+   * @param host HTTP address of the host
+   */
   AdminClient(String host) {
     this.host = host;
   }
 
-  /** Returns a JSON page. */
+  /** Returns the JSON document at a path, whatever the HTTP status of the response. */
   JsonNode get(String path) throws IOException, InterruptedException {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + host + path))
@@ -40,12 +44,12 @@
     return Json.LENIENT.readTree(client.send(request, HttpResponse.BodyHandlers.ofString()).body());
   }
 
-  /** Returns the configuration in force on the host. */
+  /** Returns the active configuration of the host. */
   Configuration configuration() throws IOException, InterruptedException {
     return Json.MAPPER.treeToValue(get("/admin/v1/configuration"), Configuration.class);
   }
 
-  /** Makes a change on the given revision; returns when it is in force everywhere. */
+  /** Submits a change of the given revision; returns when it is active on every host. */
   Outcome<JsonNode> submitChange(
       String changeId, long baseRevision, String operator, List<Edit> edits)
       throws IOException, InterruptedException {
@@ -64,22 +68,23 @@
     return Outcome.failed(parseFailure(body));
   }
 
-  /** Makes a change on the revision in force on the host, with a new change id. */
+  /** Submits a change of the host's active revision, with a new change id. */
   Outcome<JsonNode> submitChange(String operator, List<Edit> edits)
       throws IOException, InterruptedException {
     return submitChange(UUID.randomUUID().toString(), configuration().revision(), operator, edits);
   }
 
   private static Failure parseFailure(JsonNode body) {
-    int number = body.path("code").asInt();
+    int codeNumber = body.path("code").asInt();
     ResultCode code = ResultCode.INTERNAL;
     for (ResultCode candidate : ResultCode.values()) {
-      if (candidate.number() == number) {
+      if (candidate.number() == codeNumber) {
         code = candidate;
       }
     }
+    // Failure.sentence() appends the number and the next step again.
     String message = body.at("/error/message").asText();
-    int end = message.lastIndexOf(" [" + number + "]");
-    return Failure.of(code, end < 0 ? message : message.substring(0, end));
+    int suffixStart = message.lastIndexOf(" [" + codeNumber + "]");
+    return Failure.of(code, suffixStart < 0 ? message : message.substring(0, suffixStart));
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/ApplyCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ApplyCommand.java
@@ -21,9 +21,14 @@
 import org.curranthaven.internal.configuration.Edit;
 import org.curranthaven.internal.settings.Json;
 
-/** {@code apply} and {@code diff}: brings the configuration to what a file says. */
+/**
+ * {@code apply} and {@code diff}: makes the configuration match a file, or shows the difference.
+ */
 final class ApplyCommand implements Command {
-  /** What a file holds; a list that is left out is left alone. */
+  /**
+   * The content of a configuration file. A list that is left out counts as empty: no item of its
+   * kind is changed, but pruning removes all of them.
+   */
   record DesiredConfiguration(
       List<ServiceClass> classes,
       List<Workspace> workspaces,
@@ -39,26 +44,28 @@
 
   @Override
   public void register(Subparsers parsers) {
-    register(parsers, "apply", "make the configuration what a file says");
-    register(parsers, "diff", "show what apply would change");
+    addCommand(parsers, "apply", "change the configuration to match a file");
+    addCommand(parsers, "diff", "show the changes that apply would make");
   }
 
-  private void register(Subparsers parsers, String name, String help) {
+  private void addCommand(Subparsers parsers, String name, String help) {
     Subparser parser = parsers.addParser(name).help(help);
-    parser.addArgument("file").help("JSON with comments: classes, workspaces, models, services");
+    parser
+        .addArgument("file")
+        .help("JSON file, may hold comments: classes, workspaces, models, services");
     parser
         .addArgument("--prune")
         .action(Arguments.storeTrue())
-        .help("also remove what the file does not name");
+        .help("also remove items that the file does not name");
     AdminOptions.add(parser);
     parser.setDefault(Main.COMMAND, this).setDefault("action", name);
   }
 
   @Override
   public int run(Namespace arguments) throws IOException, InterruptedException {
-    DesiredConfiguration wanted;
+    DesiredConfiguration desired;
     try {
-      wanted =
+      desired =
           Json.MAPPER.readValue(
               Files.readString(Path.of(arguments.getString("file"))), DesiredConfiguration.class);
     } catch (JsonProcessingException e) {
@@ -70,10 +77,10 @@
     }
     AdminClient client = AdminOptions.client(arguments);
     Configuration current = client.configuration();
-    List<Edit> edits = edits(wanted, current, arguments.getBoolean("prune"));
+    List<Edit> edits = edits(desired, current, arguments.getBoolean("prune"));
     if (arguments.getString("action").equals("diff") || edits.isEmpty()) {
       edits.forEach(edit -> System.out.println(Json.text(edit)));
-      System.out.println(edits.size() + " changes against revision " + current.revision());
+      System.out.println(edits.size() + " changes to revision " + current.revision());
       return 0;
     }
     return ChangeReporter.report(
@@ -85,33 +92,38 @@
         arguments.getBoolean("json"));
   }
 
-  static List<Edit> edits(DesiredConfiguration wanted, Configuration current, boolean prune) {
+  /**
+   * Returns the edits that change the current configuration to the desired one.
+   *
+   * @param prune whether to remove items that the desired configuration does not name
+   */
+  static List<Edit> edits(DesiredConfiguration desired, Configuration current, boolean prune) {
     List<Edit> edits = new ArrayList<>();
-    for (ServiceClass value : wanted.classes()) {
+    for (ServiceClass value : desired.classes()) {
       if (!value.equals(current.classes().get(value.name()))) {
         edits.add(new Edit.PutClass(value));
       }
     }
-    for (Model value : wanted.models()) {
+    for (Model value : desired.models()) {
       if (!value.equals(current.models().get(value.name()))) {
         edits.add(new Edit.PutModel(value));
       }
     }
-    for (PlainService value : wanted.services()) {
+    for (PlainService value : desired.services()) {
       if (!value.equals(current.services().get(value.name()))) {
         edits.add(new Edit.PutService(value));
       }
     }
-    for (Workspace value : wanted.workspaces()) {
+    for (Workspace value : desired.workspaces()) {
       if (!value.equals(current.workspaces().get(value.name()))) {
         edits.add(new Edit.PutWorkspace(value));
       }
     }
     if (prune) {
-      addRemovals(edits, Edit.Kind.WORKSPACE, current.workspaces(), names(wanted.workspaces()));
-      addRemovals(edits, Edit.Kind.SERVICE, current.services(), names(wanted.services()));
-      addRemovals(edits, Edit.Kind.MODEL, current.models(), names(wanted.models()));
-      addRemovals(edits, Edit.Kind.CLASS, current.classes(), names(wanted.classes()));
+      addRemovals(edits, Edit.Kind.WORKSPACE, current.workspaces(), names(desired.workspaces()));
+      addRemovals(edits, Edit.Kind.SERVICE, current.services(), names(desired.services()));
+      addRemovals(edits, Edit.Kind.MODEL, current.models(), names(desired.models()));
+      addRemovals(edits, Edit.Kind.CLASS, current.classes(), names(desired.classes()));
     }
     return edits;
   }
@@ -131,9 +143,9 @@
   }
 
   private static void addRemovals(
-      List<Edit> edits, Edit.Kind kind, Map<String, ?> current, List<String> wanted) {
+      List<Edit> edits, Edit.Kind kind, Map<String, ?> current, List<String> namesToKeep) {
     for (String name : current.keySet()) {
-      if (!wanted.contains(name)) {
+      if (!namesToKeep.contains(name)) {
         edits.add(new Edit.Remove(kind, name));
       }
     }
--- a/src/main/java/org/curranthaven/internal/cli/BenchCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/BenchCommand.java
@@ -13,22 +13,28 @@
 import org.curranthaven.internal.standin.LocalFleet;
 import org.curranthaven.internal.standin.Workloads;
 
-/** {@code bench}: measurements against baselines in the same run. */
+/** {@code bench}: measures how costs grow with size, and ratios to baselines of the same run. */
 final class BenchCommand implements Command {
   private static final long READY_TIMEOUT_MILLIS = 20_000;
 
   @Override
   public void register(Subparsers parsers) {
-    Subparser parser = parsers.addParser("bench").help("measure slopes and ratios");
+    Subparser parser =
+        parsers
+            .addParser("bench")
+            .help("measure how costs grow with size, and ratios to baselines");
     Subparsers kinds = parser.addSubparsers().metavar("KIND");
-    addKind(kinds, "slopes", "cost of each role's work at several sizes, with fitted lines");
-    addKind(kinds, "claims", "claims through three voters against the disk's synced writes");
-    addKind(kinds, "restart", "time to read the state after 100, 1,000 and 100,000 changes");
-    addKind(kinds, "overhead", "streams through a host against streams from an engine directly")
+    addKind(kinds, "slopes", "cost of the work of each role at several sizes, with a fitted line");
+    addKind(kinds, "claims", "ledger claims through three voters compared with synced disk writes");
+    addKind(kinds, "restart", "time to load the state after 100, 1,000 and 100,000 changes");
+    addKind(
+            kinds,
+            "overhead",
+            "streams through a host compared with streams directly from an engine")
         .addArgument("--streams")
         .type(Integer.class)
         .setDefault(100)
-        .help("streams open at once; each yields about 33 tokens a second");
+        .help("concurrent streams; each delivers about 33 tokens per second");
   }
 
   private Subparser addKind(Subparsers kinds, String name, String help) {
@@ -51,6 +57,9 @@
     return 0;
   }
 
+  /**
+   * Configures the host; retries until it succeeds, since a new host may not accept changes yet.
+   */
   private static void configure(String httpAddress) throws IOException, InterruptedException {
     AdminClient client = new AdminClient(httpAddress);
     LocalFleet.await(
--- a/src/main/java/org/curranthaven/internal/cli/ChangeReporter.java
+++ b/src/main/java/org/curranthaven/internal/cli/ChangeReporter.java
@@ -3,10 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.curranthaven.api.Outcome;
 
-/** Tells an operator what became of a change. */
+/** Prints the outcome of a configuration change. */
 final class ChangeReporter {
   private ChangeReporter() {}
 
+  /** Prints the outcome and returns the exit code. */
   static int report(Outcome<JsonNode> outcome, boolean json) {
     return switch (outcome) {
       case Outcome.Failed<JsonNode> failed -> Main.reportFailure(failed.failure());
@@ -16,8 +17,10 @@
           System.out.println(result);
         } else {
           System.out.println(
-              "revision " + result.path("revision").asLong() + " is in force everywhere");
-          result.path("warnings").forEach(w -> System.out.println("warning: " + w.asText()));
+              "revision " + result.path("revision").asLong() + " is active on every host");
+          result
+              .path("warnings")
+              .forEach(warning -> System.out.println("warning: " + warning.asText()));
         }
         yield 0;
       }
--- a/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
@@ -12,7 +12,7 @@
 import org.curranthaven.internal.check.Violation;
 import org.jspecify.annotations.Nullable;
 
-/** {@code check}: runs the replicated log through sequences of events drawn from seeds. */
+/** {@code check}: tests the replicated log with random sequences of events, one for each seed. */
 final class CheckCommand implements Command {
   private static final int DEFAULT_SEEDS = 1_000;
   private static final int DEFAULT_ACTIONS = 6_000;
@@ -23,17 +23,18 @@
     Subparser parser =
         parsers
             .addParser("check")
-            .help("check the replicated log over drawn sequences of events")
+            .help("check the replicated log with random sequences of events")
             .description(
-                "Runs the log's replicas through lost, late, repeated and reordered messages,"
-                    + " crashes, cuts, wiped disks and drifting clocks, and checks that there is one"
-                    + " leader a term and one lease at a time, that logs agree, and that nothing"
-                    + " acknowledged is lost. Prints the seed and a short trace of a violation.");
+                "Exposes the replicas of the log to lost, delayed, duplicated and reordered"
+                    + " messages, crashes, network partitions, wiped disks and drifting clocks."
+                    + " Checks that there is at most one leader for each term and one lease at a"
+                    + " time, that logs agree, and that no acknowledged entry is lost. Prints the"
+                    + " seed and a shortened trace of a violation.");
     parser
         .addArgument("--seeds")
         .type(Integer.class)
         .setDefault(DEFAULT_SEEDS)
-        .help("how many seeds to run");
+        .help("number of seeds to run");
     parser.addArgument("--first-seed").type(Long.class).setDefault(1L).help("first seed");
     parser
         .addArgument("--minutes")
@@ -44,46 +45,48 @@
         .addArgument("--replicas")
         .type(Integer.class)
         .setDefault(3)
-        .help("replicas of the group");
+        .help("replicas in the group");
     parser
         .addArgument("--breakage")
         .type(InjectedFault.class)
         .setDefault(InjectedFault.NONE)
-        .help("deliberate fault, to see that the check can fail");
+        .help("fault to inject, to verify that the check detects it");
     parser.setDefault(Main.COMMAND, this);
   }
 
   @Override
   public int run(Namespace arguments) {
-    long first = arguments.getLong("first_seed");
+    long firstSeed = arguments.getLong("first_seed");
     int seeds = arguments.getInt("seeds");
     int replicas = arguments.getInt("replicas");
-    InjectedFault breakage = arguments.get("breakage");
+    InjectedFault fault = arguments.get("breakage");
     long deadline = System.nanoTime() + arguments.getInt("minutes") * NANOS_PER_MINUTE;
-    long seed = first;
-    for (; seed < first + seeds && System.nanoTime() < deadline; seed++) {
+    long seed = firstSeed;
+    for (; seed < firstSeed + seeds && System.nanoTime() < deadline; seed++) {
       List<Action> actions = Actions.draw(seed, DEFAULT_ACTIONS);
-      Violation violation = Actions.violation(seed, replicas, actions, breakage);
+      Violation violation = Actions.violation(seed, replicas, actions, fault);
       if (violation != null) {
-        return reportViolation(seed, replicas, actions, breakage, violation);
+        return reportViolation(seed, replicas, actions, fault, violation);
       }
     }
     System.out.printf(
         "%d seeds of %d actions with %d replicas: every invariant held%n",
-        seed - first, DEFAULT_ACTIONS, replicas);
+        seed - firstSeed, DEFAULT_ACTIONS, replicas);
     return 0;
   }
 
   private static int reportViolation(
-      long seed, int replicas, List<Action> actions, InjectedFault breakage, Violation violation) {
-    List<Action> shortest = Actions.shorten(seed, replicas, actions, breakage);
+      long seed, int replicas, List<Action> actions, InjectedFault fault, Violation violation) {
+    List<Action> shortestActions = Actions.shorten(seed, replicas, actions, fault);
     System.out.println("seed " + seed + ": " + violation.getMessage());
-    System.out.println("shortest trace found, " + shortest.size() + " actions:");
-    shortest.forEach(action -> System.out.println("  " + action));
-    @Nullable Violation last = Actions.violation(seed, replicas, shortest, breakage);
+    System.out.println("shortest trace found, " + shortestActions.size() + " actions:");
+    shortestActions.forEach(action -> System.out.println("  " + action));
+    @Nullable Violation shortestViolation =
+        Actions.violation(seed, replicas, shortestActions, fault);
     return Main.reportFailure(
         Failure.of(
             ResultCode.PROMISE_BROKEN,
-            "an invariant does not hold: " + (last == null ? violation : last).getMessage()));
+            "an invariant was violated: "
+                + (shortestViolation == null ? violation : shortestViolation).getMessage()));
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/Command.java
+++ b/src/main/java/org/curranthaven/internal/cli/Command.java
@@ -3,9 +3,9 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparsers;
 
-/** One command of the command line. */
+/** A command of the executable. */
 interface Command {
-  /** Adds the command's parser; its {@code command} attribute is this object. */
+  /** Adds the command's parser, whose {@code command} attribute is set to this object. */
   void register(Subparsers parsers);
 
   /** Runs the command and returns the exit code. */
--- a/src/main/java/org/curranthaven/internal/cli/ConfigurationItemCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ConfigurationItemCommand.java
@@ -23,7 +23,10 @@
 import org.curranthaven.internal.gateway.Hashes;
 import org.curranthaven.internal.settings.Json;
 
-/** {@code class}, {@code workspace}, {@code model} and {@code service}: set, remove and list. */
+/**
+ * {@code class}, {@code workspace}, {@code model} and {@code service}: sets, removes and lists
+ * items of one kind in the configuration.
+ */
 final class ConfigurationItemCommand implements Command {
   private final Edit.Kind kind;
 
@@ -31,6 +34,7 @@
     this.kind = kind;
   }
 
+  /** Returns the name of the command: the kind in lower case. */
   private String kindName() {
     return kind.name().toLowerCase(Locale.ROOT);
   }
@@ -39,12 +43,15 @@
   public void register(Subparsers parsers) {
     Subparser parser = parsers.addParser(kindName()).help("set, remove or list a " + kindName());
     Subparsers actions = parser.addSubparsers().metavar("ACTION");
-    Subparser set = addAction(actions, "set", "add or change it; in force everywhere on return");
+    Subparser set =
+        addAction(
+            actions, "set", "add or change one; returns when the change is active on every host");
     set.addArgument("name").help("name");
     addFields(set);
-    Subparser remove = addAction(actions, "remove", "remove it");
+    Subparser remove =
+        addAction(actions, "remove", "remove one; returns when the change is active on every host");
     remove.addArgument("name").help("name");
-    addAction(actions, "list", "list all");
+    addAction(actions, "list", "list all of them");
   }
 
   private Subparser addAction(Subparsers actions, String name, String help) {
@@ -54,8 +61,10 @@
       parser
           .addArgument("--base-revision")
           .type(Long.class)
-          .help("revision that the change is made from; the one in force if left out");
-      parser.addArgument("--change-id").help("id by which a resent change is recognised");
+          .help("revision that the change is based on; the active one if omitted");
+      parser
+          .addArgument("--change-id")
+          .help("id by which a repeated submission is recognised; random if omitted");
     }
     parser.setDefault(Main.COMMAND, this).setDefault("action", name);
     return parser;
@@ -64,25 +73,30 @@
   private void addFields(Subparser set) {
     switch (kind) {
       case CLASS -> {
-        addNumberArgument(set, "--first-reply-millis", "longest time to the first token");
-        addNumberArgument(set, "--gap-millis", "longest time between two tokens");
-        addNumberArgument(set, "--answer-millis", "longest time to the whole answer");
+        addNumberArgument(set, "--first-reply-millis", "target for the time to the first token");
+        addNumberArgument(set, "--gap-millis", "target for the time between two tokens");
+        addNumberArgument(set, "--answer-millis", "target for the time to the complete response");
         set.addArgument("--not-repeatable")
             .action(Arguments.storeTrue())
-            .help("its calls may run at most once");
+            .help("requests of this class may run at most once");
       }
       case WORKSPACE -> {
-        set.addArgument("--key").required(true).help("bearer key; only its hash is kept");
-        set.addArgument("--default-class").required(true).help("class of requests that name none");
+        set.addArgument("--key").required(true).help("bearer key; only its hash is stored");
+        set.addArgument("--default-class")
+            .required(true)
+            .help("class of requests that do not name one");
         set.addArgument("--requests-per-second")
             .type(Double.class)
             .setDefault(0.0)
-            .help("limit over all hosts; 0 for none");
+            .help("request rate limit across all hosts; 0 for no limit");
       }
       case MODEL ->
-          addNumberArgument(set, "--max-output-tokens", "largest answer that may be asked for");
+          addNumberArgument(
+              set, "--max-output-tokens", "largest output length that a request may ask for");
       case SERVICE ->
-          set.addArgument("--default-class").required(true).help("class of calls that name none");
+          set.addArgument("--default-class")
+              .required(true)
+              .help("class of requests that do not name one");
     }
   }
 
@@ -146,12 +160,12 @@
 
   private static int submit(Namespace arguments, AdminClient client, Edit edit)
       throws IOException, InterruptedException {
-    Long base = arguments.getLong("base_revision");
-    String id = arguments.getString("change_id");
+    Long baseRevision = arguments.getLong("base_revision");
+    String changeId = arguments.getString("change_id");
     Outcome<JsonNode> outcome =
         client.submitChange(
-            id == null ? UUID.randomUUID().toString() : id,
-            base == null ? client.configuration().revision() : base,
+            changeId == null ? UUID.randomUUID().toString() : changeId,
+            baseRevision == null ? client.configuration().revision() : baseRevision,
             AdminOptions.operatorName(),
             List.of(edit));
     return ChangeReporter.report(outcome, arguments.getBoolean("json"));
--- a/src/main/java/org/curranthaven/internal/cli/DemoCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoCommand.java
@@ -12,7 +12,7 @@
 import org.curranthaven.internal.standin.ClassTally;
 import org.curranthaven.internal.standin.PromiseTally;
 
-/** {@code demo}: a whole fleet under load and faults in one process. */
+/** {@code demo}: runs a complete fleet under load in one process and injects faults. */
 final class DemoCommand implements Command {
   private static final int DEFAULT_SECONDS = 20;
 
@@ -21,23 +21,31 @@
     Subparser parser =
         parsers
             .addParser("demo")
-            .help("run a whole fleet under load and faults, and count broken promises")
+            .help("run a complete fleet under load, inject faults and count broken promises")
             .description(
-                "Starts five hosts in three data centres with stand-in engines and services, loads"
-                    + " them, brings about faults, and counts broken promises from outside. Exits"
-                    + " with 0 only if there were none.");
+                "Starts five hosts in three data centres with stand-in engines and services, sends"
+                    + " requests, injects faults, and counts broken promises as callers and backend"
+                    + " servers see them. Exits with 0 only if no promise was broken and every"
+                    + " request finished.");
     parser
         .addArgument("--seconds")
         .type(Integer.class)
         .setDefault(DEFAULT_SECONDS)
-        .help("how long to send requests");
-    parser.addArgument("--rate").type(Double.class).setDefault(25.0).help("requests a second");
-    parser.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of the load");
-    parser.addArgument("--json").action(Arguments.storeTrue()).help("print one JSON line last");
+        .help("duration of the load in seconds");
+    parser
+        .addArgument("--rate")
+        .type(Double.class)
+        .setDefault(25.0)
+        .help("mean requests per second");
+    parser.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of the random load");
+    parser
+        .addArgument("--json")
+        .action(Arguments.storeTrue())
+        .help("print the result as one line of JSON, and progress to standard error");
     parser
         .addArgument("--hold")
         .action(Arguments.storeTrue())
-        .help("keep running afterwards, and print addresses to try");
+        .help("keep the fleet running afterwards, and print example requests");
     parser.setDefault(Main.COMMAND, this);
   }
 
@@ -54,11 +62,11 @@
     DemoRun.Report report =
         new DemoRun(options, line -> (json ? System.err : System.out).println(line)).run();
     if (json) {
-      Map<String, Object> object = new LinkedHashMap<>();
-      object.put("classes", report.classes());
-      object.put("promises", report.promises());
-      object.put("preemptions", report.preemptions());
-      System.out.println(Json.text(object));
+      Map<String, Object> result = new LinkedHashMap<>();
+      result.put("classes", report.classes());
+      result.put("promises", report.promises());
+      result.put("preemptions", report.preemptions());
+      System.out.println(Json.text(result));
     } else {
       print(report);
     }
@@ -72,7 +80,11 @@
     System.out.printf("%npreemptions on all engines: %d%n", report.preemptions());
     printPromises(report.promises());
     if (report.unfinished() > 0) {
-      System.out.println(report.unfinished() + " requests never ended");
+      System.out.println(
+          report.unfinished()
+              + " requests did not finish within "
+              + DemoRun.COMPLETION_TIMEOUT_MILLIS
+              + " ms after the last was sent");
     }
   }
 
@@ -109,10 +121,11 @@
   }
 
   static void printPromises(PromiseTally.Counts counts) {
-    System.out.println("promises broken, counted by callers and backend servers:");
+    System.out.println("broken promises, as counted by callers and backend servers:");
     System.out.printf(
-        "  tokens lost %d, repeated %d, out of order %d; generations spliced %d; answers crossed"
-            + " %d;%n  double runs %d; \"not run\" that ran %d; cut off by a planned stop %d%n",
+        "  tokens lost %d, repeated %d, out of order %d; generations spliced %d; responses of other"
+            + " requests %d;%n  requests that ran twice %d, that ran although reported as \"not"
+            + " run\" %d; cut off by a planned stop %d%n",
         counts.tokensLost(),
         counts.tokensRepeated(),
         counts.tokensOutOfOrder(),
--- a/src/main/java/org/curranthaven/internal/cli/DemoRun.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoRun.java
@@ -21,13 +21,16 @@
 import org.curranthaven.internal.standin.StandinService;
 import org.curranthaven.internal.standin.Workloads;
 
-/** One run of the demo: a fleet, stand-ins, a load and a list of faults. */
+/**
+ * One run of the demo: starts a fleet of hosts and stand-in backend servers, sends requests and
+ * injects faults at fixed fractions of the load time. Runs once.
+ */
 final class DemoRun {
   private static final int HOSTS = 5;
   private static final int CONTROL_HOSTS = 3;
   private static final int ENGINE_BLOCKS = 260;
   private static final long READY_TIMEOUT_MILLIS = 15_000;
-  private static final long COMPLETION_TIMEOUT_MILLIS = 60_000;
+  static final long COMPLETION_TIMEOUT_MILLIS = 60_000;
   private static final long RECLAIM_NOTICE_MILLIS = 1_500;
   private static final int MILLIS_PER_SECOND = 1_000;
 
@@ -38,17 +41,27 @@
   private final List<StandinService> services = new ArrayList<>();
   private final long startNanos = System.nanoTime();
 
+  /** Start of the load, or 0 before it. Confined to the thread that injects faults. */
+  private long loadStartNanos;
+
   /**
-   * Options of a run.
+   * Options of a demo run.
    *
-   * @param seconds how long to send requests
+   * @param seconds duration of the load
    * @param requestsPerSecond mean rate of requests
-   * @param seed seed of the load
-   * @param keepRunning whether to keep running afterwards
+   * @param seed seed of the random load
+   * @param keepRunning whether to keep the fleet running after the load
    */
   record Options(int seconds, double requestsPerSecond, long seed, boolean keepRunning) {}
 
-  /** What a run showed. */
+  /**
+   * Results of a demo run.
+   *
+   * @param classes results by class
+   * @param promises counts of broken promises
+   * @param preemptions preemptions on all engines
+   * @param unfinished requests that did not finish in time
+   */
   record Report(
       Map<String, ClassTally.Summary> classes,
       PromiseTally.Counts promises,
@@ -65,7 +78,8 @@
         Balancer balancer = new Balancer(fleet.httpAddresses())) {
       startStandins(fleet.httpAddresses());
       configure(fleet);
-      printProgress("five hosts in three data centres are ready, configuration in force");
+      printProgress(
+          HOSTS + " hosts in three data centres are ready, and the configuration is active");
       Report report = runLoad(fleet, balancer);
       if (options.keepRunning()) {
         keepRunning(fleet);
@@ -106,19 +120,27 @@
 
   private static void configure(LocalFleet fleet) throws IOException, InterruptedException {
     AdminClient admin = new AdminClient(fleet.httpAddresses().getLast());
-    boolean answering =
+    boolean connected =
         LocalFleet.await(
             READY_TIMEOUT_MILLIS, () -> !fleet.host(HOSTS - 1).network().connected().isEmpty());
     Outcome<JsonNode> outcome =
-        answering
+        connected
             ? admin.submitChange("demo-setup", 0, "demo", Workloads.configuration())
             : Outcome.failed(
-                org.curranthaven.api.ResultCode.HOST_UNREACHABLE, "the hosts do not connect");
+                org.curranthaven.api.ResultCode.HOST_UNREACHABLE,
+                "no host connected to "
+                    + fleet.host(HOSTS - 1).name()
+                    + " within "
+                    + READY_TIMEOUT_MILLIS
+                    + " ms");
     if (outcome instanceof Outcome.Failed<JsonNode> failed) {
       throw new IOException(failed.failure().sentence());
     }
     if (!fleet.awaitReady(READY_TIMEOUT_MILLIS)) {
-      throw new IOException("not every host became ready");
+      throw new IOException(
+          "not every host became ready within "
+              + READY_TIMEOUT_MILLIS
+              + " ms; try again when the machine is less busy");
     }
   }
 
@@ -126,14 +148,14 @@
     LocalFleet.await(READY_TIMEOUT_MILLIS, () -> balancer.readyCount() == HOSTS);
     try (LoadGenerator load =
         new LoadGenerator(Workloads.kinds(), Workloads.classes(), balancer, runLog)) {
-      Thread faults = Thread.ofPlatform().daemon(true).start(() -> injectFaults(fleet, load));
+      Thread faultThread = Thread.ofPlatform().daemon(true).start(() -> injectFaults(fleet, load));
       load.run(
           (long) options.seconds() * MILLIS_PER_SECOND,
           options.requestsPerSecond(),
           options.seed());
-      faults.join();
+      faultThread.join();
       printProgress(
-          "all " + load.sent() + " requests are sent; waiting for " + load.open() + " answers");
+          "sent all " + load.sent() + " requests, of which " + load.open() + " are still open");
       int unfinished = load.awaitEnd(COMPLETION_TIMEOUT_MILLIS);
       long preemptions = engines.stream().mapToLong(StandinEngine::preemptions).sum();
       return new Report(load.classes(), load.promises(), preemptions, unfinished);
@@ -143,48 +165,59 @@
   private void injectFaults(LocalFleet fleet, LoadGenerator load) {
     try {
       sleepUntil(0.15);
-      boolean silenced = engines.stream().anyMatch(StandinEngine::silenceOneConnection);
+      boolean madeUnresponsive = engines.stream().anyMatch(StandinEngine::silenceOneConnection);
       printProgress(
-          silenced ? "fault: one open stream goes silent for good" : "no stream to silence");
+          madeUnresponsive
+              ? "fault: one open stream becomes unresponsive for good"
+              : "fault left out: no open stream to make unresponsive");
       sleepUntil(0.3);
-      printProgress("fault: engine " + engines.get(0).name() + " is lost");
+      printProgress("fault: engine " + engines.get(0).name() + " stops without notice");
       engines.get(0).close();
       sleepUntil(0.45);
       StandinEngine reclaimed = engines.get(3);
-      printProgress("fault: engine " + reclaimed.name() + " is reclaimed at short notice");
+      printProgress(
+          "fault: engine "
+              + reclaimed.name()
+              + " is reclaimed and stops in "
+              + RECLAIM_NOTICE_MILLIS
+              + " ms");
       reclaimed.announceState(BackendAnnouncement.State.RECLAIMED);
       Thread.sleep(RECLAIM_NOTICE_MILLIS);
       reclaimed.close();
       sleepUntil(0.6);
       HostProcess leaving = fleet.host(0);
-      printProgress("planned stop of " + leaving.name() + ", which may lead groups");
+      printProgress("planned stop of " + leaving.name() + ", which may lead consensus groups");
       load.plannedStop(leaving.settings().httpAddress());
-      int left = leaving.drain();
+      int openRequests = leaving.drain();
       leaving.stop();
       printProgress(
-          "planned stop of " + leaving.name() + " is done; " + left + " requests were open");
+          "planned stop of "
+              + leaving.name()
+              + " is done; "
+              + openRequests
+              + " requests were still open");
       sleepUntil(0.8);
-      printProgress("fault: " + fleet.host(4).name() + " stops at once");
+      printProgress("fault: " + fleet.host(4).name() + " stops without draining");
       fleet.host(4).stop();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private long loadStartNanos;
-
-  private void sleepUntil(double share) throws InterruptedException {
+  /** Sleeps until a fraction of the load time has passed; its first call starts that time. */
+  private void sleepUntil(double loadFraction) throws InterruptedException {
     if (loadStartNanos == 0) {
       loadStartNanos = System.nanoTime();
     }
-    long due = (long) (share * options.seconds() * 1e9) - (System.nanoTime() - loadStartNanos);
-    if (due > 0) {
-      Thread.sleep(due / 1_000_000);
+    long remainingNanos =
+        (long) (loadFraction * options.seconds() * 1e9) - (System.nanoTime() - loadStartNanos);
+    if (remainingNanos > 0) {
+      Thread.sleep(remainingNanos / 1_000_000);
     }
   }
 
   private void keepRunning(LocalFleet fleet) throws InterruptedException {
-    printProgress("holding; try for example:");
+    printProgress("the fleet keeps running; examples of requests:");
     printProgress(
         "  curl -N http://"
             + fleet.httpAddresses().get(1)
--- a/src/main/java/org/curranthaven/internal/cli/ExperimentCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ExperimentCommand.java
@@ -15,35 +15,45 @@
 import org.curranthaven.internal.routing.Policy;
 import org.curranthaven.internal.settings.Json;
 
-/** {@code experiment routing}: compares routing policies on the same arrivals. */
+/** {@code experiment routing}: compares routing policies on the same simulated arrivals. */
 final class ExperimentCommand implements Command {
   @Override
   public void register(Subparsers parsers) {
-    Subparser parser = parsers.addParser("experiment").help("compare policies");
+    Subparser parser = parsers.addParser("experiment").help("compare policies in a simulation");
     Subparsers kinds = parser.addSubparsers().metavar("KIND");
     Subparser routing =
         kinds
             .addParser("routing")
             .help("compare routing policies on the same arrivals")
             .description(
-                "Runs each policy on each scenario and seed, on given time: eight hosts choose among"
-                    + " stand-in engines. A shed request counts as a missed target.");
-    routing.addArgument("--seeds").type(Integer.class).setDefault(5).help("seeds, from 1");
-    routing.addArgument("--scenario").setDefault("").help("only scenarios with this in their name");
+                "Simulates each policy with each scenario and seed: eight hosts choose among"
+                    + " simulated engines. A shed request counts as a missed target.");
+    routing
+        .addArgument("--seeds")
+        .type(Integer.class)
+        .setDefault(5)
+        .help("number of seeds, starting at 1");
+    routing
+        .addArgument("--scenario")
+        .setDefault("")
+        .help("run only scenarios whose name contains this text");
     routing
         .addArgument("--mechanisms")
         .action(Arguments.storeTrue())
-        .help("compare the policy in force with each of its mechanisms switched off")
+        .help("compare the standard policy with variants that each lack one mechanism")
         .setDefault(false);
-    routing.addArgument("--json").action(Arguments.storeTrue()).help("print one JSON line last");
+    routing
+        .addArgument("--json")
+        .action(Arguments.storeTrue())
+        .help("also print the result as one line of JSON at the end");
     routing.setDefault(Main.COMMAND, this);
   }
 
   @Override
   public int run(Namespace arguments) {
-    String wanted = arguments.getString("scenario");
+    String nameFilter = arguments.getString("scenario");
     List<Scenario> scenarios =
-        Scenario.all().stream().filter(scenario -> scenario.name().contains(wanted)).toList();
+        Scenario.all().stream().filter(scenario -> scenario.name().contains(nameFilter)).toList();
     Map<String, Policy> policies = new LinkedHashMap<>();
     if (arguments.getBoolean("mechanisms")) {
       policies.putAll(Mechanisms.variants());
@@ -52,9 +62,9 @@
     }
     RoutingExperiment.Report report =
         RoutingExperiment.run(scenarios, policies, arguments.getInt("seeds"));
-    report.byScenario().forEach(ExperimentCommand::print);
+    report.byScenario().forEach(ExperimentCommand::printScenario);
     List<Bounds.Verdict> verdicts = Bounds.verdicts(report.all());
-    verdicts.forEach(ExperimentCommand::print);
+    verdicts.forEach(ExperimentCommand::printVerdict);
     if (arguments.getBoolean("json")) {
       System.out.println(Json.text(Map.of("policies", report.all())));
     }
@@ -62,7 +72,7 @@
     return allHold ? 0 : ResultCode.TARGETS_NOT_MET.exitCode();
   }
 
-  private static void print(Bounds.Verdict verdict) {
+  private static void printVerdict(Bounds.Verdict verdict) {
     System.out.printf(
         "%-34s %8.3f  bound %s %.2f  %s%n",
         verdict.name(),
@@ -72,7 +82,8 @@
         verdict.holds() ? "holds" : "DOES NOT HOLD");
   }
 
-  private static void print(String scenario, Map<String, RoutingExperiment.Figures> byPolicy) {
+  private static void printScenario(
+      String scenario, Map<String, RoutingExperiment.Figures> byPolicy) {
     System.out.printf(
         "%n%-28s %12s %9s %8s %8s %10s %6s %9s %7s %7s  met by class%n",
         scenario,
--- a/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
@@ -13,7 +13,7 @@
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.Workloads;
 
-/** {@code load}: asks hosts as callers do, in both users' shapes, and checks every answer. */
+/** {@code load}: sends a mixed load of requests to hosts and checks every response. */
 final class LoadCommand implements Command {
   private static final long COMPLETION_TIMEOUT_MILLIS = 120_000;
   private static final long BALANCER_STARTUP_DELAY_MILLIS = 500;
@@ -24,19 +24,28 @@
     Subparser parser =
         parsers
             .addParser("load")
-            .help("load hosts in both users' shapes, and check every answer")
+            .help("send a mixed load of requests to hosts and check every response")
             .description(
-                "Sends requests to stand-ins through the hosts and checks every token. What ran"
-                    + " twice or ran after 'not run' is counted by 'demo' only, which also sees the"
-                    + " stand-ins. Needs the configuration that 'load --configure' makes.");
+                "Sends requests through the hosts to stand-in backend servers and checks every"
+                    + " token. Requests that ran twice, or ran although reported as not run, are"
+                    + " counted by 'demo' only, which also observes the stand-ins. Needs the"
+                    + " configuration that 'load --configure' creates.");
     parser.addArgument("--hosts").nargs("+").required(true).help("HTTP addresses of hosts");
-    parser.addArgument("--seconds").type(Integer.class).setDefault(20).help("how long to send");
-    parser.addArgument("--rate").type(Double.class).setDefault(20.0).help("requests a second");
-    parser.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of the load");
+    parser
+        .addArgument("--seconds")
+        .type(Integer.class)
+        .setDefault(20)
+        .help("duration of the load in seconds");
+    parser
+        .addArgument("--rate")
+        .type(Double.class)
+        .setDefault(20.0)
+        .help("mean requests per second");
+    parser.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of the random load");
     parser
         .addArgument("--configure")
         .action(Arguments.storeTrue())
-        .help("first configure the load's classes, models, services and workspace");
+        .help("first configure the classes, models, services and workspace of the load");
     parser.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
     parser.setDefault(Main.COMMAND, this);
   }
@@ -45,13 +54,13 @@
   public int run(Namespace arguments) throws Exception {
     List<String> hosts = arguments.getList("hosts");
     if (arguments.getBoolean("configure")) {
-      int exit =
+      int exitCode =
           ChangeReporter.report(
               new AdminClient(hosts.getFirst())
                   .submitChange(AdminOptions.operatorName(), Workloads.configuration()),
               false);
-      if (exit != 0) {
-        return exit;
+      if (exitCode != 0) {
+        return exitCode;
       }
     }
     try (Balancer balancer = new Balancer(hosts);
--- a/src/main/java/org/curranthaven/internal/cli/Logging.java
+++ b/src/main/java/org/curranthaven/internal/cli/Logging.java
@@ -2,13 +2,16 @@
 
 import org.tinylog.configuration.Configuration;
 
-/** Sets up log lines. */
+/** Configures the log output of the process. Call one method, once, before the first log line. */
 final class Logging {
+  private static final String TEXT_FORMAT = "{date: HH:mm:ss.SSS} {level} {message}";
+
   private Logging() {}
 
   /**
-   * Writes lines as text to standard error, or as JSON to standard output; to be called before the
-   * first line.
+   * Logs from level info on.
+   *
+   * @param json whether to write JSON to standard output instead of text to standard error
    */
   static void configure(boolean json) {
     if (json) {
@@ -16,16 +19,16 @@
     } else {
       Configuration.set("writer", "console");
       Configuration.set("writer.stream", "err");
-      Configuration.set("writer.format", "{date: HH:mm:ss.SSS} {level} {message}");
+      Configuration.set("writer.format", TEXT_FORMAT);
     }
     Configuration.set("level", "info");
   }
 
-  /** Writes warnings and errors only. */
+  /** Logs errors only, as text to standard error. */
   static void configureErrorsOnly() {
     Configuration.set("writer", "console");
     Configuration.set("writer.stream", "err");
-    Configuration.set("writer.format", "{date: HH:mm:ss.SSS} {level} {message}");
+    Configuration.set("writer.format", TEXT_FORMAT);
     Configuration.set("level", "error");
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/Main.java
+++ b/src/main/java/org/curranthaven/internal/cli/Main.java
@@ -13,19 +13,19 @@
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.configuration.Edit;
 
-/** Entry point of the executable. */
+/** Entry point of the executable: parses the arguments and runs the selected command. */
 public final class Main {
-  /** Version of the program. */
+  /** Version that {@code --version} prints. */
   public static final String VERSION = "0.1.0";
 
-  /** Attribute under which a parser stores its command. */
+  /** Attribute of the parsed arguments that holds the selected command. */
   static final String COMMAND = "command";
 
   private static final int EXIT_OK = 0;
 
   private Main() {}
 
-  /** Runs a command and exits with its code. */
+  /** Runs a command and exits the process with its exit code. */
   public static void main(String[] arguments) {
     System.setProperty("jdk.httpclient.keepalive.timeout", "1");
     System.setProperty("sun.net.httpserver.nodelay", "true");
@@ -46,19 +46,19 @@
       parser.handleError(e);
       return ResultCode.USAGE.exitCode();
     } catch (ConnectException e) {
-      return reportFailure(Failure.of(ResultCode.HOST_UNREACHABLE, "the host does not answer"));
+      return reportFailure(Failure.of(ResultCode.HOST_UNREACHABLE, "cannot connect to the host"));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return ResultCode.INTERNAL.exitCode();
     } catch (IOException e) {
-      return reportFailure(
-          Failure.of(ResultCode.HOST_UNREACHABLE, "the call failed: " + e.getMessage()));
+      return reportFailure(Failure.of(ResultCode.HOST_UNREACHABLE, "input or output failed: " + e));
     } catch (Exception e) {
-      return reportFailure(Failure.of(ResultCode.INTERNAL, "the command failed: " + e));
+      return reportFailure(
+          Failure.of(ResultCode.INTERNAL, "the command failed unexpectedly: " + e));
     }
   }
 
-  /** Prints a failure and returns its exit code. */
+  /** Prints a failure to standard error and returns its exit code. */
   static int reportFailure(Failure failure) {
     System.err.println("curranthaven: " + failure.sentence());
     return failure.code().exitCode();
@@ -69,7 +69,8 @@
         ArgumentParsers.newFor("curranthaven")
             .build()
             .defaultHelp(true)
-            .description("Serves generations of unknown length on crowded engines.")
+            .description(
+                "Serves generations of unknown output length on engines with little free capacity.")
             .version("curranthaven " + VERSION);
     parser
         .addArgument("--version")
@@ -93,15 +94,18 @@
         new ConfigurationItemCommand(Edit.Kind.MODEL),
         new ConfigurationItemCommand(Edit.Kind.SERVICE),
         new ApplyCommand(),
+        new AdminGetCommand("get", "print the active configuration", "/admin/v1/configuration", ""),
         new AdminGetCommand(
-            "get", "print the configuration in force", "/admin/v1/configuration", ""),
-        new AdminGetCommand("history", "print the revisions", "/admin/v1/history", ""),
+            "history", "print the revisions of the configuration", "/admin/v1/history", ""),
         new StatusCommand(),
         new AdminGetCommand("hosts", "list the hosts", "/admin/v1/hosts", ""),
         new AdminGetCommand("backends", "list the backend servers", "/admin/v1/backends", ""),
-        new AdminGetCommand("dump", "print a host's whole state", "/admin/v1/dump", ""),
+        new AdminGetCommand("dump", "print the complete state of a host", "/admin/v1/dump", ""),
         new AdminGetCommand(
-            "explain", "print the decisions made for a request", "/admin/v1/explain/", "request"),
+            "explain",
+            "print the routing decisions made for a request",
+            "/admin/v1/explain/",
+            "request"),
         new StandinCommand(),
         new LoadCommand(),
         new DemoCommand(),
--- a/src/main/java/org/curranthaven/internal/cli/ProcessSignals.java
+++ b/src/main/java/org/curranthaven/internal/cli/ProcessSignals.java
@@ -7,30 +7,31 @@
 import org.tinylog.Logger;
 
 /**
- * Calls back on SIGTERM and SIGINT. The JDK's signal class is reached by reflection, since a
- * shutdown hook cannot tell a second signal from the first.
+ * Registers handlers of SIGTERM, SIGINT and SIGHUP. A shutdown hook cannot distinguish a second
+ * signal from the first, so this class uses the JDK's internal signal class, by reflection.
+ * Handlers run on a new thread for each signal.
  */
 final class ProcessSignals {
   private ProcessSignals() {}
 
-  /** Registers an action, which is given the number of signals so far. */
+  /** Registers an action for SIGTERM and SIGINT; it receives the number of signals so far. */
   static void onTermination(IntConsumer action) {
     AtomicInteger count = new AtomicInteger();
     for (String name : new String[] {"TERM", "INT"}) {
       try {
         register(name, () -> action.accept(count.incrementAndGet()));
       } catch (ReflectiveOperationException e) {
-        Logger.warn("signal {} cannot be handled: {}", name, e.getMessage());
+        Logger.warn("cannot install a handler for signal {}: {}", name, e.getMessage());
       }
     }
   }
 
-  /** Registers an action for SIGHUP, which would end the process otherwise. */
+  /** Registers an action for SIGHUP, which would otherwise end the process. */
   static void onReload(Runnable action) {
     try {
       register("HUP", action);
     } catch (ReflectiveOperationException e) {
-      Logger.warn("signal HUP cannot be handled: {}", e.getMessage());
+      Logger.warn("cannot install a handler for signal HUP: {}", e.getMessage());
     }
   }
 
--- a/src/main/java/org/curranthaven/internal/cli/RehearseCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/RehearseCommand.java
@@ -24,8 +24,9 @@
 import org.curranthaven.internal.supervision.Clock;
 
 /**
- * {@code rehearse}: starts a control host and a gateway in one process on loopback, sends each a
- * call, and exits. The build runs it to record which classes a start needs.
+ * {@code rehearse}: starts a control host and a gateway in one process on loopback addresses, sends
+ * a request to each, and exits. The build runs it to record the classes that a start loads in the
+ * class data sharing archive.
  */
 final class RehearseCommand implements Command {
   private static final long STARTUP_DELAY_MILLIS = 2_500;
@@ -36,25 +37,27 @@
     Subparser parser =
         parsers
             .addParser("rehearse")
-            .help("start a control host and a gateway on loopback, and exit");
-    parser.addArgument("--protocol").required(true).help("name of the protocol to speak");
+            .help("start a control host and a gateway on loopback addresses, and exit");
+    parser.addArgument("--protocol").required(true).help("name of the wire protocol");
     parser.setDefault(Main.COMMAND, this);
   }
 
   @Override
   public int run(Namespace arguments) throws InterruptedException, IOException {
     Logging.configure(true);
-    WireProtocol protocol = ServeRoutedCommand.findProtocol(arguments.getString("protocol"));
+    String protocolName = arguments.getString("protocol");
+    WireProtocol protocol = ServeRoutedCommand.findProtocol(protocolName);
     if (protocol == null) {
-      return Main.reportFailure(Failure.of(ResultCode.USAGE, "there is no such protocol"));
+      return Main.reportFailure(
+          Failure.of(ResultCode.USAGE, "unknown wire protocol '" + protocolName + "'"));
     }
     List<String> addresses = LocalFleet.freeAddresses(3);
     String controlPeer = addresses.get(0);
     String controlAddress = addresses.get(1);
     String callerAddress = addresses.get(2);
-    Path folder = Files.createTempDirectory("curranthaven-rehearsal");
+    Path dataFolder = Files.createTempDirectory("curranthaven-rehearsal");
     RoutedSettings control =
-        settings("control-1", controlPeer, controlPeer, null, controlAddress, folder);
+        settings("control-1", controlPeer, controlPeer, null, controlAddress, dataFolder);
     RoutedSettings gateway =
         settings(
             "gateway-1",
@@ -63,8 +66,9 @@
             callerAddress,
             null,
             null);
-    if (!(DataFolder.open(folder) instanceof Outcome.Success<DataFolder> opened)) {
-      return Main.reportFailure(Failure.of(ResultCode.STORAGE_FAILED, folder + " cannot be used"));
+    if (!(DataFolder.open(dataFolder) instanceof Outcome.Success<DataFolder> opened)) {
+      return Main.reportFailure(
+          Failure.of(ResultCode.STORAGE_FAILED, "data folder " + dataFolder + " cannot be opened"));
     }
     new ControlHost(control, protocol, opened.value(), Clock.system()).start();
     new Gateway(gateway, protocol, Clock.system()).start();
@@ -80,7 +84,7 @@
       String contact,
       @org.jspecify.annotations.Nullable String callerAddress,
       @org.jspecify.annotations.Nullable String controlAddress,
-      @org.jspecify.annotations.Nullable Path folder) {
+      @org.jspecify.annotations.Nullable Path dataFolder) {
     return new RoutedSettings(
         name,
         "here",
@@ -89,9 +93,9 @@
         null,
         controlAddress,
         null,
-        folder == null ? null : folder.toString(),
+        dataFolder == null ? null : dataFolder.toString(),
         List.of(contact),
-        folder != null,
+        dataFolder != null,
         0,
         1,
         0.2,
@@ -100,14 +104,14 @@
         1_000);
   }
 
-  /** Returns the same port at another loopback address: hosts find each other at one port. */
+  /** Returns another loopback address with the same port: all hosts use the same peer port. */
   private static String secondLoopbackAddress(String address) {
     return address.replace("127.0.0.1", "127.0.0.2");
   }
 
   private static void sendRequest(String address) throws IOException {
-    int colon = address.indexOf(':');
-    int port = Integer.parseInt(address.substring(colon + 1));
+    int portSeparator = address.indexOf(':');
+    int port = Integer.parseInt(address.substring(portSeparator + 1));
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
       OutputStream out = socket.getOutputStream();
--- a/src/main/java/org/curranthaven/internal/cli/ReplayCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ReplayCommand.java
@@ -13,23 +13,23 @@
 import org.curranthaven.internal.experiment.TraceReplay;
 import org.curranthaven.internal.settings.Json;
 
-/** {@code replay}: runs the routing core on a recorded trace. */
+/** {@code replay}: feeds a recorded trace of events to the routing core. */
 final class ReplayCommand implements Command {
   @Override
   public void register(Subparsers parsers) {
     Subparser parser =
         parsers
             .addParser("replay")
-            .help("run the routing core on a recorded trace")
+            .help("feed a recorded trace to the routing core")
             .description(
-                "Runs the routing core on a trace that 'serve --record' wrote, and prints the"
-                    + " outcomes. With --expect, compares them with stated ones.");
+                "Feeds a trace that 'serve --record' wrote to the routing core and prints the"
+                    + " outcomes. With --expect, also compares them with the expected ones.");
     parser.addArgument("trace").help("trace file");
-    parser.addArgument("--expect").help("file of stated outcomes");
+    parser.addArgument("--expect").help("file with the expected outcomes");
     parser
         .addArgument("--decisions")
         .action(Arguments.storeTrue())
-        .help("print every decision, a JSON line each");
+        .help("print every decision as a line of JSON");
     parser.setDefault(Main.COMMAND, this);
   }
 
@@ -40,21 +40,28 @@
       result = TraceReplay.run(Files.readAllLines(Path.of(arguments.getString("trace"))));
     } catch (JsonProcessingException e) {
       return Main.reportFailure(
-          Failure.of(ResultCode.MALFORMED_BODY, "the trace: " + e.getOriginalMessage()));
+          Failure.of(
+              ResultCode.MALFORMED_BODY,
+              "trace file "
+                  + arguments.getString("trace")
+                  + " is not valid: "
+                  + e.getOriginalMessage()));
     }
     if (arguments.getBoolean("decisions")) {
       result.decisions().forEach(System.out::println);
     }
     System.out.println(Json.text(result.outcomes()));
-    String expect = arguments.getString("expect");
-    if (expect == null) {
+    String expectedFile = arguments.getString("expect");
+    if (expectedFile == null) {
       return 0;
     }
-    TraceReplay.Outcomes stated =
-        Json.MAPPER.readValue(Files.readString(Path.of(expect)), TraceReplay.Outcomes.class);
-    return stated.equals(result.outcomes())
+    TraceReplay.Outcomes expected =
+        Json.MAPPER.readValue(Files.readString(Path.of(expectedFile)), TraceReplay.Outcomes.class);
+    return expected.equals(result.outcomes())
         ? 0
         : Main.reportFailure(
-            Failure.of(ResultCode.REPLAY_DIFFERS, "the outcomes differ from " + Json.text(stated)));
+            Failure.of(
+                ResultCode.REPLAY_DIFFERS,
+                "the outcomes differ from the expected " + Json.text(expected)));
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/ServeRoutedCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ServeRoutedCommand.java
@@ -18,30 +18,33 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-/** {@code serve-routed}: runs one host that serves routed calls in the words of a platform. */
+/**
+ * {@code serve-routed}: runs one gateway or control host that routes requests in a platform's wire
+ * protocol.
+ */
 final class ServeRoutedCommand implements Command {
   @Override
   public void register(Subparsers parsers) {
     Subparser parser =
         parsers
             .addParser("serve-routed")
-            .help("run one host that serves routed calls in the words of a platform")
+            .help("run one host that routes requests in the wire protocol of a platform")
             .description(
-                "Runs one host until SIGTERM, which drains it. SIGHUP changes nothing: settings"
-                    + " are read at the start.");
+                "Runs one host until SIGTERM, which drains it. SIGHUP is ignored: settings are"
+                    + " read only at start.");
     parser.addArgument("--settings").required(true).help("settings file (JSON with comments)");
-    parser.addArgument("--protocol").required(true).help("name of the protocol to speak");
+    parser.addArgument("--protocol").required(true).help("name of the wire protocol");
     parser.setDefault(Main.COMMAND, this);
   }
 
   @Override
   public int run(Namespace arguments) throws InterruptedException {
     Logging.configure(true);
-    String name = arguments.getString("protocol");
-    WireProtocol protocol = findProtocol(name);
+    String protocolName = arguments.getString("protocol");
+    WireProtocol protocol = findProtocol(protocolName);
     if (protocol == null) {
       return Main.reportFailure(
-          Failure.of(ResultCode.USAGE, "there is no protocol '" + name + "'"));
+          Failure.of(ResultCode.USAGE, "unknown wire protocol '" + protocolName + "'"));
     }
     return switch (RoutedSettings.read(Path.of(arguments.getString("settings")))) {
       case Outcome.Failed<RoutedSettings> failed -> Main.reportFailure(failed.failure());
@@ -49,11 +52,11 @@
     };
   }
 
-  /** Returns the protocol of the name, or null. */
+  /** Returns the wire protocol with a name, or null if no provider has that name. */
   static @Nullable WireProtocol findProtocol(String name) {
     return ServiceLoader.load(WireProtocol.class).stream()
         .map(ServiceLoader.Provider::get)
-        .filter(found -> found.name().equals(name))
+        .filter(protocol -> protocol.name().equals(name))
         .findFirst()
         .orElse(null);
   }
@@ -63,7 +66,9 @@
     CountDownLatch stop = new CountDownLatch(1);
     ProcessSignals.onTermination(count -> stop.countDown());
     ProcessSignals.onReload(
-        () -> Logger.info("settings are read at the start only; the signal changes nothing"));
+        () ->
+            Logger.info(
+                "host {}: SIGHUP ignored, settings are read only at start", settings.name()));
     return settings.isControl()
         ? serveControl(settings, protocol, stop)
         : serveGateway(settings, protocol, stop);
@@ -75,9 +80,12 @@
     Gateway gateway = new Gateway(settings, protocol, Clock.system());
     gateway.start();
     stop.await();
-    int left = gateway.drain();
-    if (left > 0) {
-      Logger.warn("{} calls were still open and are cut off", left);
+    int openRequests = gateway.drain();
+    if (openRequests > 0) {
+      Logger.warn(
+          "gateway {}: {} requests were still open after the drain and are cut off",
+          settings.name(),
+          openRequests);
     }
     return 0;
   }
--- a/src/main/java/org/curranthaven/internal/cli/SettingsCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/SettingsCommand.java
@@ -14,20 +14,21 @@
 import org.curranthaven.internal.settings.HostSettings;
 import org.curranthaven.internal.settings.SettingsReader;
 
-/** {@code settings check} and {@code settings example}. */
+/** {@code settings check} and {@code settings example}: checks a file, or prints an example. */
 final class SettingsCommand implements Command {
   private static final String EXAMPLE_RESOURCE = "/org/curranthaven/example.jsonc";
 
   @Override
   public void register(Subparsers parsers) {
-    Subparser parser = parsers.addParser("settings").help("check settings, or print an example");
+    Subparser parser =
+        parsers.addParser("settings").help("check a settings file, or print an example");
     Subparsers actions = parser.addSubparsers().metavar("ACTION");
     Subparser check = actions.addParser("check").help("check a settings file");
     check.addArgument("file").help("settings file");
     check.setDefault(Main.COMMAND, this).setDefault("action", "check");
     actions
         .addParser("example")
-        .help("print a commented file that passes the check")
+        .help("print an example file with comments")
         .setDefault(Main.COMMAND, this)
         .setDefault("action", "example");
   }
@@ -41,7 +42,7 @@
     return switch (check(Path.of(arguments.getString("file")))) {
       case Outcome.Failed<HostSettings> failed -> Main.reportFailure(failed.failure());
       case Outcome.Success<HostSettings> success -> {
-        System.out.println("the settings of " + success.value().name() + " are sound");
+        System.out.println("the settings of host " + success.value().name() + " are valid");
         yield 0;
       }
     };
@@ -50,7 +51,8 @@
   static String example() throws IOException {
     try (InputStream in = SettingsCommand.class.getResourceAsStream(EXAMPLE_RESOURCE)) {
       if (in == null) {
-        throw new IOException(EXAMPLE_RESOURCE + " is not part of the program");
+        throw new IOException(
+            "resource " + EXAMPLE_RESOURCE + " is missing from the executable; build it again");
       }
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
@@ -68,6 +70,6 @@
     return Outcome.failed(
         Failure.of(
             ResultCode.SETTINGS_INVALID,
-            reader.faults().size() + " faults in the settings:\n" + faults + "\n"));
+            reader.faults().size() + " faults in settings file " + file + ":\n" + faults + "\n"));
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/StandinCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/StandinCommand.java
@@ -13,13 +13,16 @@
 import org.curranthaven.internal.standin.StandinOptions;
 import org.curranthaven.internal.standin.StandinService;
 
-/** {@code standin engine} and {@code standin service}: backend servers to try the system with. */
+/**
+ * {@code standin engine} and {@code standin service}: runs a backend server for trials and tests.
+ */
 final class StandinCommand implements Command {
   private static final int DEFAULT_BLOCKS = 2_000;
 
   @Override
   public void register(Subparsers parsers) {
-    Subparser parser = parsers.addParser("standin").help("run a stand-in backend server");
+    Subparser parser =
+        parsers.addParser("standin").help("run a stand-in backend server for trials and tests");
     Subparsers kinds = parser.addSubparsers().metavar("KIND");
     Subparser engine = kinds.addParser("engine").help("run a stand-in model engine");
     addCommonArguments(engine, "engine");
@@ -32,17 +35,25 @@
     engine
         .addArgument("--ignores-fencing")
         .action(Arguments.storeTrue())
-        .help("take orders with old fencing numbers");
+        .help("accept orders with outdated fencing numbers");
     Subparser service = kinds.addParser("service").help("run a stand-in plain service");
     addCommonArguments(service, "service");
-    service.addArgument("--service").dest("model").required(true).help("service that it is");
+    service.addArgument("--service").dest("model").required(true).help("service that it provides");
   }
 
   private void addCommonArguments(Subparser parser, String kind) {
-    parser.addArgument("--name").required(true).help("name of the server");
-    parser.addArgument("--data-centre").setDefault("a").help("data centre it stands in");
-    parser.addArgument("--port").type(Integer.class).setDefault(0).help("port; 0 for any");
-    parser.addArgument("--hosts").nargs("+").required(true).help("HTTP addresses of hosts");
+    parser.addArgument("--name").required(true).help("name of the backend server");
+    parser.addArgument("--data-centre").setDefault("a").help("data centre that it belongs to");
+    parser
+        .addArgument("--port")
+        .type(Integer.class)
+        .setDefault(0)
+        .help("port to listen on; 0 for any free port");
+    parser
+        .addArgument("--hosts")
+        .nargs("+")
+        .required(true)
+        .help("HTTP addresses of hosts to register with");
     parser.setDefault(Main.COMMAND, this).setDefault("kind", kind);
   }
 
--- a/src/main/java/org/curranthaven/internal/cli/StatusCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/StatusCommand.java
@@ -15,7 +15,9 @@
 import org.curranthaven.internal.observe.TargetMonitor;
 import org.curranthaven.internal.settings.Json;
 
-/** {@code status}: each class against its targets, per data centre and in all. */
+/**
+ * {@code status}: compares each class with its targets, for each data centre and for all of them.
+ */
 final class StatusCommand implements Command {
   private static final long WATCH_INTERVAL_MILLIS = 2_000;
   private static final String ALL_DATA_CENTRES = "all";
@@ -25,18 +27,20 @@
     Subparser parser =
         parsers
             .addParser("status")
-            .help("show each class against its targets")
+            .help("show whether each class meets its targets")
             .description(
-                "Shows each class against its targets over the last minute and the last 15 minutes,"
-                    + " per data centre and in all. A class meets a target if 95 of 100 first"
-                    + " replies, and of gaps, are within it. Exits with 2 if a class does not.");
+                "Shows how well each class met its targets in the last minute and the last 15"
+                    + " minutes, for each data centre and for all of them. A class meets its"
+                    + " targets if 95 of 100 first replies and 95 of 100 gaps are within them."
+                    + " Exits with 2 if a class does not meet its targets in the last minute.");
     AdminOptions.add(parser);
     parser.addArgument("--watch").action(Arguments.storeTrue()).help("repeat every 2 seconds");
     parser.setDefault(Main.COMMAND, this);
   }
 
-  /** Figures by data centre, then by class. */
+  /** Figures by data centre, or {@link #ALL_DATA_CENTRES}, then by class. */
   private record Status(Map<String, Map<String, TargetMonitor.ClassStatus>> byDataCentre) {
+    /** Returns whether every class met its targets in the last minute, over all data centres. */
     boolean met() {
       return byDataCentre.getOrDefault(ALL_DATA_CENTRES, Map.of()).values().stream()
           .allMatch(status -> status.lastMinute().met());
@@ -64,37 +68,44 @@
   }
 
   private static Status read(AdminClient client) throws IOException, InterruptedException {
-    Map<String, Map<String, TargetMonitor.ClassStatus>> sums = new TreeMap<>();
+    Map<String, Map<String, TargetMonitor.ClassStatus>> byDataCentre = new TreeMap<>();
     for (JsonNode host : client.get("/admin/v1/hosts")) {
       Map<String, TargetMonitor.ClassStatus> classes;
       try {
-        JsonNode page = new AdminClient(host.path("httpAddress").asText()).get("/admin/v1/status");
-        classes = Json.MAPPER.convertValue(page, new TypeReference<>() {});
+        JsonNode document =
+            new AdminClient(host.path("httpAddress").asText()).get("/admin/v1/status");
+        classes = Json.MAPPER.convertValue(document, new TypeReference<>() {});
       } catch (IOException e) {
-        System.err.println("host " + host.path("name").asText() + " does not answer");
+        System.err.println(
+            "host "
+                + host.path("name").asText()
+                + " at "
+                + host.path("httpAddress").asText()
+                + " did not respond and is left out of the figures: "
+                + e);
         continue;
       }
-      merge(sums, ALL_DATA_CENTRES, classes);
-      merge(sums, host.path("dataCentre").asText(), classes);
+      merge(byDataCentre, ALL_DATA_CENTRES, classes);
+      merge(byDataCentre, host.path("dataCentre").asText(), classes);
     }
-    return new Status(sums);
+    return new Status(byDataCentre);
   }
 
   private static void merge(
-      Map<String, Map<String, TargetMonitor.ClassStatus>> sums,
+      Map<String, Map<String, TargetMonitor.ClassStatus>> byDataCentre,
       String dataCentre,
       Map<String, TargetMonitor.ClassStatus> classes) {
-    Map<String, TargetMonitor.ClassStatus> sum =
-        sums.computeIfAbsent(dataCentre, name -> new LinkedHashMap<>());
+    Map<String, TargetMonitor.ClassStatus> sumByClass =
+        byDataCentre.computeIfAbsent(dataCentre, name -> new LinkedHashMap<>());
     classes.forEach(
         (name, status) ->
-            sum.merge(
+            sumByClass.merge(
                 name,
                 status,
-                (a, b) ->
+                (first, second) ->
                     new TargetMonitor.ClassStatus(
-                        a.lastMinute().plus(b.lastMinute()),
-                        a.last15Minutes().plus(b.last15Minutes()))));
+                        first.lastMinute().plus(second.lastMinute()),
+                        first.last15Minutes().plus(second.last15Minutes()))));
   }
 
   private static void print(Status status, Configuration configuration) {
@@ -105,7 +116,8 @@
         .byDataCentre()
         .forEach(
             (dataCentre, classes) ->
-                classes.forEach((name, figures) -> printRow(dataCentre, name, figures)));
+                classes.forEach(
+                    (className, classStatus) -> printRow(dataCentre, className, classStatus)));
     System.out.println(
         "configuration revision "
             + configuration.revision()
@@ -115,21 +127,23 @@
                 : "not every class meets its targets"));
   }
 
-  private static void printRow(String dataCentre, String name, TargetMonitor.ClassStatus figures) {
-    TargetMonitor.Window minute = figures.lastMinute();
-    TargetMonitor.Window quarter = figures.last15Minutes();
+  private static void printRow(
+      String dataCentre, String className, TargetMonitor.ClassStatus classStatus) {
+    TargetMonitor.Window lastMinute = classStatus.lastMinute();
+    TargetMonitor.Window last15Minutes = classStatus.last15Minutes();
     System.out.printf(
         "%-12s %-14s %-6s %22s %22s %8d%n",
         dataCentre,
-        name,
-        minute.met() ? "yes" : "NO",
-        percentage(minute.repliesInTime(), minute.replies() + minute.failed())
+        className,
+        lastMinute.met() ? "yes" : "NO",
+        percentage(lastMinute.repliesInTime(), lastMinute.replies() + lastMinute.failed())
             + " / "
-            + percentage(quarter.repliesInTime(), quarter.replies() + quarter.failed()),
-        percentage(minute.gapsInTime(), minute.gaps())
+            + percentage(
+                last15Minutes.repliesInTime(), last15Minutes.replies() + last15Minutes.failed()),
+        percentage(lastMinute.gapsInTime(), lastMinute.gaps())
             + " / "
-            + percentage(quarter.gapsInTime(), quarter.gaps()),
-        minute.failed());
+            + percentage(last15Minutes.gapsInTime(), last15Minutes.gaps()),
+        lastMinute.failed());
   }
 
   private static String percentage(long part, long whole) {
--- a/src/main/java/org/curranthaven/internal/cli/package-info.java
+++ b/src/main/java/org/curranthaven/internal/cli/package-info.java
@@ -1,4 +1,4 @@
-/** Command line. */
+/** Commands of the {@code curranthaven} executable. */
 @NullMarked
 package org.curranthaven.internal.cli;
 
--- a/src/test/java/org/curranthaven/ArchitectureTest.java
+++ b/src/test/java/org/curranthaven/ArchitectureTest.java
@@ -8,13 +8,18 @@
 import com.tngtech.archunit.lang.ArchRule;
 import org.curranthaven.internal.supervision.Clock;
 
+/**
+ * Checks the dependency rules of the packages. Code that makes decisions does no input or output,
+ * so that its result depends only on the events that it is given.
+ */
 @AnalyzeClasses(packages = "org.curranthaven", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
+  /** Name endings of classes that make decisions; no other class of these packages may use one. */
   private static final String DECISION_NAMES =
       ".*(Core|State|View|Relay|Budget|Policy|Chooser|Queue|Ejector|Forecast|Model|Intensity|Log)";
 
   @ArchTest
-  static final ArchRule the_public_types_do_not_know_the_internals =
+  static final ArchRule public_types_do_not_depend_on_internal_packages =
       noClasses()
           .that()
           .resideInAPackage("org.curranthaven.api..")
@@ -23,7 +28,7 @@
           .resideInAPackage("org.curranthaven.internal..");
 
   @ArchTest
-  static final ArchRule decisions_own_no_socket_thread_file_clock_or_log =
+  static final ArchRule decision_classes_use_no_sockets_threads_files_clocks_or_logs =
       noClasses()
           .that()
           .haveNameMatching(
@@ -43,7 +48,7 @@
           .callMethod(System.class, "nanoTime");
 
   @ArchTest
-  static final ArchRule nothing_depends_on_the_platform =
+  static final ArchRule no_other_package_depends_on_the_platform_package =
       noClasses()
           .that()
           .resideOutsideOfPackage("org.curranthaven.platform..")
@@ -52,7 +57,7 @@
           .resideInAPackage("org.curranthaven.platform..");
 
   @ArchTest
-  static final ArchRule placing_calls_is_pure =
+  static final ArchRule dispatch_and_catalog_use_no_sockets_threads_files_or_logs =
       noClasses()
           .that()
           .resideInAnyPackage(
@@ -63,7 +68,7 @@
               "java.net..", "java.nio..", "java.util.concurrent..", "io.netty..", "org.tinylog..");
 
   @ArchTest
-  static final ArchRule routing_is_pure =
+  static final ArchRule routing_uses_no_sockets_threads_files_or_logs =
       noClasses()
           .that()
           .resideInAPackage("org.curranthaven.internal.routing..")
--- a/src/test/java/org/curranthaven/internal/cli/LogFormatTest.java
+++ b/src/test/java/org/curranthaven/internal/cli/LogFormatTest.java
@@ -10,9 +10,13 @@
 import org.curranthaven.internal.settings.Json;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Runs a control host and a gateway in a separate process. Guards against lines on standard output
+ * that a reader of JSON log lines cannot parse.
+ */
 class LogFormatTest {
   @Test
-  void every_line_that_a_process_writes_is_a_json_object() throws IOException {
+  void every_line_on_standard_output_is_a_json_log_entry() throws IOException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     Process process =
         new ProcessBuilder(
