--- a/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
@@ -52,7 +52,7 @@
     this.out = out;
   }
 
-  /** Measurements of one or more rounds; the histograms are guarded by this object. */
+  /** Measurements of one or more rounds; streams record values under the lock of this object. */
   private static final class Sample {
     final Histogram firstTokenMicros = new Histogram(60_000_000, 3);
     final Histogram gapMicros = new Histogram(60_000_000, 3);
--- a/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
@@ -101,7 +101,7 @@
     for (int queuedRequests : new int[] {0, 500, 2_000, 10_000}) {
       byQueue.add(new LineFit.Point(queuedRequests, decisionP99Micros(90, queuedRequests)));
     }
-    reportFit("decision p99, 90 backends, by queue", "us", byQueue);
+    reportFit("decision p99 by queue, 90 backends", "us", byQueue);
     List<LineFit.Point> ticks = new ArrayList<>();
     for (int backends : BACKEND_COUNTS) {
       ticks.add(new LineFit.Point(backends, tickMicros(backends)));
