--- a/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
@@ -24,13 +24,17 @@
 import org.curranthaven.internal.standin.StandinOptions;
 import org.curranthaven.internal.standin.Workloads;
 
-/** Measures what a host adds to streams: from an engine directly and through a host, in turns. */
+/**
+ * Measures the latency that a host adds to streams. Rounds of streams directly from engines
+ * alternate with rounds through a host.
+ */
 public final class OverheadBench {
   private static final int ROUNDS = 3;
-  private static final int TOKENS = 200;
+  private static final int TOKENS_PER_STREAM = 200;
   private static final int ENGINES = 4;
-  private static final long READY_MILLIS = 20_000;
-  private static final long PATIENCE_SECONDS = 120;
+  private static final long READY_TIMEOUT_MILLIS = 20_000;
+  private static final long REGISTRATION_DELAY_MILLIS = 2_000;
+  private static final long ROUND_TIMEOUT_SECONDS = 120;
 
   private final Consumer<String> out;
   private final int streams;
@@ -40,70 +44,72 @@
   /**
    * Creates the benchmark.
    *
-   * @param streams streams open at once
+   * @param streams number of concurrent streams
+   * @param out receives each line of the report
    */
   public OverheadBench(int streams, Consumer<String> out) {
     this.streams = streams;
     this.out = out;
   }
 
+  /** Measurements of one or more rounds; streams record values under the lock of this object. */
   private static final class Sample {
-    final Histogram firstMicros = new Histogram(60_000_000, 3);
+    final Histogram firstTokenMicros = new Histogram(60_000_000, 3);
     final Histogram gapMicros = new Histogram(60_000_000, 3);
     final AtomicLong tokens = new AtomicLong();
-    final AtomicLong broken = new AtomicLong();
-    long nanos;
+    final AtomicLong failures = new AtomicLong();
+    long elapsedNanos;
 
-    synchronized void first(long micros) {
-      firstMicros.recordValue(micros);
+    synchronized void recordFirstToken(long micros) {
+      firstTokenMicros.recordValue(micros);
     }
 
-    synchronized void gap(long micros) {
+    synchronized void recordGap(long micros) {
       gapMicros.recordValue(micros);
     }
   }
 
-  /** Sets up a host that serves a class and a model; it is the bench's own operator. */
-  public interface Setup {
-    /** Configures the fleet behind the HTTP address. */
+  /** Configures the host that the benchmark starts, in place of an operator. */
+  public interface FleetSetup {
+    /** Configures the classes, models and workspace of the load at the HTTP address of a host. */
     void configure(String httpAddress) throws IOException, InterruptedException;
   }
 
-  /** Runs everything. */
-  public void run(Setup setup) throws IOException, InterruptedException {
+  /** Runs the benchmark. */
+  public void run(FleetSetup setup) throws IOException, InterruptedException {
     try (LocalFleet fleet = LocalFleet.start(1, 1)) {
       String host = fleet.httpAddresses().getFirst();
       setup.configure(host);
-      fleet.awaitReady(READY_MILLIS);
+      fleet.awaitReady(READY_TIMEOUT_MILLIS);
       List<StandinEngine> engines = new java.util.ArrayList<>();
       for (int i = 0; i < ENGINES; i++) {
-        engines.add(StandinEngine.start(options("story-" + i, fleet), new RunLog()));
+        engines.add(StandinEngine.start(engineOptions("story-" + i, fleet), new RunLog()));
       }
-      Thread.sleep(2_000);
+      Thread.sleep(REGISTRATION_DELAY_MILLIS);
       Sample direct = new Sample();
-      Sample through = new Sample();
+      Sample viaHost = new Sample();
       Sample warmUp = new Sample();
-      round(warmUp, i -> host);
-      round(warmUp, i -> engines.get(i % ENGINES).address());
+      runRound(warmUp, i -> host);
+      runRound(warmUp, i -> engines.get(i % ENGINES).address());
       for (int i = 0; i < ROUNDS; i++) {
-        round(direct, j -> engines.get(j % ENGINES).address());
-        round(through, j -> host);
+        runRound(direct, j -> engines.get(j % ENGINES).address());
+        runRound(viaHost, j -> host);
       }
-      report("first token", direct.firstMicros, through.firstMicros);
-      report("gap", direct.gapMicros, through.gapMicros);
+      reportPercentiles("first token", direct.firstTokenMicros, viaHost.firstTokenMicros);
+      reportPercentiles("gap", direct.gapMicros, viaHost.gapMicros);
       out.accept(
-          "%d streams: direct %.0f tokens/s, through a host %.0f tokens/s; broken %d and %d"
+          "%d streams: direct %.0f tokens/s, through a host %.0f tokens/s; failures %d and %d"
               .formatted(
                   streams,
-                  direct.tokens.get() * 1e9 / direct.nanos,
-                  through.tokens.get() * 1e9 / through.nanos,
-                  direct.broken.get(),
-                  through.broken.get()));
+                  direct.tokens.get() * 1e9 / direct.elapsedNanos,
+                  viaHost.tokens.get() * 1e9 / viaHost.elapsedNanos,
+                  direct.failures.get(),
+                  viaHost.failures.get()));
       engines.forEach(StandinEngine::close);
     }
   }
 
-  private static StandinOptions options(String name, LocalFleet fleet) {
+  private static StandinOptions engineOptions(String name, LocalFleet fleet) {
     return new StandinOptions(
         name,
         "a",
@@ -115,42 +121,53 @@
         true);
   }
 
-  private void report(String name, Histogram direct, Histogram through) {
+  private void reportPercentiles(String name, Histogram direct, Histogram viaHost) {
     for (double percentile : new double[] {50, 99}) {
-      long before = direct.getValueAtPercentile(percentile);
-      long after = through.getValueAtPercentile(percentile);
+      long directMicros = direct.getValueAtPercentile(percentile);
+      long viaHostMicros = viaHost.getValueAtPercentile(percentile);
       out.accept(
           "%s p%.0f: direct %.2f ms, through a host %.2f ms, ratio %.2f"
-              .formatted(name, percentile, before / 1e3, after / 1e3, (double) after / before));
+              .formatted(
+                  name,
+                  percentile,
+                  directMicros / 1e3,
+                  viaHostMicros / 1e3,
+                  (double) viaHostMicros / directMicros));
     }
   }
 
-  private void round(Sample sample, java.util.function.IntFunction<String> address)
+  /**
+   * Runs all streams concurrently.
+   *
+   * @param addressOf returns the address for the stream with an index
+   */
+  private void runRound(Sample sample, java.util.function.IntFunction<String> addressOf)
       throws InterruptedException {
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor()) {
       for (int i = 0; i < streams; i++) {
-        String target = address.apply(i);
-        executor.execute(() -> stream(target, sample));
+        String address = addressOf.apply(i);
+        executor.execute(() -> readStream(address, sample));
       }
       executor.shutdown();
-      executor.awaitTermination(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      executor.awaitTermination(ROUND_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
-    sample.nanos += System.nanoTime() - start;
+    sample.elapsedNanos += System.nanoTime() - startNanos;
   }
 
-  private void stream(String address, Sample sample) {
+  /** Sends one request and records the time of each token. */
+  private void readStream(String address, Sample sample) {
     String id = UUID.randomUUID().toString();
     String body =
         "{\"model\":\"story\",\"stream\":true,\"generation_id\":\"%s\",\"prompt\":\"[[nonce=%s tokens=%d]]\"}"
-            .formatted(id, id, TOKENS);
+            .formatted(id, id, TOKENS_PER_STREAM);
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + address + "/v1/completions"))
             .header("Authorization", "Bearer " + Workloads.KEY)
             .header("Curranthaven-Class", "draft")
             .POST(HttpRequest.BodyPublishers.ofString(body))
             .build();
-    long last = System.nanoTime();
+    long previousNanos = System.nanoTime();
     int tokens = 0;
     try (BufferedReader reader =
         new BufferedReader(
@@ -161,22 +178,22 @@
         if (!line.startsWith("data: {")) {
           continue;
         }
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         if (tokens++ == 0) {
-          sample.first((now - last) / 1_000);
+          sample.recordFirstToken((nowNanos - previousNanos) / 1_000);
         } else {
-          sample.gap((now - last) / 1_000);
+          sample.recordGap((nowNanos - previousNanos) / 1_000);
         }
-        last = now;
+        previousNanos = nowNanos;
       }
     } catch (IOException e) {
-      sample.broken.incrementAndGet();
+      sample.failures.incrementAndGet();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
     sample.tokens.addAndGet(tokens);
-    if (tokens != TOKENS) {
-      sample.broken.incrementAndGet();
+    if (tokens != TOKENS_PER_STREAM) {
+      sample.failures.incrementAndGet();
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/AdminClient.java
+++ b/src/main/java/org/curranthaven/internal/cli/AdminClient.java
@@ -17,39 +17,46 @@
 import org.curranthaven.internal.configuration.Edit;
 import org.curranthaven.internal.settings.Json;
 
-/** Operators' calls to one host. */
+/** HTTP client of the admin API of one host. */
 final class AdminClient {
-  private static final Duration TIMEOUT = Duration.ofSeconds(20);
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(20);
   private static final int STATUS_OK = 200;
 
   private final String host;
-  private final HttpClient client =
-      HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
+  private final HttpClient client = HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
 
-  /** Creates a client of the host with the HTTP address. */
+  /**
+   * Creates a client.
+   *
+   * @param host HTTP address of the host
+   */
   AdminClient(String host) {
     this.host = host;
   }
 
-  /** Returns a JSON page. */
+  /** Returns the JSON document at a path, whatever the HTTP status of the response. */
   JsonNode get(String path) throws IOException, InterruptedException {
     HttpRequest request =
-        HttpRequest.newBuilder(URI.create("http://" + host + path)).timeout(TIMEOUT).build();
+        HttpRequest.newBuilder(URI.create("http://" + host + path))
+            .timeout(REQUEST_TIMEOUT)
+            .build();
     return Json.LENIENT.readTree(client.send(request, HttpResponse.BodyHandlers.ofString()).body());
   }
 
-  /** Returns the configuration in force on the host. */
+  /** Returns the active configuration of the host. */
   Configuration configuration() throws IOException, InterruptedException {
     return Json.MAPPER.treeToValue(get("/admin/v1/configuration"), Configuration.class);
   }
 
-  /** Makes a change on the given revision; returns when it is in force everywhere. */
-  Outcome<JsonNode> change(String changeId, long baseRevision, String operator, List<Edit> edits)
+  /** Submits a change of the given revision; returns when it is active on every host. */
+  Outcome<JsonNode> submitChange(
+      String changeId, long baseRevision, String operator, List<Edit> edits)
       throws IOException, InterruptedException {
     ConfigurationChange change = new ConfigurationChange(changeId, baseRevision, operator, edits);
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + host + "/admin/v1/changes"))
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .header("Content-Type", "application/json")
             .POST(HttpRequest.BodyPublishers.ofString(Json.text(change)))
             .build();
@@ -58,25 +65,26 @@
     if (response.statusCode() == STATUS_OK) {
       return Outcome.success(body);
     }
-    return Outcome.failed(failure(body));
+    return Outcome.failed(parseFailure(body));
   }
 
-  /** Makes a change on the revision in force on the host, with a new change id. */
-  Outcome<JsonNode> change(String operator, List<Edit> edits)
+  /** Submits a change of the host's active revision, with a new change id. */
+  Outcome<JsonNode> submitChange(String operator, List<Edit> edits)
       throws IOException, InterruptedException {
-    return change(UUID.randomUUID().toString(), configuration().revision(), operator, edits);
+    return submitChange(UUID.randomUUID().toString(), configuration().revision(), operator, edits);
   }
 
-  private static Failure failure(JsonNode body) {
-    int number = body.path("code").asInt();
+  private static Failure parseFailure(JsonNode body) {
+    int codeNumber = body.path("code").asInt();
     ResultCode code = ResultCode.INTERNAL;
     for (ResultCode candidate : ResultCode.values()) {
-      if (candidate.number() == number) {
+      if (candidate.number() == codeNumber) {
         code = candidate;
       }
     }
+    // Failure.sentence() appends the number and the next step again.
     String message = body.at("/error/message").asText();
-    int end = message.lastIndexOf(" [" + number + "]");
-    return Failure.of(code, end < 0 ? message : message.substring(0, end));
+    int suffixStart = message.lastIndexOf(" [" + codeNumber + "]");
+    return Failure.of(code, suffixStart < 0 ? message : message.substring(0, suffixStart));
   }
 }
--- a/src/main/java/org/curranthaven/internal/cli/ItemCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ConfigurationItemCommand.java
@@ -23,39 +23,48 @@
 import org.curranthaven.internal.gateway.Hashes;
 import org.curranthaven.internal.settings.Json;
 
-/** {@code class}, {@code workspace}, {@code model} and {@code service}: set, remove and list. */
-final class ItemCommand implements Command {
+/**
+ * {@code class}, {@code workspace}, {@code model} and {@code service}: sets, removes and lists
+ * items of one kind in the configuration.
+ */
+final class ConfigurationItemCommand implements Command {
   private final Edit.Kind kind;
 
-  ItemCommand(Edit.Kind kind) {
+  ConfigurationItemCommand(Edit.Kind kind) {
     this.kind = kind;
   }
 
-  private String word() {
+  /** Returns the name of the command: the kind in lower case. */
+  private String kindName() {
     return kind.name().toLowerCase(Locale.ROOT);
   }
 
   @Override
   public void register(Subparsers parsers) {
-    Subparser parser = parsers.addParser(word()).help("set, remove or list a " + word());
+    Subparser parser = parsers.addParser(kindName()).help("set, remove or list a " + kindName());
     Subparsers actions = parser.addSubparsers().metavar("ACTION");
-    Subparser set = action(actions, "set", "add or change it; in force everywhere on return");
+    Subparser set =
+        addAction(
+            actions, "set", "add or change one; returns when the change is active on every host");
     set.addArgument("name").help("name");
     addFields(set);
-    Subparser remove = action(actions, "remove", "remove it");
+    Subparser remove =
+        addAction(actions, "remove", "remove one; returns when the change is active on every host");
     remove.addArgument("name").help("name");
-    action(actions, "list", "list all");
+    addAction(actions, "list", "list all of them");
   }
 
-  private Subparser action(Subparsers actions, String name, String help) {
+  private Subparser addAction(Subparsers actions, String name, String help) {
     Subparser parser = actions.addParser(name).help(help);
-    HostOption.add(parser);
+    AdminOptions.add(parser);
     if (!name.equals("list")) {
       parser
           .addArgument("--base-revision")
           .type(Long.class)
-          .help("revision that the change is made from; the one in force if left out");
-      parser.addArgument("--change-id").help("id by which a resent change is recognised");
+          .help("revision that the change is based on; the active one if omitted");
+      parser
+          .addArgument("--change-id")
+          .help("id by which a repeated submission is recognised; random if omitted");
     }
     parser.setDefault(Main.COMMAND, this).setDefault("action", name);
     return parser;
@@ -64,42 +73,48 @@
   private void addFields(Subparser set) {
     switch (kind) {
       case CLASS -> {
-        number(set, "--first-reply-millis", "longest time to the first token");
-        number(set, "--gap-millis", "longest time between two tokens");
-        number(set, "--answer-millis", "longest time to the whole answer");
+        addNumberArgument(set, "--first-reply-millis", "target for the time to the first token");
+        addNumberArgument(set, "--gap-millis", "target for the time between two tokens");
+        addNumberArgument(set, "--answer-millis", "target for the time to the complete response");
         set.addArgument("--not-repeatable")
             .action(Arguments.storeTrue())
-            .help("its calls may run at most once");
+            .help("requests of this class may run at most once");
       }
       case WORKSPACE -> {
-        set.addArgument("--key").required(true).help("bearer key; only its hash is kept");
-        set.addArgument("--default-class").required(true).help("class of requests that name none");
+        set.addArgument("--key").required(true).help("bearer key; only its hash is stored");
+        set.addArgument("--default-class")
+            .required(true)
+            .help("class of requests that do not name one");
         set.addArgument("--requests-per-second")
             .type(Double.class)
             .setDefault(0.0)
-            .help("limit over all hosts; 0 for none");
+            .help("request rate limit across all hosts; 0 for no limit");
       }
-      case MODEL -> number(set, "--max-output-tokens", "largest answer that may be asked for");
+      case MODEL ->
+          addNumberArgument(
+              set, "--max-output-tokens", "largest output length that a request may ask for");
       case SERVICE ->
-          set.addArgument("--default-class").required(true).help("class of calls that name none");
+          set.addArgument("--default-class")
+              .required(true)
+              .help("class of requests that do not name one");
     }
   }
 
-  private static void number(Subparser parser, String name, String help) {
+  private static void addNumberArgument(Subparser parser, String name, String help) {
     parser.addArgument(name).type(Long.class).required(true).help(help);
   }
 
   @Override
   public int run(Namespace arguments) throws IOException, InterruptedException {
-    AdminClient client = HostOption.client(arguments);
+    AdminClient client = AdminOptions.client(arguments);
     if (arguments.getString("action").equals("list")) {
       items(client.configuration()).values().forEach(item -> System.out.println(Json.text(item)));
       return 0;
     }
     try {
-      return change(arguments, client, edit(arguments));
+      return submit(arguments, client, edit(arguments));
     } catch (IllegalArgumentException e) {
-      return Main.fail(
+      return Main.reportFailure(
           Failure.of(ResultCode.CONFIGURATION_INVALID, String.valueOf(e.getMessage())));
     }
   }
@@ -143,15 +158,15 @@
     };
   }
 
-  private static int change(Namespace arguments, AdminClient client, Edit edit)
+  private static int submit(Namespace arguments, AdminClient client, Edit edit)
       throws IOException, InterruptedException {
-    Long base = arguments.getLong("base_revision");
-    String id = arguments.getString("change_id");
+    Long baseRevision = arguments.getLong("base_revision");
+    String changeId = arguments.getString("change_id");
     Outcome<JsonNode> outcome =
-        client.change(
-            id == null ? UUID.randomUUID().toString() : id,
-            base == null ? client.configuration().revision() : base,
-            HostOption.operator(),
+        client.submitChange(
+            changeId == null ? UUID.randomUUID().toString() : changeId,
+            baseRevision == null ? client.configuration().revision() : baseRevision,
+            AdminOptions.operatorName(),
             List.of(edit));
     return ChangeReporter.report(outcome, arguments.getBoolean("json"));
   }
