--- a/src/main/java/org/curranthaven/internal/transport/wire/AdminReply.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/AdminReply.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reply to an AdminRequest.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.AdminReply}
  */
 @com.google.protobuf.Generated
@@ -267,6 +271,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reply to an AdminRequest.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.AdminReply}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/AdminRequest.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/AdminRequest.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Request of an operator or a backend server, forwarded to a control host.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.AdminRequest}
  */
 @com.google.protobuf.Generated
@@ -295,6 +299,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Request of an operator or a backend server, forwarded to a control host.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.AdminRequest}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/AppendReply.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/AppendReply.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reply to an AppendRequest.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.AppendReply}
  */
 @com.google.protobuf.Generated
@@ -51,6 +55,10 @@
   public static final int ACCEPTED_FIELD_NUMBER = 1;
   private boolean accepted_ = false;
   /**
+   * <pre>
+   * Whether the leader's term is current and the receiver's log has the previous entry.
+   * </pre>
+   *
    * <code>bool accepted = 1;</code>
    * @return The accepted.
    */
@@ -62,6 +70,10 @@
   public static final int MATCH_INDEX_FIELD_NUMBER = 2;
   private long matchIndex_ = 0L;
   /**
+   * <pre>
+   * If accepted, the index up to which the receiver's log matches the leader's.
+   * </pre>
+   *
    * <code>uint64 match_index = 2;</code>
    * @return The matchIndex.
    */
@@ -73,6 +85,10 @@
   public static final int LAST_INDEX_FIELD_NUMBER = 3;
   private long lastIndex_ = 0L;
   /**
+   * <pre>
+   * Index of the last entry in the receiver's log.
+   * </pre>
+   *
    * <code>uint64 last_index = 3;</code>
    * @return The lastIndex.
    */
@@ -291,6 +307,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reply to an AppendRequest.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.AppendReply}
    */
   public static final class Builder extends
@@ -462,6 +482,10 @@
 
     private boolean accepted_ ;
     /**
+     * <pre>
+     * Whether the leader's term is current and the receiver's log has the previous entry.
+     * </pre>
+     *
      * <code>bool accepted = 1;</code>
      * @return The accepted.
      */
@@ -470,6 +494,10 @@
       return accepted_;
     }
     /**
+     * <pre>
+     * Whether the leader's term is current and the receiver's log has the previous entry.
+     * </pre>
+     *
      * <code>bool accepted = 1;</code>
      * @param value The accepted to set.
      * @return This builder for chaining.
@@ -482,6 +510,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the leader's term is current and the receiver's log has the previous entry.
+     * </pre>
+     *
      * <code>bool accepted = 1;</code>
      * @return This builder for chaining.
      */
@@ -494,6 +526,10 @@
 
     private long matchIndex_ ;
     /**
+     * <pre>
+     * If accepted, the index up to which the receiver's log matches the leader's.
+     * </pre>
+     *
      * <code>uint64 match_index = 2;</code>
      * @return The matchIndex.
      */
@@ -502,6 +538,10 @@
       return matchIndex_;
     }
     /**
+     * <pre>
+     * If accepted, the index up to which the receiver's log matches the leader's.
+     * </pre>
+     *
      * <code>uint64 match_index = 2;</code>
      * @param value The matchIndex to set.
      * @return This builder for chaining.
@@ -514,6 +554,10 @@
       return this;
     }
     /**
+     * <pre>
+     * If accepted, the index up to which the receiver's log matches the leader's.
+     * </pre>
+     *
      * <code>uint64 match_index = 2;</code>
      * @return This builder for chaining.
      */
@@ -526,6 +570,10 @@
 
     private long lastIndex_ ;
     /**
+     * <pre>
+     * Index of the last entry in the receiver's log.
+     * </pre>
+     *
      * <code>uint64 last_index = 3;</code>
      * @return The lastIndex.
      */
@@ -534,6 +582,10 @@
       return lastIndex_;
     }
     /**
+     * <pre>
+     * Index of the last entry in the receiver's log.
+     * </pre>
+     *
      * <code>uint64 last_index = 3;</code>
      * @param value The lastIndex to set.
      * @return This builder for chaining.
@@ -546,6 +598,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Index of the last entry in the receiver's log.
+     * </pre>
+     *
      * <code>uint64 last_index = 3;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/AppendReplyOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/AppendReplyOrBuilder.java
@@ -11,18 +11,30 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Whether the leader's term is current and the receiver's log has the previous entry.
+   * </pre>
+   *
    * <code>bool accepted = 1;</code>
    * @return The accepted.
    */
   boolean getAccepted();
 
   /**
+   * <pre>
+   * If accepted, the index up to which the receiver's log matches the leader's.
+   * </pre>
+   *
    * <code>uint64 match_index = 2;</code>
    * @return The matchIndex.
    */
   long getMatchIndex();
 
   /**
+   * <pre>
+   * Index of the last entry in the receiver's log.
+   * </pre>
+   *
    * <code>uint64 last_index = 3;</code>
    * @return The lastIndex.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/AppendRequest.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/AppendRequest.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Entries from the leader; without entries it is a heartbeat.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.AppendRequest}
  */
 @com.google.protobuf.Generated
@@ -52,6 +56,10 @@
   public static final int PREVIOUS_INDEX_FIELD_NUMBER = 1;
   private long previousIndex_ = 0L;
   /**
+   * <pre>
+   * Index and term of the entry before the first of the entries.
+   * </pre>
+   *
    * <code>uint64 previous_index = 1;</code>
    * @return The previousIndex.
    */
@@ -115,6 +123,10 @@
   public static final int COMMIT_INDEX_FIELD_NUMBER = 4;
   private long commitIndex_ = 0L;
   /**
+   * <pre>
+   * Index of the leader's last committed entry.
+   * </pre>
+   *
    * <code>uint64 commit_index = 4;</code>
    * @return The commitIndex.
    */
@@ -127,7 +139,7 @@
   private long sentAtMillis_ = 0L;
   /**
    * <pre>
-   * Leader's clock at sending, in milliseconds; echoed in the reply to renew the leader's lease.
+   * Send time on the leader's clock; the reply echoes it to renew the leader's lease.
    * </pre>
    *
    * <code>int64 sent_at_millis = 5;</code>
@@ -355,6 +367,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Entries from the leader; without entries it is a heartbeat.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.AppendRequest}
    */
   public static final class Builder extends
@@ -585,6 +601,10 @@
 
     private long previousIndex_ ;
     /**
+     * <pre>
+     * Index and term of the entry before the first of the entries.
+     * </pre>
+     *
      * <code>uint64 previous_index = 1;</code>
      * @return The previousIndex.
      */
@@ -593,6 +613,10 @@
       return previousIndex_;
     }
     /**
+     * <pre>
+     * Index and term of the entry before the first of the entries.
+     * </pre>
+     *
      * <code>uint64 previous_index = 1;</code>
      * @param value The previousIndex to set.
      * @return This builder for chaining.
@@ -605,6 +629,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Index and term of the entry before the first of the entries.
+     * </pre>
+     *
      * <code>uint64 previous_index = 1;</code>
      * @return This builder for chaining.
      */
@@ -883,6 +911,10 @@
 
     private long commitIndex_ ;
     /**
+     * <pre>
+     * Index of the leader's last committed entry.
+     * </pre>
+     *
      * <code>uint64 commit_index = 4;</code>
      * @return The commitIndex.
      */
@@ -891,6 +923,10 @@
       return commitIndex_;
     }
     /**
+     * <pre>
+     * Index of the leader's last committed entry.
+     * </pre>
+     *
      * <code>uint64 commit_index = 4;</code>
      * @param value The commitIndex to set.
      * @return This builder for chaining.
@@ -903,6 +939,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Index of the leader's last committed entry.
+     * </pre>
+     *
      * <code>uint64 commit_index = 4;</code>
      * @return This builder for chaining.
      */
@@ -916,7 +956,7 @@
     private long sentAtMillis_ ;
     /**
      * <pre>
-     * Leader's clock at sending, in milliseconds; echoed in the reply to renew the leader's lease.
+     * Send time on the leader's clock; the reply echoes it to renew the leader's lease.
      * </pre>
      *
      * <code>int64 sent_at_millis = 5;</code>
@@ -928,7 +968,7 @@
     }
     /**
      * <pre>
-     * Leader's clock at sending, in milliseconds; echoed in the reply to renew the leader's lease.
+     * Send time on the leader's clock; the reply echoes it to renew the leader's lease.
      * </pre>
      *
      * <code>int64 sent_at_millis = 5;</code>
@@ -944,7 +984,7 @@
     }
     /**
      * <pre>
-     * Leader's clock at sending, in milliseconds; echoed in the reply to renew the leader's lease.
+     * Send time on the leader's clock; the reply echoes it to renew the leader's lease.
      * </pre>
      *
      * <code>int64 sent_at_millis = 5;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/AppendRequestOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/AppendRequestOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Index and term of the entry before the first of the entries.
+   * </pre>
+   *
    * <code>uint64 previous_index = 1;</code>
    * @return The previousIndex.
    */
@@ -47,6 +51,10 @@
       int index);
 
   /**
+   * <pre>
+   * Index of the leader's last committed entry.
+   * </pre>
+   *
    * <code>uint64 commit_index = 4;</code>
    * @return The commitIndex.
    */
@@ -54,7 +62,7 @@
 
   /**
    * <pre>
-   * Leader's clock at sending, in milliseconds; echoed in the reply to renew the leader's lease.
+   * Send time on the leader's clock; the reply echoes it to renew the leader's lease.
    * </pre>
    *
    * <code>int64 sent_at_millis = 5;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/BackendAnnouncement.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/BackendAnnouncement.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Announcement of a backend server, forwarded to other hosts.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.BackendAnnouncement}
  */
 @com.google.protobuf.Generated
@@ -64,7 +68,7 @@
   private long ageMillis_ = 0L;
   /**
    * <pre>
-   * Time since the backend server sent it, added up over every hop, in milliseconds.
+   * Time since the backend server sent the announcement, summed over all hops.
    * </pre>
    *
    * <code>int64 age_millis = 2;</code>
@@ -249,6 +253,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Announcement of a backend server, forwarded to other hosts.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.BackendAnnouncement}
    */
   public static final class Builder extends
@@ -429,7 +437,7 @@
     private long ageMillis_ ;
     /**
      * <pre>
-     * Time since the backend server sent it, added up over every hop, in milliseconds.
+     * Time since the backend server sent the announcement, summed over all hops.
      * </pre>
      *
      * <code>int64 age_millis = 2;</code>
@@ -441,7 +449,7 @@
     }
     /**
      * <pre>
-     * Time since the backend server sent it, added up over every hop, in milliseconds.
+     * Time since the backend server sent the announcement, summed over all hops.
      * </pre>
      *
      * <code>int64 age_millis = 2;</code>
@@ -457,7 +465,7 @@
     }
     /**
      * <pre>
-     * Time since the backend server sent it, added up over every hop, in milliseconds.
+     * Time since the backend server sent the announcement, summed over all hops.
      * </pre>
      *
      * <code>int64 age_millis = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/BackendAnnouncementOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/BackendAnnouncementOrBuilder.java
@@ -18,7 +18,7 @@
 
   /**
    * <pre>
-   * Time since the backend server sent it, added up over every hop, in milliseconds.
+   * Time since the backend server sent the announcement, summed over all hops.
    * </pre>
    *
    * <code>int64 age_millis = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/BackendRecord.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/BackendRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One backend server as it registered.
+ * Backend server as it registered.
  * </pre>
  *
  * Protobuf type {@code curranthaven.BackendRecord}
@@ -215,6 +215,10 @@
   public static final int SLOTS_FIELD_NUMBER = 5;
   private int slots_ = 0;
   /**
+   * <pre>
+   * Number of requests that the backend server runs at once, as it registered.
+   * </pre>
+   *
    * <code>uint32 slots = 5;</code>
    * @return The slots.
    */
@@ -226,6 +230,10 @@
   public static final int LEAVING_FIELD_NUMBER = 6;
   private boolean leaving_ = false;
   /**
+   * <pre>
+   * Whether the backend server is draining and takes no new requests.
+   * </pre>
+   *
    * <code>bool leaving = 6;</code>
    * @return The leaving.
    */
@@ -237,6 +245,10 @@
   public static final int SEQUENCE_FIELD_NUMBER = 7;
   private long sequence_ = 0L;
   /**
+   * <pre>
+   * Sequence number of the registration; a lower or equal one is ignored.
+   * </pre>
+   *
    * <code>uint64 sequence = 7;</code>
    * @return The sequence.
    */
@@ -248,6 +260,10 @@
   public static final int COLD_LEFT_MILLIS_FIELD_NUMBER = 8;
   private long coldLeftMillis_ = 0L;
   /**
+   * <pre>
+   * Remaining warm-up time when the backend server registered; 0 if it is warm.
+   * </pre>
+   *
    * <code>uint64 cold_left_millis = 8;</code>
    * @return The coldLeftMillis.
    */
@@ -260,7 +276,8 @@
   private long firstSeen_ = 0L;
   /**
    * <pre>
-   * Order in which the scheduler first heard of the backend servers at one address.
+   * Order of first registration, assigned by the scheduler; of several backend servers at one
+   * address, the one with the highest value is the newest.
    * </pre>
    *
    * <code>uint64 first_seen = 9;</code>
@@ -522,7 +539,7 @@
   }
   /**
    * <pre>
-   * One backend server as it registered.
+   * Backend server as it registered.
    * </pre>
    *
    * Protobuf type {@code curranthaven.BackendRecord}
@@ -1052,6 +1069,10 @@
 
     private int slots_ ;
     /**
+     * <pre>
+     * Number of requests that the backend server runs at once, as it registered.
+     * </pre>
+     *
      * <code>uint32 slots = 5;</code>
      * @return The slots.
      */
@@ -1060,6 +1081,10 @@
       return slots_;
     }
     /**
+     * <pre>
+     * Number of requests that the backend server runs at once, as it registered.
+     * </pre>
+     *
      * <code>uint32 slots = 5;</code>
      * @param value The slots to set.
      * @return This builder for chaining.
@@ -1072,6 +1097,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Number of requests that the backend server runs at once, as it registered.
+     * </pre>
+     *
      * <code>uint32 slots = 5;</code>
      * @return This builder for chaining.
      */
@@ -1084,6 +1113,10 @@
 
     private boolean leaving_ ;
     /**
+     * <pre>
+     * Whether the backend server is draining and takes no new requests.
+     * </pre>
+     *
      * <code>bool leaving = 6;</code>
      * @return The leaving.
      */
@@ -1092,6 +1125,10 @@
       return leaving_;
     }
     /**
+     * <pre>
+     * Whether the backend server is draining and takes no new requests.
+     * </pre>
+     *
      * <code>bool leaving = 6;</code>
      * @param value The leaving to set.
      * @return This builder for chaining.
@@ -1104,6 +1141,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the backend server is draining and takes no new requests.
+     * </pre>
+     *
      * <code>bool leaving = 6;</code>
      * @return This builder for chaining.
      */
@@ -1116,6 +1157,10 @@
 
     private long sequence_ ;
     /**
+     * <pre>
+     * Sequence number of the registration; a lower or equal one is ignored.
+     * </pre>
+     *
      * <code>uint64 sequence = 7;</code>
      * @return The sequence.
      */
@@ -1124,6 +1169,10 @@
       return sequence_;
     }
     /**
+     * <pre>
+     * Sequence number of the registration; a lower or equal one is ignored.
+     * </pre>
+     *
      * <code>uint64 sequence = 7;</code>
      * @param value The sequence to set.
      * @return This builder for chaining.
@@ -1136,6 +1185,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Sequence number of the registration; a lower or equal one is ignored.
+     * </pre>
+     *
      * <code>uint64 sequence = 7;</code>
      * @return This builder for chaining.
      */
@@ -1148,6 +1201,10 @@
 
     private long coldLeftMillis_ ;
     /**
+     * <pre>
+     * Remaining warm-up time when the backend server registered; 0 if it is warm.
+     * </pre>
+     *
      * <code>uint64 cold_left_millis = 8;</code>
      * @return The coldLeftMillis.
      */
@@ -1156,6 +1213,10 @@
       return coldLeftMillis_;
     }
     /**
+     * <pre>
+     * Remaining warm-up time when the backend server registered; 0 if it is warm.
+     * </pre>
+     *
      * <code>uint64 cold_left_millis = 8;</code>
      * @param value The coldLeftMillis to set.
      * @return This builder for chaining.
@@ -1168,6 +1229,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Remaining warm-up time when the backend server registered; 0 if it is warm.
+     * </pre>
+     *
      * <code>uint64 cold_left_millis = 8;</code>
      * @return This builder for chaining.
      */
@@ -1181,7 +1246,8 @@
     private long firstSeen_ ;
     /**
      * <pre>
-     * Order in which the scheduler first heard of the backend servers at one address.
+     * Order of first registration, assigned by the scheduler; of several backend servers at one
+     * address, the one with the highest value is the newest.
      * </pre>
      *
      * <code>uint64 first_seen = 9;</code>
@@ -1193,7 +1259,8 @@
     }
     /**
      * <pre>
-     * Order in which the scheduler first heard of the backend servers at one address.
+     * Order of first registration, assigned by the scheduler; of several backend servers at one
+     * address, the one with the highest value is the newest.
      * </pre>
      *
      * <code>uint64 first_seen = 9;</code>
@@ -1209,7 +1276,8 @@
     }
     /**
      * <pre>
-     * Order in which the scheduler first heard of the backend servers at one address.
+     * Order of first registration, assigned by the scheduler; of several backend servers at one
+     * address, the one with the highest value is the newest.
      * </pre>
      *
      * <code>uint64 first_seen = 9;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/BackendRecordOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/BackendRecordOrBuilder.java
@@ -59,24 +59,40 @@
       getDataCentreBytes();
 
   /**
+   * <pre>
+   * Number of requests that the backend server runs at once, as it registered.
+   * </pre>
+   *
    * <code>uint32 slots = 5;</code>
    * @return The slots.
    */
   int getSlots();
 
   /**
+   * <pre>
+   * Whether the backend server is draining and takes no new requests.
+   * </pre>
+   *
    * <code>bool leaving = 6;</code>
    * @return The leaving.
    */
   boolean getLeaving();
 
   /**
+   * <pre>
+   * Sequence number of the registration; a lower or equal one is ignored.
+   * </pre>
+   *
    * <code>uint64 sequence = 7;</code>
    * @return The sequence.
    */
   long getSequence();
 
   /**
+   * <pre>
+   * Remaining warm-up time when the backend server registered; 0 if it is warm.
+   * </pre>
+   *
    * <code>uint64 cold_left_millis = 8;</code>
    * @return The coldLeftMillis.
    */
@@ -84,7 +100,8 @@
 
   /**
    * <pre>
-   * Order in which the scheduler first heard of the backend servers at one address.
+   * Order of first registration, assigned by the scheduler; of several backend servers at one
+   * address, the one with the highest value is the newest.
    * </pre>
    *
    * <code>uint64 first_seen = 9;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/ClaimCommand.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ClaimCommand.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Claims an idempotency key for the execution of a request.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.ClaimCommand}
  */
 @com.google.protobuf.Generated
@@ -134,6 +138,10 @@
   public static final int ISSUED_AT_MILLIS_FIELD_NUMBER = 3;
   private long issuedAtMillis_ = 0L;
   /**
+   * <pre>
+   * Issue time of the key, in epoch milliseconds.
+   * </pre>
+   *
    * <code>int64 issued_at_millis = 3;</code>
    * @return The issuedAtMillis.
    */
@@ -145,6 +153,10 @@
   public static final int BODY_HASH_FIELD_NUMBER = 4;
   private com.google.protobuf.ByteString bodyHash_ = com.google.protobuf.ByteString.EMPTY;
   /**
+   * <pre>
+   * Hash of the request body; detects that a key is used for another request.
+   * </pre>
+   *
    * <code>bytes body_hash = 4;</code>
    * @return The bodyHash.
    */
@@ -157,6 +169,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object ownerHost_ = "";
   /**
+   * <pre>
+   * Host that executes the request, and the start time of its process.
+   * </pre>
+   *
    * <code>string owner_host = 5;</code>
    * @return The ownerHost.
    */
@@ -174,6 +190,10 @@
     }
   }
   /**
+   * <pre>
+   * Host that executes the request, and the start time of its process.
+   * </pre>
+   *
    * <code>string owner_host = 5;</code>
    * @return The bytes for ownerHost.
    */
@@ -208,7 +228,7 @@
   private volatile java.lang.Object token_ = "";
   /**
    * <pre>
-   * Distinguishes the attempt, so that a resent command gets its first answer.
+   * Unique for each attempt, so that a command that is sent again gets the same result.
    * </pre>
    *
    * <code>string token = 7;</code>
@@ -229,7 +249,7 @@
   }
   /**
    * <pre>
-   * Distinguishes the attempt, so that a resent command gets its first answer.
+   * Unique for each attempt, so that a command that is sent again gets the same result.
    * </pre>
    *
    * <code>string token = 7;</code>
@@ -476,6 +496,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Claims an idempotency key for the execution of a request.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.ClaimCommand}
    */
   public static final class Builder extends
@@ -835,6 +859,10 @@
 
     private long issuedAtMillis_ ;
     /**
+     * <pre>
+     * Issue time of the key, in epoch milliseconds.
+     * </pre>
+     *
      * <code>int64 issued_at_millis = 3;</code>
      * @return The issuedAtMillis.
      */
@@ -843,6 +871,10 @@
       return issuedAtMillis_;
     }
     /**
+     * <pre>
+     * Issue time of the key, in epoch milliseconds.
+     * </pre>
+     *
      * <code>int64 issued_at_millis = 3;</code>
      * @param value The issuedAtMillis to set.
      * @return This builder for chaining.
@@ -855,6 +887,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Issue time of the key, in epoch milliseconds.
+     * </pre>
+     *
      * <code>int64 issued_at_millis = 3;</code>
      * @return This builder for chaining.
      */
@@ -867,6 +903,10 @@
 
     private com.google.protobuf.ByteString bodyHash_ = com.google.protobuf.ByteString.EMPTY;
     /**
+     * <pre>
+     * Hash of the request body; detects that a key is used for another request.
+     * </pre>
+     *
      * <code>bytes body_hash = 4;</code>
      * @return The bodyHash.
      */
@@ -875,6 +915,10 @@
       return bodyHash_;
     }
     /**
+     * <pre>
+     * Hash of the request body; detects that a key is used for another request.
+     * </pre>
+     *
      * <code>bytes body_hash = 4;</code>
      * @param value The bodyHash to set.
      * @return This builder for chaining.
@@ -887,6 +931,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Hash of the request body; detects that a key is used for another request.
+     * </pre>
+     *
      * <code>bytes body_hash = 4;</code>
      * @return This builder for chaining.
      */
@@ -899,6 +947,10 @@
 
     private java.lang.Object ownerHost_ = "";
     /**
+     * <pre>
+     * Host that executes the request, and the start time of its process.
+     * </pre>
+     *
      * <code>string owner_host = 5;</code>
      * @return The ownerHost.
      */
@@ -915,6 +967,10 @@
       }
     }
     /**
+     * <pre>
+     * Host that executes the request, and the start time of its process.
+     * </pre>
+     *
      * <code>string owner_host = 5;</code>
      * @return The bytes for ownerHost.
      */
@@ -932,6 +988,10 @@
       }
     }
     /**
+     * <pre>
+     * Host that executes the request, and the start time of its process.
+     * </pre>
+     *
      * <code>string owner_host = 5;</code>
      * @param value The ownerHost to set.
      * @return This builder for chaining.
@@ -945,6 +1005,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Host that executes the request, and the start time of its process.
+     * </pre>
+     *
      * <code>string owner_host = 5;</code>
      * @return This builder for chaining.
      */
@@ -955,6 +1019,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Host that executes the request, and the start time of its process.
+     * </pre>
+     *
      * <code>string owner_host = 5;</code>
      * @param value The bytes for ownerHost to set.
      * @return This builder for chaining.
@@ -1004,7 +1072,7 @@
     private java.lang.Object token_ = "";
     /**
      * <pre>
-     * Distinguishes the attempt, so that a resent command gets its first answer.
+     * Unique for each attempt, so that a command that is sent again gets the same result.
      * </pre>
      *
      * <code>string token = 7;</code>
@@ -1024,7 +1092,7 @@
     }
     /**
      * <pre>
-     * Distinguishes the attempt, so that a resent command gets its first answer.
+     * Unique for each attempt, so that a command that is sent again gets the same result.
      * </pre>
      *
      * <code>string token = 7;</code>
@@ -1045,7 +1113,7 @@
     }
     /**
      * <pre>
-     * Distinguishes the attempt, so that a resent command gets its first answer.
+     * Unique for each attempt, so that a command that is sent again gets the same result.
      * </pre>
      *
      * <code>string token = 7;</code>
@@ -1062,7 +1130,7 @@
     }
     /**
      * <pre>
-     * Distinguishes the attempt, so that a resent command gets its first answer.
+     * Unique for each attempt, so that a command that is sent again gets the same result.
      * </pre>
      *
      * <code>string token = 7;</code>
@@ -1076,7 +1144,7 @@
     }
     /**
      * <pre>
-     * Distinguishes the attempt, so that a resent command gets its first answer.
+     * Unique for each attempt, so that a command that is sent again gets the same result.
      * </pre>
      *
      * <code>string token = 7;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/ClaimCommandOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ClaimCommandOrBuilder.java
@@ -35,23 +35,39 @@
       getKeyBytes();
 
   /**
+   * <pre>
+   * Issue time of the key, in epoch milliseconds.
+   * </pre>
+   *
    * <code>int64 issued_at_millis = 3;</code>
    * @return The issuedAtMillis.
    */
   long getIssuedAtMillis();
 
   /**
+   * <pre>
+   * Hash of the request body; detects that a key is used for another request.
+   * </pre>
+   *
    * <code>bytes body_hash = 4;</code>
    * @return The bodyHash.
    */
   com.google.protobuf.ByteString getBodyHash();
 
   /**
+   * <pre>
+   * Host that executes the request, and the start time of its process.
+   * </pre>
+   *
    * <code>string owner_host = 5;</code>
    * @return The ownerHost.
    */
   java.lang.String getOwnerHost();
   /**
+   * <pre>
+   * Host that executes the request, and the start time of its process.
+   * </pre>
+   *
    * <code>string owner_host = 5;</code>
    * @return The bytes for ownerHost.
    */
@@ -66,7 +82,7 @@
 
   /**
    * <pre>
-   * Distinguishes the attempt, so that a resent command gets its first answer.
+   * Unique for each attempt, so that a command that is sent again gets the same result.
    * </pre>
    *
    * <code>string token = 7;</code>
@@ -75,7 +91,7 @@
   java.lang.String getToken();
   /**
    * <pre>
-   * Distinguishes the attempt, so that a resent command gets its first answer.
+   * Unique for each attempt, so that a command that is sent again gets the same result.
    * </pre>
    *
    * <code>string token = 7;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/ClaimRecord.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ClaimRecord.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Claim in the ledger; its other fields are those of the ClaimCommand that was granted.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.ClaimRecord}
  */
 @com.google.protobuf.Generated
@@ -246,6 +250,10 @@
   public static final int ANSWER_FIELD_NUMBER = 8;
   private org.curranthaven.internal.transport.wire.StoredAnswer answer_;
   /**
+   * <pre>
+   * Stored response; not set until the request is complete.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 8;</code>
    * @return Whether the answer field is set.
    */
@@ -254,6 +262,10 @@
     return ((bitField0_ & 0x00000001) != 0);
   }
   /**
+   * <pre>
+   * Stored response; not set until the request is complete.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 8;</code>
    * @return The answer.
    */
@@ -262,6 +274,10 @@
     return answer_ == null ? org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance() : answer_;
   }
   /**
+   * <pre>
+   * Stored response; not set until the request is complete.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 8;</code>
    */
   @java.lang.Override
@@ -511,6 +527,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Claim in the ledger; its other fields are those of the ClaimCommand that was granted.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.ClaimRecord}
    */
   public static final class Builder extends
@@ -1141,6 +1161,10 @@
     private com.google.protobuf.SingleFieldBuilder<
         org.curranthaven.internal.transport.wire.StoredAnswer, org.curranthaven.internal.transport.wire.StoredAnswer.Builder, org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder> answerBuilder_;
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      * @return Whether the answer field is set.
      */
@@ -1148,6 +1172,10 @@
       return ((bitField0_ & 0x00000080) != 0);
     }
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      * @return The answer.
      */
@@ -1159,6 +1187,10 @@
       }
     }
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      */
     public Builder setAnswer(org.curranthaven.internal.transport.wire.StoredAnswer value) {
@@ -1173,6 +1205,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      */
     public Builder setAnswer(
@@ -1187,6 +1223,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      */
     public Builder mergeAnswer(org.curranthaven.internal.transport.wire.StoredAnswer value) {
@@ -1208,6 +1248,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      */
     public Builder clearAnswer() {
@@ -1221,6 +1265,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      */
     public org.curranthaven.internal.transport.wire.StoredAnswer.Builder getAnswerBuilder() {
@@ -1229,6 +1277,10 @@
       return internalGetAnswerFieldBuilder().getBuilder();
     }
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      */
     public org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder getAnswerOrBuilder() {
@@ -1240,6 +1292,10 @@
       }
     }
     /**
+     * <pre>
+     * Stored response; not set until the request is complete.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 8;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
--- a/src/main/java/org/curranthaven/internal/transport/wire/ClaimRecordOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ClaimRecordOrBuilder.java
@@ -77,16 +77,28 @@
       getTokenBytes();
 
   /**
+   * <pre>
+   * Stored response; not set until the request is complete.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 8;</code>
    * @return Whether the answer field is set.
    */
   boolean hasAnswer();
   /**
+   * <pre>
+   * Stored response; not set until the request is complete.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 8;</code>
    * @return The answer.
    */
   org.curranthaven.internal.transport.wire.StoredAnswer getAnswer();
   /**
+   * <pre>
+   * Stored response; not set until the request is complete.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 8;</code>
    */
   org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder getAnswerOrBuilder();
--- a/src/main/java/org/curranthaven/internal/transport/wire/ClaimResult.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ClaimResult.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Result of a LedgerCommand.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.ClaimResult}
  */
 @com.google.protobuf.Generated
@@ -271,6 +275,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Result of a LedgerCommand.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.ClaimResult}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/ClaimVerdict.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ClaimVerdict.java
@@ -16,30 +16,58 @@
    */
   CLAIM_VERDICT_UNSPECIFIED(0),
   /**
+   * <pre>
+   * The claim is granted: the owner may execute the request.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_GRANTED = 1;</code>
    */
   CLAIM_VERDICT_GRANTED(1),
   /**
+   * <pre>
+   * Another attempt has claimed the key, and its response is not stored yet.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_RUNNING = 2;</code>
    */
   CLAIM_VERDICT_RUNNING(2),
   /**
+   * <pre>
+   * The request is complete; the record has the stored response.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_DONE = 3;</code>
    */
   CLAIM_VERDICT_DONE(3),
   /**
+   * <pre>
+   * The key was used for a request with another body.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_KEY_REUSED = 4;</code>
    */
   CLAIM_VERDICT_KEY_REUSED(4),
   /**
+   * <pre>
+   * The key was issued before the retention period, so its record may have been evicted.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_TOO_OLD = 5;</code>
    */
   CLAIM_VERDICT_TOO_OLD(5),
   /**
+   * <pre>
+   * The key's issue time is further ahead of the group's clock than allowed.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_FROM_FUTURE = 6;</code>
    */
   CLAIM_VERDICT_FROM_FUTURE(6),
   /**
+   * <pre>
+   * The group has reached its limit on the size of records.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_FULL = 7;</code>
    */
   CLAIM_VERDICT_FULL(7),
@@ -60,30 +88,58 @@
    */
   public static final int CLAIM_VERDICT_UNSPECIFIED_VALUE = 0;
   /**
+   * <pre>
+   * The claim is granted: the owner may execute the request.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_GRANTED = 1;</code>
    */
   public static final int CLAIM_VERDICT_GRANTED_VALUE = 1;
   /**
+   * <pre>
+   * Another attempt has claimed the key, and its response is not stored yet.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_RUNNING = 2;</code>
    */
   public static final int CLAIM_VERDICT_RUNNING_VALUE = 2;
   /**
+   * <pre>
+   * The request is complete; the record has the stored response.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_DONE = 3;</code>
    */
   public static final int CLAIM_VERDICT_DONE_VALUE = 3;
   /**
+   * <pre>
+   * The key was used for a request with another body.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_KEY_REUSED = 4;</code>
    */
   public static final int CLAIM_VERDICT_KEY_REUSED_VALUE = 4;
   /**
+   * <pre>
+   * The key was issued before the retention period, so its record may have been evicted.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_TOO_OLD = 5;</code>
    */
   public static final int CLAIM_VERDICT_TOO_OLD_VALUE = 5;
   /**
+   * <pre>
+   * The key's issue time is further ahead of the group's clock than allowed.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_FROM_FUTURE = 6;</code>
    */
   public static final int CLAIM_VERDICT_FROM_FUTURE_VALUE = 6;
   /**
+   * <pre>
+   * The group has reached its limit on the size of records.
+   * </pre>
+   *
    * <code>CLAIM_VERDICT_FULL = 7;</code>
    */
   public static final int CLAIM_VERDICT_FULL_VALUE = 7;
--- a/src/main/java/org/curranthaven/internal/transport/wire/CommandReply.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/CommandReply.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reply to a CommandRequest.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.CommandReply}
  */
 @com.google.protobuf.Generated
@@ -83,6 +87,10 @@
   public static final int RESULT_FIELD_NUMBER = 3;
   private com.google.protobuf.ByteString result_ = com.google.protobuf.ByteString.EMPTY;
   /**
+   * <pre>
+   * Result of the state machine, if the command was applied.
+   * </pre>
+   *
    * <code>bytes result = 3;</code>
    * @return The result.
    */
@@ -96,7 +104,7 @@
   private volatile java.lang.Object leaderHost_ = "";
   /**
    * <pre>
-   * Host name of the leader where the receiver is not it; empty when unknown.
+   * Name of the leader's host if the replying host is not the leader; empty if unknown.
    * </pre>
    *
    * <code>string leader_host = 4;</code>
@@ -117,7 +125,7 @@
   }
   /**
    * <pre>
-   * Host name of the leader where the receiver is not it; empty when unknown.
+   * Name of the leader's host if the replying host is not the leader; empty if unknown.
    * </pre>
    *
    * <code>string leader_host = 4;</code>
@@ -332,6 +340,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reply to a CommandRequest.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.CommandReply}
    */
   public static final class Builder extends
@@ -589,6 +601,10 @@
 
     private com.google.protobuf.ByteString result_ = com.google.protobuf.ByteString.EMPTY;
     /**
+     * <pre>
+     * Result of the state machine, if the command was applied.
+     * </pre>
+     *
      * <code>bytes result = 3;</code>
      * @return The result.
      */
@@ -597,6 +613,10 @@
       return result_;
     }
     /**
+     * <pre>
+     * Result of the state machine, if the command was applied.
+     * </pre>
+     *
      * <code>bytes result = 3;</code>
      * @param value The result to set.
      * @return This builder for chaining.
@@ -609,6 +629,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Result of the state machine, if the command was applied.
+     * </pre>
+     *
      * <code>bytes result = 3;</code>
      * @return This builder for chaining.
      */
@@ -622,7 +646,7 @@
     private java.lang.Object leaderHost_ = "";
     /**
      * <pre>
-     * Host name of the leader where the receiver is not it; empty when unknown.
+     * Name of the leader's host if the replying host is not the leader; empty if unknown.
      * </pre>
      *
      * <code>string leader_host = 4;</code>
@@ -642,7 +666,7 @@
     }
     /**
      * <pre>
-     * Host name of the leader where the receiver is not it; empty when unknown.
+     * Name of the leader's host if the replying host is not the leader; empty if unknown.
      * </pre>
      *
      * <code>string leader_host = 4;</code>
@@ -663,7 +687,7 @@
     }
     /**
      * <pre>
-     * Host name of the leader where the receiver is not it; empty when unknown.
+     * Name of the leader's host if the replying host is not the leader; empty if unknown.
      * </pre>
      *
      * <code>string leader_host = 4;</code>
@@ -680,7 +704,7 @@
     }
     /**
      * <pre>
-     * Host name of the leader where the receiver is not it; empty when unknown.
+     * Name of the leader's host if the replying host is not the leader; empty if unknown.
      * </pre>
      *
      * <code>string leader_host = 4;</code>
@@ -694,7 +718,7 @@
     }
     /**
      * <pre>
-     * Host name of the leader where the receiver is not it; empty when unknown.
+     * Name of the leader's host if the replying host is not the leader; empty if unknown.
      * </pre>
      *
      * <code>string leader_host = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/CommandReplyOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/CommandReplyOrBuilder.java
@@ -28,6 +28,10 @@
   org.curranthaven.internal.transport.wire.CommandStatus getStatus();
 
   /**
+   * <pre>
+   * Result of the state machine, if the command was applied.
+   * </pre>
+   *
    * <code>bytes result = 3;</code>
    * @return The result.
    */
@@ -35,7 +39,7 @@
 
   /**
    * <pre>
-   * Host name of the leader where the receiver is not it; empty when unknown.
+   * Name of the leader's host if the replying host is not the leader; empty if unknown.
    * </pre>
    *
    * <code>string leader_host = 4;</code>
@@ -44,7 +48,7 @@
   java.lang.String getLeaderHost();
   /**
    * <pre>
-   * Host name of the leader where the receiver is not it; empty when unknown.
+   * Name of the leader's host if the replying host is not the leader; empty if unknown.
    * </pre>
    *
    * <code>string leader_host = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/CommandRequest.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/CommandRequest.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A command for the state machine of a group, sent to the leader by any host.
+ * Command for the state machine of a group, sent by any host to the group's leader.
  * </pre>
  *
  * Protobuf type {@code curranthaven.CommandRequest}
@@ -272,7 +272,7 @@
   }
   /**
    * <pre>
-   * A command for the state machine of a group, sent to the leader by any host.
+   * Command for the state machine of a group, sent by any host to the group's leader.
    * </pre>
    *
    * Protobuf type {@code curranthaven.CommandRequest}
--- a/src/main/java/org/curranthaven/internal/transport/wire/CommandStatus.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/CommandStatus.java
@@ -16,22 +16,34 @@
    */
   COMMAND_STATUS_UNSPECIFIED(0),
   /**
+   * <pre>
+   * The command is committed and applied.
+   * </pre>
+   *
    * <code>COMMAND_STATUS_APPLIED = 1;</code>
    */
   COMMAND_STATUS_APPLIED(1),
   /**
+   * <pre>
+   * The command was not accepted: the replying host is not the leader.
+   * </pre>
+   *
    * <code>COMMAND_STATUS_NOT_LEADER = 2;</code>
    */
   COMMAND_STATUS_NOT_LEADER(2),
   /**
    * <pre>
-   * The entry may or may not be committed later.
+   * The command was sent but its outcome is unknown: it may still be committed.
    * </pre>
    *
    * <code>COMMAND_STATUS_UNKNOWN = 3;</code>
    */
   COMMAND_STATUS_UNKNOWN(3),
   /**
+   * <pre>
+   * The command was not accepted: the replying host has no replica of the group.
+   * </pre>
+   *
    * <code>COMMAND_STATUS_UNAVAILABLE = 4;</code>
    */
   COMMAND_STATUS_UNAVAILABLE(4),
@@ -52,22 +64,34 @@
    */
   public static final int COMMAND_STATUS_UNSPECIFIED_VALUE = 0;
   /**
+   * <pre>
+   * The command is committed and applied.
+   * </pre>
+   *
    * <code>COMMAND_STATUS_APPLIED = 1;</code>
    */
   public static final int COMMAND_STATUS_APPLIED_VALUE = 1;
   /**
+   * <pre>
+   * The command was not accepted: the replying host is not the leader.
+   * </pre>
+   *
    * <code>COMMAND_STATUS_NOT_LEADER = 2;</code>
    */
   public static final int COMMAND_STATUS_NOT_LEADER_VALUE = 2;
   /**
    * <pre>
-   * The entry may or may not be committed later.
+   * The command was sent but its outcome is unknown: it may still be committed.
    * </pre>
    *
    * <code>COMMAND_STATUS_UNKNOWN = 3;</code>
    */
   public static final int COMMAND_STATUS_UNKNOWN_VALUE = 3;
   /**
+   * <pre>
+   * The command was not accepted: the replying host has no replica of the group.
+   * </pre>
+   *
    * <code>COMMAND_STATUS_UNAVAILABLE = 4;</code>
    */
   public static final int COMMAND_STATUS_UNAVAILABLE_VALUE = 4;
--- a/src/main/java/org/curranthaven/internal/transport/wire/CompleteCommand.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/CompleteCommand.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Stores the response of a claimed request.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.CompleteCommand}
  */
 @com.google.protobuf.Generated
@@ -172,6 +176,10 @@
   public static final int ANSWER_FIELD_NUMBER = 4;
   private org.curranthaven.internal.transport.wire.StoredAnswer answer_;
   /**
+   * <pre>
+   * Response to the caller.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 4;</code>
    * @return Whether the answer field is set.
    */
@@ -180,6 +188,10 @@
     return ((bitField0_ & 0x00000001) != 0);
   }
   /**
+   * <pre>
+   * Response to the caller.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 4;</code>
    * @return The answer.
    */
@@ -188,6 +200,10 @@
     return answer_ == null ? org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance() : answer_;
   }
   /**
+   * <pre>
+   * Response to the caller.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 4;</code>
    */
   @java.lang.Override
@@ -392,6 +408,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Stores the response of a claimed request.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.CompleteCommand}
    */
   public static final class Builder extends
@@ -804,6 +824,10 @@
     private com.google.protobuf.SingleFieldBuilder<
         org.curranthaven.internal.transport.wire.StoredAnswer, org.curranthaven.internal.transport.wire.StoredAnswer.Builder, org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder> answerBuilder_;
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      * @return Whether the answer field is set.
      */
@@ -811,6 +835,10 @@
       return ((bitField0_ & 0x00000008) != 0);
     }
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      * @return The answer.
      */
@@ -822,6 +850,10 @@
       }
     }
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      */
     public Builder setAnswer(org.curranthaven.internal.transport.wire.StoredAnswer value) {
@@ -836,6 +868,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      */
     public Builder setAnswer(
@@ -850,6 +886,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      */
     public Builder mergeAnswer(org.curranthaven.internal.transport.wire.StoredAnswer value) {
@@ -871,6 +911,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      */
     public Builder clearAnswer() {
@@ -884,6 +928,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.StoredAnswer.Builder getAnswerBuilder() {
@@ -892,6 +940,10 @@
       return internalGetAnswerFieldBuilder().getBuilder();
     }
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder getAnswerOrBuilder() {
@@ -903,6 +955,10 @@
       }
     }
     /**
+     * <pre>
+     * Response to the caller.
+     * </pre>
+     *
      * <code>.curranthaven.StoredAnswer answer = 4;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
--- a/src/main/java/org/curranthaven/internal/transport/wire/CompleteCommandOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/CompleteCommandOrBuilder.java
@@ -47,16 +47,28 @@
       getTokenBytes();
 
   /**
+   * <pre>
+   * Response to the caller.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 4;</code>
    * @return Whether the answer field is set.
    */
   boolean hasAnswer();
   /**
+   * <pre>
+   * Response to the caller.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 4;</code>
    * @return The answer.
    */
   org.curranthaven.internal.transport.wire.StoredAnswer getAnswer();
   /**
+   * <pre>
+   * Response to the caller.
+   * </pre>
+   *
    * <code>.curranthaven.StoredAnswer answer = 4;</code>
    */
   org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder getAnswerOrBuilder();
--- a/src/main/java/org/curranthaven/internal/transport/wire/ConfigurationDelta.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ConfigurationDelta.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The edits that made one revision out of the one before it.
+ * Edits that lead from the preceding revision to this one.
  * </pre>
  *
  * Protobuf type {@code curranthaven.ConfigurationDelta}
@@ -250,7 +250,7 @@
   }
   /**
    * <pre>
-   * The edits that made one revision out of the one before it.
+   * Edits that lead from the preceding revision to this one.
    * </pre>
    *
    * Protobuf type {@code curranthaven.ConfigurationDelta}
--- a/src/main/java/org/curranthaven/internal/transport/wire/ConsensusBatch.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ConsensusBatch.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Messages of all consensus groups between two hosts that became ready together.
+ * Messages of all consensus groups to one host that became ready together.
  * </pre>
  *
  * Protobuf type {@code curranthaven.ConsensusBatch}
@@ -264,7 +264,7 @@
   }
   /**
    * <pre>
-   * Messages of all consensus groups between two hosts that became ready together.
+   * Messages of all consensus groups to one host that became ready together.
    * </pre>
    *
    * Protobuf type {@code curranthaven.ConsensusBatch}
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchEnd.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchEnd.java
@@ -6,6 +6,11 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reports that a request is no longer queued or no longer runs where it was placed, or that its
+ * migration failed.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.DispatchEnd}
  */
 @com.google.protobuf.Generated
@@ -52,6 +57,10 @@
   public static final int ID_FIELD_NUMBER = 1;
   private long id_ = 0L;
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -81,6 +90,10 @@
   public static final int OUTPUT_TOKENS_FIELD_NUMBER = 3;
   private int outputTokens_ = 0;
   /**
+   * <pre>
+   * Number of tokens output in all.
+   * </pre>
+   *
    * <code>uint32 output_tokens = 3;</code>
    * @return The outputTokens.
    */
@@ -273,6 +286,11 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reports that a request is no longer queued or no longer runs where it was placed, or that its
+   * migration failed.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.DispatchEnd}
    */
   public static final class Builder extends
@@ -432,6 +450,10 @@
 
     private long id_ ;
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return The id.
      */
@@ -440,6 +462,10 @@
       return id_;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -452,6 +478,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return This builder for chaining.
      */
@@ -516,6 +546,10 @@
 
     private int outputTokens_ ;
     /**
+     * <pre>
+     * Number of tokens output in all.
+     * </pre>
+     *
      * <code>uint32 output_tokens = 3;</code>
      * @return The outputTokens.
      */
@@ -524,6 +558,10 @@
       return outputTokens_;
     }
     /**
+     * <pre>
+     * Number of tokens output in all.
+     * </pre>
+     *
      * <code>uint32 output_tokens = 3;</code>
      * @param value The outputTokens to set.
      * @return This builder for chaining.
@@ -536,6 +574,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Number of tokens output in all.
+     * </pre>
+     *
      * <code>uint32 output_tokens = 3;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchEndOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchEndOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -28,6 +32,10 @@
   org.curranthaven.internal.transport.wire.DispatchOutcome getOutcome();
 
   /**
+   * <pre>
+   * Number of tokens output in all.
+   * </pre>
+   *
    * <code>uint32 output_tokens = 3;</code>
    * @return The outputTokens.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchOrders.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchOrders.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * From the scheduler to a gateway.
+ * Decisions on the requests of one gateway, from the scheduler.
  * </pre>
  *
  * Protobuf type {@code curranthaven.DispatchOrders}
@@ -112,6 +112,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.curranthaven.internal.transport.wire.Refusal> refusals_;
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   @java.lang.Override
@@ -119,6 +123,10 @@
     return refusals_;
   }
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   @java.lang.Override
@@ -127,6 +135,10 @@
     return refusals_;
   }
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   @java.lang.Override
@@ -134,6 +146,10 @@
     return refusals_.size();
   }
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   @java.lang.Override
@@ -141,6 +157,10 @@
     return refusals_.get(index);
   }
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   @java.lang.Override
@@ -153,6 +173,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.curranthaven.internal.transport.wire.Move> moves_;
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   @java.lang.Override
@@ -160,6 +184,10 @@
     return moves_;
   }
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   @java.lang.Override
@@ -168,6 +196,10 @@
     return moves_;
   }
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   @java.lang.Override
@@ -175,6 +207,10 @@
     return moves_.size();
   }
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   @java.lang.Override
@@ -182,6 +218,10 @@
     return moves_.get(index);
   }
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   @java.lang.Override
@@ -196,7 +236,7 @@
       emptyLongList();
   /**
    * <pre>
-   * Calls that were taken in and wait for room.
+   * Ids of placement requests that are queued for capacity; acknowledges their receipt.
    * </pre>
    *
    * <code>repeated uint64 waiting = 5;</code>
@@ -209,7 +249,7 @@
   }
   /**
    * <pre>
-   * Calls that were taken in and wait for room.
+   * Ids of placement requests that are queued for capacity; acknowledges their receipt.
    * </pre>
    *
    * <code>repeated uint64 waiting = 5;</code>
@@ -220,7 +260,7 @@
   }
   /**
    * <pre>
-   * Calls that were taken in and wait for room.
+   * Ids of placement requests that are queued for capacity; acknowledges their receipt.
    * </pre>
    *
    * <code>repeated uint64 waiting = 5;</code>
@@ -478,7 +518,7 @@
   }
   /**
    * <pre>
-   * From the scheduler to a gateway.
+   * Decisions on the requests of one gateway, from the scheduler.
    * </pre>
    *
    * Protobuf type {@code curranthaven.DispatchOrders}
@@ -1094,6 +1134,10 @@
         org.curranthaven.internal.transport.wire.Refusal, org.curranthaven.internal.transport.wire.Refusal.Builder, org.curranthaven.internal.transport.wire.RefusalOrBuilder> refusalsBuilder_;
 
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.Refusal> getRefusalsList() {
@@ -1104,6 +1148,10 @@
       }
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public int getRefusalsCount() {
@@ -1114,6 +1162,10 @@
       }
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public org.curranthaven.internal.transport.wire.Refusal getRefusals(int index) {
@@ -1124,6 +1176,10 @@
       }
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder setRefusals(
@@ -1139,6 +1195,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder setRefusals(
@@ -1153,6 +1213,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder addRefusals(org.curranthaven.internal.transport.wire.Refusal value) {
@@ -1167,6 +1231,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder addRefusals(
@@ -1182,6 +1250,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder addRefusals(
@@ -1196,6 +1268,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder addRefusals(
@@ -1210,6 +1286,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder addAllRefusals(
@@ -1225,6 +1305,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder clearRefusals() {
@@ -1238,6 +1322,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public Builder removeRefusals(int index) {
@@ -1251,6 +1339,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public org.curranthaven.internal.transport.wire.Refusal.Builder getRefusalsBuilder(
@@ -1258,6 +1350,10 @@
       return internalGetRefusalsFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public org.curranthaven.internal.transport.wire.RefusalOrBuilder getRefusalsOrBuilder(
@@ -1268,6 +1364,10 @@
       }
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public java.util.List<? extends org.curranthaven.internal.transport.wire.RefusalOrBuilder> 
@@ -1279,6 +1379,10 @@
       }
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public org.curranthaven.internal.transport.wire.Refusal.Builder addRefusalsBuilder() {
@@ -1286,6 +1390,10 @@
           org.curranthaven.internal.transport.wire.Refusal.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public org.curranthaven.internal.transport.wire.Refusal.Builder addRefusalsBuilder(
@@ -1294,6 +1402,10 @@
           index, org.curranthaven.internal.transport.wire.Refusal.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Rejected requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Refusal refusals = 3;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.Refusal.Builder> 
@@ -1328,6 +1440,10 @@
         org.curranthaven.internal.transport.wire.Move, org.curranthaven.internal.transport.wire.Move.Builder, org.curranthaven.internal.transport.wire.MoveOrBuilder> movesBuilder_;
 
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.Move> getMovesList() {
@@ -1338,6 +1454,10 @@
       }
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public int getMovesCount() {
@@ -1348,6 +1468,10 @@
       }
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.Move getMoves(int index) {
@@ -1358,6 +1482,10 @@
       }
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder setMoves(
@@ -1373,6 +1501,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder setMoves(
@@ -1387,6 +1519,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder addMoves(org.curranthaven.internal.transport.wire.Move value) {
@@ -1401,6 +1537,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder addMoves(
@@ -1416,6 +1556,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder addMoves(
@@ -1430,6 +1574,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder addMoves(
@@ -1444,6 +1592,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder addAllMoves(
@@ -1459,6 +1611,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder clearMoves() {
@@ -1472,6 +1628,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public Builder removeMoves(int index) {
@@ -1485,6 +1645,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.Move.Builder getMovesBuilder(
@@ -1492,6 +1656,10 @@
       return internalGetMovesFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.MoveOrBuilder getMovesOrBuilder(
@@ -1502,6 +1670,10 @@
       }
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public java.util.List<? extends org.curranthaven.internal.transport.wire.MoveOrBuilder> 
@@ -1513,6 +1685,10 @@
       }
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.Move.Builder addMovesBuilder() {
@@ -1520,6 +1696,10 @@
           org.curranthaven.internal.transport.wire.Move.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.Move.Builder addMovesBuilder(
@@ -1528,6 +1708,10 @@
           index, org.curranthaven.internal.transport.wire.Move.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Running requests to migrate.
+     * </pre>
+     *
      * <code>repeated .curranthaven.Move moves = 4;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.Move.Builder> 
@@ -1558,7 +1742,7 @@
     }
     /**
      * <pre>
-     * Calls that were taken in and wait for room.
+     * Ids of placement requests that are queued for capacity; acknowledges their receipt.
      * </pre>
      *
      * <code>repeated uint64 waiting = 5;</code>
@@ -1571,7 +1755,7 @@
     }
     /**
      * <pre>
-     * Calls that were taken in and wait for room.
+     * Ids of placement requests that are queued for capacity; acknowledges their receipt.
      * </pre>
      *
      * <code>repeated uint64 waiting = 5;</code>
@@ -1582,7 +1766,7 @@
     }
     /**
      * <pre>
-     * Calls that were taken in and wait for room.
+     * Ids of placement requests that are queued for capacity; acknowledges their receipt.
      * </pre>
      *
      * <code>repeated uint64 waiting = 5;</code>
@@ -1594,7 +1778,7 @@
     }
     /**
      * <pre>
-     * Calls that were taken in and wait for room.
+     * Ids of placement requests that are queued for capacity; acknowledges their receipt.
      * </pre>
      *
      * <code>repeated uint64 waiting = 5;</code>
@@ -1613,7 +1797,7 @@
     }
     /**
      * <pre>
-     * Calls that were taken in and wait for room.
+     * Ids of placement requests that are queued for capacity; acknowledges their receipt.
      * </pre>
      *
      * <code>repeated uint64 waiting = 5;</code>
@@ -1630,7 +1814,7 @@
     }
     /**
      * <pre>
-     * Calls that were taken in and wait for room.
+     * Ids of placement requests that are queued for capacity; acknowledges their receipt.
      * </pre>
      *
      * <code>repeated uint64 waiting = 5;</code>
@@ -1648,7 +1832,7 @@
     }
     /**
      * <pre>
-     * Calls that were taken in and wait for room.
+     * Ids of placement requests that are queued for capacity; acknowledges their receipt.
      * </pre>
      *
      * <code>repeated uint64 waiting = 5;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchOrdersOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchOrdersOrBuilder.java
@@ -41,48 +41,88 @@
       int index);
 
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   java.util.List<org.curranthaven.internal.transport.wire.Refusal> 
       getRefusalsList();
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   org.curranthaven.internal.transport.wire.Refusal getRefusals(int index);
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   int getRefusalsCount();
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   java.util.List<? extends org.curranthaven.internal.transport.wire.RefusalOrBuilder> 
       getRefusalsOrBuilderList();
   /**
+   * <pre>
+   * Rejected requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Refusal refusals = 3;</code>
    */
   org.curranthaven.internal.transport.wire.RefusalOrBuilder getRefusalsOrBuilder(
       int index);
 
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   java.util.List<org.curranthaven.internal.transport.wire.Move> 
       getMovesList();
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   org.curranthaven.internal.transport.wire.Move getMoves(int index);
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   int getMovesCount();
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   java.util.List<? extends org.curranthaven.internal.transport.wire.MoveOrBuilder> 
       getMovesOrBuilderList();
   /**
+   * <pre>
+   * Running requests to migrate.
+   * </pre>
+   *
    * <code>repeated .curranthaven.Move moves = 4;</code>
    */
   org.curranthaven.internal.transport.wire.MoveOrBuilder getMovesOrBuilder(
@@ -90,7 +130,7 @@
 
   /**
    * <pre>
-   * Calls that were taken in and wait for room.
+   * Ids of placement requests that are queued for capacity; acknowledges their receipt.
    * </pre>
    *
    * <code>repeated uint64 waiting = 5;</code>
@@ -99,7 +139,7 @@
   java.util.List<java.lang.Long> getWaitingList();
   /**
    * <pre>
-   * Calls that were taken in and wait for room.
+   * Ids of placement requests that are queued for capacity; acknowledges their receipt.
    * </pre>
    *
    * <code>repeated uint64 waiting = 5;</code>
@@ -108,7 +148,7 @@
   int getWaitingCount();
   /**
    * <pre>
-   * Calls that were taken in and wait for room.
+   * Ids of placement requests that are queued for capacity; acknowledges their receipt.
    * </pre>
    *
    * <code>repeated uint64 waiting = 5;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchOutcome.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchOutcome.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * How an attempt or a migration ended.
+ * </pre>
+ *
  * Protobuf enum {@code curranthaven.DispatchOutcome}
  */
 @com.google.protobuf.Generated
@@ -17,7 +21,7 @@
   DISPATCH_OUTCOME_UNSPECIFIED(0),
   /**
    * <pre>
-   * The backend server answered, with whatever status.
+   * The backend server sent a response with a status below 500.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_ANSWERED = 1;</code>
@@ -25,7 +29,7 @@
   DISPATCH_OUTCOME_ANSWERED(1),
   /**
    * <pre>
-   * The backend server failed, broke off or did not answer.
+   * The response had a status of 500 or above, was incomplete, or did not arrive.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_FAILED = 2;</code>
@@ -33,7 +37,7 @@
   DISPATCH_OUTCOME_FAILED(2),
   /**
    * <pre>
-   * The backend server said that it did not run the request.
+   * The backend server rejected the request before it ran.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_REJECTED = 3;</code>
@@ -41,7 +45,7 @@
   DISPATCH_OUTCOME_REJECTED(3),
   /**
    * <pre>
-   * The backend server could not be reached, or another one has its address.
+   * The backend server could not be reached, or its address now belongs to another one.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_UNREACHABLE = 4;</code>
@@ -49,7 +53,7 @@
   DISPATCH_OUTCOME_UNREACHABLE(4),
   /**
    * <pre>
-   * The caller left, or the time was up.
+   * The caller disconnected, or the deadline was exceeded.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_CANCELLED = 5;</code>
@@ -57,7 +61,7 @@
   DISPATCH_OUTCOME_CANCELLED(5),
   /**
    * <pre>
-   * The request goes on at the backend server that it was moved to.
+   * The request has been migrated and continues on the target.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_MOVED = 6;</code>
@@ -65,7 +69,7 @@
   DISPATCH_OUTCOME_MOVED(6),
   /**
    * <pre>
-   * The move was not made; the request goes on where it is.
+   * The migration failed; the request continues on the source.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_MOVE_FAILED = 7;</code>
@@ -89,7 +93,7 @@
   public static final int DISPATCH_OUTCOME_UNSPECIFIED_VALUE = 0;
   /**
    * <pre>
-   * The backend server answered, with whatever status.
+   * The backend server sent a response with a status below 500.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_ANSWERED = 1;</code>
@@ -97,7 +101,7 @@
   public static final int DISPATCH_OUTCOME_ANSWERED_VALUE = 1;
   /**
    * <pre>
-   * The backend server failed, broke off or did not answer.
+   * The response had a status of 500 or above, was incomplete, or did not arrive.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_FAILED = 2;</code>
@@ -105,7 +109,7 @@
   public static final int DISPATCH_OUTCOME_FAILED_VALUE = 2;
   /**
    * <pre>
-   * The backend server said that it did not run the request.
+   * The backend server rejected the request before it ran.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_REJECTED = 3;</code>
@@ -113,7 +117,7 @@
   public static final int DISPATCH_OUTCOME_REJECTED_VALUE = 3;
   /**
    * <pre>
-   * The backend server could not be reached, or another one has its address.
+   * The backend server could not be reached, or its address now belongs to another one.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_UNREACHABLE = 4;</code>
@@ -121,7 +125,7 @@
   public static final int DISPATCH_OUTCOME_UNREACHABLE_VALUE = 4;
   /**
    * <pre>
-   * The caller left, or the time was up.
+   * The caller disconnected, or the deadline was exceeded.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_CANCELLED = 5;</code>
@@ -129,7 +133,7 @@
   public static final int DISPATCH_OUTCOME_CANCELLED_VALUE = 5;
   /**
    * <pre>
-   * The request goes on at the backend server that it was moved to.
+   * The request has been migrated and continues on the target.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_MOVED = 6;</code>
@@ -137,7 +141,7 @@
   public static final int DISPATCH_OUTCOME_MOVED_VALUE = 6;
   /**
    * <pre>
-   * The move was not made; the request goes on where it is.
+   * The migration failed; the request continues on the source.
    * </pre>
    *
    * <code>DISPATCH_OUTCOME_MOVE_FAILED = 7;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchProgress.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchProgress.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Number of tokens that a running request has output so far.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.DispatchProgress}
  */
 @com.google.protobuf.Generated
@@ -51,6 +55,10 @@
   public static final int ID_FIELD_NUMBER = 1;
   private long id_ = 0L;
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -244,6 +252,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Number of tokens that a running request has output so far.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.DispatchProgress}
    */
   public static final class Builder extends
@@ -391,6 +403,10 @@
 
     private long id_ ;
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return The id.
      */
@@ -399,6 +415,10 @@
       return id_;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -411,6 +431,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchProgressOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchProgressOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchRequests.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchRequests.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * From a gateway to the scheduler.
+ * Placement requests, progress and ended requests, from a gateway to the scheduler.
  * </pre>
  *
  * Protobuf type {@code curranthaven.DispatchRequests}
@@ -70,6 +70,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest> asks_;
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
@@ -77,6 +81,10 @@
     return asks_;
   }
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
@@ -85,6 +93,10 @@
     return asks_;
   }
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
@@ -92,6 +104,10 @@
     return asks_.size();
   }
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
@@ -99,6 +115,10 @@
     return asks_.get(index);
   }
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   @java.lang.Override
@@ -152,6 +172,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.curranthaven.internal.transport.wire.DispatchEnd> ends_;
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   @java.lang.Override
@@ -159,6 +183,10 @@
     return ends_;
   }
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   @java.lang.Override
@@ -167,6 +195,10 @@
     return ends_;
   }
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   @java.lang.Override
@@ -174,6 +206,10 @@
     return ends_.size();
   }
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   @java.lang.Override
@@ -181,6 +217,10 @@
     return ends_.get(index);
   }
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   @java.lang.Override
@@ -407,7 +447,7 @@
   }
   /**
    * <pre>
-   * From a gateway to the scheduler.
+   * Placement requests, progress and ended requests, from a gateway to the scheduler.
    * </pre>
    *
    * Protobuf type {@code curranthaven.DispatchRequests}
@@ -757,6 +797,10 @@
         org.curranthaven.internal.transport.wire.PlacementRequest, org.curranthaven.internal.transport.wire.PlacementRequest.Builder, org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> asksBuilder_;
 
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest> getAsksList() {
@@ -767,6 +811,10 @@
       }
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public int getAsksCount() {
@@ -777,6 +825,10 @@
       }
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public org.curranthaven.internal.transport.wire.PlacementRequest getAsks(int index) {
@@ -787,6 +839,10 @@
       }
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder setAsks(
@@ -802,6 +858,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder setAsks(
@@ -816,6 +876,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAsks(org.curranthaven.internal.transport.wire.PlacementRequest value) {
@@ -830,6 +894,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAsks(
@@ -845,6 +913,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAsks(
@@ -859,6 +931,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAsks(
@@ -873,6 +949,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder addAllAsks(
@@ -888,6 +968,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder clearAsks() {
@@ -901,6 +985,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public Builder removeAsks(int index) {
@@ -914,6 +1002,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public org.curranthaven.internal.transport.wire.PlacementRequest.Builder getAsksBuilder(
@@ -921,6 +1013,10 @@
       return internalGetAsksFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAsksOrBuilder(
@@ -931,6 +1027,10 @@
       }
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public java.util.List<? extends org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> 
@@ -942,6 +1042,10 @@
       }
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public org.curranthaven.internal.transport.wire.PlacementRequest.Builder addAsksBuilder() {
@@ -949,6 +1053,10 @@
           org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public org.curranthaven.internal.transport.wire.PlacementRequest.Builder addAsksBuilder(
@@ -957,6 +1065,10 @@
           index, org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Placement requests.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest.Builder> 
@@ -1225,6 +1337,10 @@
         org.curranthaven.internal.transport.wire.DispatchEnd, org.curranthaven.internal.transport.wire.DispatchEnd.Builder, org.curranthaven.internal.transport.wire.DispatchEndOrBuilder> endsBuilder_;
 
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.DispatchEnd> getEndsList() {
@@ -1235,6 +1351,10 @@
       }
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public int getEndsCount() {
@@ -1245,6 +1365,10 @@
       }
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.DispatchEnd getEnds(int index) {
@@ -1255,6 +1379,10 @@
       }
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder setEnds(
@@ -1270,6 +1398,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder setEnds(
@@ -1284,6 +1416,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder addEnds(org.curranthaven.internal.transport.wire.DispatchEnd value) {
@@ -1298,6 +1434,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder addEnds(
@@ -1313,6 +1453,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder addEnds(
@@ -1327,6 +1471,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder addEnds(
@@ -1341,6 +1489,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder addAllEnds(
@@ -1356,6 +1508,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder clearEnds() {
@@ -1369,6 +1525,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public Builder removeEnds(int index) {
@@ -1382,6 +1542,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.DispatchEnd.Builder getEndsBuilder(
@@ -1389,6 +1553,10 @@
       return internalGetEndsFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.DispatchEndOrBuilder getEndsOrBuilder(
@@ -1399,6 +1567,10 @@
       }
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public java.util.List<? extends org.curranthaven.internal.transport.wire.DispatchEndOrBuilder> 
@@ -1410,6 +1582,10 @@
       }
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.DispatchEnd.Builder addEndsBuilder() {
@@ -1417,6 +1593,10 @@
           org.curranthaven.internal.transport.wire.DispatchEnd.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public org.curranthaven.internal.transport.wire.DispatchEnd.Builder addEndsBuilder(
@@ -1425,6 +1605,10 @@
           index, org.curranthaven.internal.transport.wire.DispatchEnd.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Ended requests and ended migrations.
+     * </pre>
+     *
      * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.DispatchEnd.Builder> 
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchRequestsOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchRequestsOrBuilder.java
@@ -17,24 +17,44 @@
   long getTerm();
 
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   java.util.List<org.curranthaven.internal.transport.wire.PlacementRequest> 
       getAsksList();
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   org.curranthaven.internal.transport.wire.PlacementRequest getAsks(int index);
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   int getAsksCount();
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   java.util.List<? extends org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> 
       getAsksOrBuilderList();
   /**
+   * <pre>
+   * Placement requests.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PlacementRequest asks = 2;</code>
    */
   org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAsksOrBuilder(
@@ -65,24 +85,44 @@
       int index);
 
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   java.util.List<org.curranthaven.internal.transport.wire.DispatchEnd> 
       getEndsList();
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   org.curranthaven.internal.transport.wire.DispatchEnd getEnds(int index);
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   int getEndsCount();
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   java.util.List<? extends org.curranthaven.internal.transport.wire.DispatchEndOrBuilder> 
       getEndsOrBuilderList();
   /**
+   * <pre>
+   * Ended requests and ended migrations.
+   * </pre>
+   *
    * <code>repeated .curranthaven.DispatchEnd ends = 4;</code>
    */
   org.curranthaven.internal.transport.wire.DispatchEndOrBuilder getEndsOrBuilder(
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchShare.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchShare.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Work that one gateway has open on one backend server.
+ * Open requests of one host on one backend server.
  * </pre>
  *
  * Protobuf type {@code curranthaven.DispatchShare}
@@ -97,6 +97,10 @@
   public static final int RUNNING_FIELD_NUMBER = 2;
   private int running_ = 0;
   /**
+   * <pre>
+   * Number of open requests.
+   * </pre>
+   *
    * <code>uint32 running = 2;</code>
    * @return The running.
    */
@@ -111,7 +115,8 @@
       emptyFloatList();
   /**
    * <pre>
-   * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+   * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+   * software version: mean in blocks and variance in blocks squared.
    * </pre>
    *
    * <code>repeated float mean_blocks = 3;</code>
@@ -124,7 +129,8 @@
   }
   /**
    * <pre>
-   * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+   * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+   * software version: mean in blocks and variance in blocks squared.
    * </pre>
    *
    * <code>repeated float mean_blocks = 3;</code>
@@ -135,7 +141,8 @@
   }
   /**
    * <pre>
-   * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+   * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+   * software version: mean in blocks and variance in blocks squared.
    * </pre>
    *
    * <code>repeated float mean_blocks = 3;</code>
@@ -399,7 +406,7 @@
   }
   /**
    * <pre>
-   * Work that one gateway has open on one backend server.
+   * Open requests of one host on one backend server.
    * </pre>
    *
    * Protobuf type {@code curranthaven.DispatchShare}
@@ -689,6 +696,10 @@
 
     private int running_ ;
     /**
+     * <pre>
+     * Number of open requests.
+     * </pre>
+     *
      * <code>uint32 running = 2;</code>
      * @return The running.
      */
@@ -697,6 +708,10 @@
       return running_;
     }
     /**
+     * <pre>
+     * Number of open requests.
+     * </pre>
+     *
      * <code>uint32 running = 2;</code>
      * @param value The running to set.
      * @return This builder for chaining.
@@ -709,6 +724,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Number of open requests.
+     * </pre>
+     *
      * <code>uint32 running = 2;</code>
      * @return This builder for chaining.
      */
@@ -734,7 +753,8 @@
     }
     /**
      * <pre>
-     * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+     * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+     * software version: mean in blocks and variance in blocks squared.
      * </pre>
      *
      * <code>repeated float mean_blocks = 3;</code>
@@ -747,7 +767,8 @@
     }
     /**
      * <pre>
-     * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+     * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+     * software version: mean in blocks and variance in blocks squared.
      * </pre>
      *
      * <code>repeated float mean_blocks = 3;</code>
@@ -758,7 +779,8 @@
     }
     /**
      * <pre>
-     * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+     * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+     * software version: mean in blocks and variance in blocks squared.
      * </pre>
      *
      * <code>repeated float mean_blocks = 3;</code>
@@ -770,7 +792,8 @@
     }
     /**
      * <pre>
-     * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+     * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+     * software version: mean in blocks and variance in blocks squared.
      * </pre>
      *
      * <code>repeated float mean_blocks = 3;</code>
@@ -789,7 +812,8 @@
     }
     /**
      * <pre>
-     * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+     * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+     * software version: mean in blocks and variance in blocks squared.
      * </pre>
      *
      * <code>repeated float mean_blocks = 3;</code>
@@ -806,7 +830,8 @@
     }
     /**
      * <pre>
-     * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+     * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+     * software version: mean in blocks and variance in blocks squared.
      * </pre>
      *
      * <code>repeated float mean_blocks = 3;</code>
@@ -824,7 +849,8 @@
     }
     /**
      * <pre>
-     * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+     * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+     * software version: mean in blocks and variance in blocks squared.
      * </pre>
      *
      * <code>repeated float mean_blocks = 3;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchShareOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchShareOrBuilder.java
@@ -23,6 +23,10 @@
       getBackendBytes();
 
   /**
+   * <pre>
+   * Number of open requests.
+   * </pre>
+   *
    * <code>uint32 running = 2;</code>
    * @return The running.
    */
@@ -30,7 +34,8 @@
 
   /**
    * <pre>
-   * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+   * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+   * software version: mean in blocks and variance in blocks squared.
    * </pre>
    *
    * <code>repeated float mean_blocks = 3;</code>
@@ -39,7 +44,8 @@
   java.util.List<java.lang.Float> getMeanBlocksList();
   /**
    * <pre>
-   * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+   * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+   * software version: mean in blocks and variance in blocks squared.
    * </pre>
    *
    * <code>repeated float mean_blocks = 3;</code>
@@ -48,7 +54,8 @@
   int getMeanBlocksCount();
   /**
    * <pre>
-   * Forecast of memory at the horizons of the sender's version: blocks, and blocks squared.
+   * Forecast of the memory that the requests will use, at the forecast horizons of the sender's
+   * software version: mean in blocks and variance in blocks squared.
    * </pre>
    *
    * <code>repeated float mean_blocks = 3;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/EntryKind.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/EntryKind.java
@@ -12,14 +12,26 @@
 public enum EntryKind
     implements com.google.protobuf.ProtocolMessageEnum {
   /**
+   * <pre>
+   * First entry of a leader's term.
+   * </pre>
+   *
    * <code>ENTRY_KIND_NOOP = 0;</code>
    */
   ENTRY_KIND_NOOP(0),
   /**
+   * <pre>
+   * Command for the group's state machine.
+   * </pre>
+   *
    * <code>ENTRY_KIND_COMMAND = 1;</code>
    */
   ENTRY_KIND_COMMAND(1),
   /**
+   * <pre>
+   * Serialized VoterSet.
+   * </pre>
+   *
    * <code>ENTRY_KIND_VOTERS = 2;</code>
    */
   ENTRY_KIND_VOTERS(2),
@@ -36,14 +48,26 @@
       "EntryKind");
   }
   /**
+   * <pre>
+   * First entry of a leader's term.
+   * </pre>
+   *
    * <code>ENTRY_KIND_NOOP = 0;</code>
    */
   public static final int ENTRY_KIND_NOOP_VALUE = 0;
   /**
+   * <pre>
+   * Command for the group's state machine.
+   * </pre>
+   *
    * <code>ENTRY_KIND_COMMAND = 1;</code>
    */
   public static final int ENTRY_KIND_COMMAND_VALUE = 1;
   /**
+   * <pre>
+   * Serialized VoterSet.
+   * </pre>
+   *
    * <code>ENTRY_KIND_VOTERS = 2;</code>
    */
   public static final int ENTRY_KIND_VOTERS_VALUE = 2;
--- a/src/main/java/org/curranthaven/internal/transport/wire/Envelope.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Envelope.java
@@ -170,7 +170,7 @@
   private volatile java.lang.Object fromIdentity_ = "";
   /**
    * <pre>
-   * Identity of the sender's data folder, or empty for a host without one.
+   * Identity of the sender's data folder; empty if it has none.
    * </pre>
    *
    * <code>string from_identity = 2;</code>
@@ -191,7 +191,7 @@
   }
   /**
    * <pre>
-   * Identity of the sender's data folder, or empty for a host without one.
+   * Identity of the sender's data folder; empty if it has none.
    * </pre>
    *
    * <code>string from_identity = 2;</code>
@@ -1736,7 +1736,7 @@
     private java.lang.Object fromIdentity_ = "";
     /**
      * <pre>
-     * Identity of the sender's data folder, or empty for a host without one.
+     * Identity of the sender's data folder; empty if it has none.
      * </pre>
      *
      * <code>string from_identity = 2;</code>
@@ -1756,7 +1756,7 @@
     }
     /**
      * <pre>
-     * Identity of the sender's data folder, or empty for a host without one.
+     * Identity of the sender's data folder; empty if it has none.
      * </pre>
      *
      * <code>string from_identity = 2;</code>
@@ -1777,7 +1777,7 @@
     }
     /**
      * <pre>
-     * Identity of the sender's data folder, or empty for a host without one.
+     * Identity of the sender's data folder; empty if it has none.
      * </pre>
      *
      * <code>string from_identity = 2;</code>
@@ -1794,7 +1794,7 @@
     }
     /**
      * <pre>
-     * Identity of the sender's data folder, or empty for a host without one.
+     * Identity of the sender's data folder; empty if it has none.
      * </pre>
      *
      * <code>string from_identity = 2;</code>
@@ -1808,7 +1808,7 @@
     }
     /**
      * <pre>
-     * Identity of the sender's data folder, or empty for a host without one.
+     * Identity of the sender's data folder; empty if it has none.
      * </pre>
      *
      * <code>string from_identity = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/EnvelopeOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/EnvelopeOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * Identity of the sender's data folder, or empty for a host without one.
+   * Identity of the sender's data folder; empty if it has none.
    * </pre>
    *
    * <code>string from_identity = 2;</code>
@@ -33,7 +33,7 @@
   java.lang.String getFromIdentity();
   /**
    * <pre>
-   * Identity of the sender's data folder, or empty for a host without one.
+   * Identity of the sender's data folder; empty if it has none.
    * </pre>
    *
    * <code>string from_identity = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/FreshnessGrant.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/FreshnessGrant.java
@@ -6,6 +6,11 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reply of the leader of the configuration group to a FreshnessRequest; also pushed to all hosts
+ * when the configuration changes.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.FreshnessGrant}
  */
 @com.google.protobuf.Generated
@@ -54,6 +59,10 @@
   public static final int REVISION_FIELD_NUMBER = 1;
   private long revision_ = 0L;
   /**
+   * <pre>
+   * Latest committed revision.
+   * </pre>
+   *
    * <code>uint64 revision = 1;</code>
    * @return The revision.
    */
@@ -76,6 +85,10 @@
   public static final int LEASE_MILLIS_FIELD_NUMBER = 3;
   private long leaseMillis_ = 0L;
   /**
+   * <pre>
+   * Not used; all leases have the same duration.
+   * </pre>
+   *
    * <code>int64 lease_millis = 3;</code>
    * @return The leaseMillis.
    */
@@ -88,7 +101,8 @@
   private com.google.protobuf.ByteString configuration_ = com.google.protobuf.ByteString.EMPTY;
   /**
    * <pre>
-   * Whole configuration as JSON, for a requester that the deltas do not reach.
+   * Complete configuration as JSON, if the deltas since the requester's revision are no longer
+   * kept.
    * </pre>
    *
    * <code>bytes configuration = 4;</code>
@@ -104,7 +118,7 @@
   private java.util.List<org.curranthaven.internal.transport.wire.HostRecord> hosts_;
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -115,7 +129,7 @@
   }
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -127,7 +141,7 @@
   }
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -138,7 +152,7 @@
   }
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -149,7 +163,7 @@
   }
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -163,6 +177,10 @@
   public static final int GRANTED_FIELD_NUMBER = 6;
   private boolean granted_ = false;
   /**
+   * <pre>
+   * Whether the requester gets a lease; false in a push.
+   * </pre>
+   *
    * <code>bool granted = 6;</code>
    * @return The granted.
    */
@@ -174,6 +192,10 @@
   public static final int TERM_FIELD_NUMBER = 7;
   private long term_ = 0L;
   /**
+   * <pre>
+   * Not used.
+   * </pre>
+   *
    * <code>uint64 term = 7;</code>
    * @return The term.
    */
@@ -187,7 +209,7 @@
   private java.util.List<org.curranthaven.internal.transport.wire.ConfigurationDelta> deltas_;
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -198,7 +220,7 @@
   }
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -210,7 +232,7 @@
   }
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -221,7 +243,7 @@
   }
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -232,7 +254,7 @@
   }
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -501,6 +523,11 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reply of the leader of the configuration group to a FreshnessRequest; also pushed to all hosts
+   * when the configuration changes.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.FreshnessGrant}
    */
   public static final class Builder extends
@@ -810,6 +837,10 @@
 
     private long revision_ ;
     /**
+     * <pre>
+     * Latest committed revision.
+     * </pre>
+     *
      * <code>uint64 revision = 1;</code>
      * @return The revision.
      */
@@ -818,6 +849,10 @@
       return revision_;
     }
     /**
+     * <pre>
+     * Latest committed revision.
+     * </pre>
+     *
      * <code>uint64 revision = 1;</code>
      * @param value The revision to set.
      * @return This builder for chaining.
@@ -830,6 +865,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Latest committed revision.
+     * </pre>
+     *
      * <code>uint64 revision = 1;</code>
      * @return This builder for chaining.
      */
@@ -874,6 +913,10 @@
 
     private long leaseMillis_ ;
     /**
+     * <pre>
+     * Not used; all leases have the same duration.
+     * </pre>
+     *
      * <code>int64 lease_millis = 3;</code>
      * @return The leaseMillis.
      */
@@ -882,6 +925,10 @@
       return leaseMillis_;
     }
     /**
+     * <pre>
+     * Not used; all leases have the same duration.
+     * </pre>
+     *
      * <code>int64 lease_millis = 3;</code>
      * @param value The leaseMillis to set.
      * @return This builder for chaining.
@@ -894,6 +941,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Not used; all leases have the same duration.
+     * </pre>
+     *
      * <code>int64 lease_millis = 3;</code>
      * @return This builder for chaining.
      */
@@ -907,7 +958,8 @@
     private com.google.protobuf.ByteString configuration_ = com.google.protobuf.ByteString.EMPTY;
     /**
      * <pre>
-     * Whole configuration as JSON, for a requester that the deltas do not reach.
+     * Complete configuration as JSON, if the deltas since the requester's revision are no longer
+     * kept.
      * </pre>
      *
      * <code>bytes configuration = 4;</code>
@@ -919,7 +971,8 @@
     }
     /**
      * <pre>
-     * Whole configuration as JSON, for a requester that the deltas do not reach.
+     * Complete configuration as JSON, if the deltas since the requester's revision are no longer
+     * kept.
      * </pre>
      *
      * <code>bytes configuration = 4;</code>
@@ -935,7 +988,8 @@
     }
     /**
      * <pre>
-     * Whole configuration as JSON, for a requester that the deltas do not reach.
+     * Complete configuration as JSON, if the deltas since the requester's revision are no longer
+     * kept.
      * </pre>
      *
      * <code>bytes configuration = 4;</code>
@@ -962,7 +1016,7 @@
 
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -976,7 +1030,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -990,7 +1044,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1004,7 +1058,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1023,7 +1077,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1041,7 +1095,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1059,7 +1113,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1078,7 +1132,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1096,7 +1150,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1114,7 +1168,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1133,7 +1187,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1150,7 +1204,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1167,7 +1221,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1178,7 +1232,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1192,7 +1246,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1207,7 +1261,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1218,7 +1272,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1230,7 +1284,7 @@
     }
     /**
      * <pre>
-     * Hosts as the control hosts know them.
+     * Hosts that have sent requests to the leader recently.
      * </pre>
      *
      * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -1256,6 +1310,10 @@
 
     private boolean granted_ ;
     /**
+     * <pre>
+     * Whether the requester gets a lease; false in a push.
+     * </pre>
+     *
      * <code>bool granted = 6;</code>
      * @return The granted.
      */
@@ -1264,6 +1322,10 @@
       return granted_;
     }
     /**
+     * <pre>
+     * Whether the requester gets a lease; false in a push.
+     * </pre>
+     *
      * <code>bool granted = 6;</code>
      * @param value The granted to set.
      * @return This builder for chaining.
@@ -1276,6 +1338,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the requester gets a lease; false in a push.
+     * </pre>
+     *
      * <code>bool granted = 6;</code>
      * @return This builder for chaining.
      */
@@ -1288,6 +1354,10 @@
 
     private long term_ ;
     /**
+     * <pre>
+     * Not used.
+     * </pre>
+     *
      * <code>uint64 term = 7;</code>
      * @return The term.
      */
@@ -1296,6 +1366,10 @@
       return term_;
     }
     /**
+     * <pre>
+     * Not used.
+     * </pre>
+     *
      * <code>uint64 term = 7;</code>
      * @param value The term to set.
      * @return This builder for chaining.
@@ -1308,6 +1382,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Not used.
+     * </pre>
+     *
      * <code>uint64 term = 7;</code>
      * @return This builder for chaining.
      */
@@ -1332,7 +1410,7 @@
 
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1346,7 +1424,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1360,7 +1438,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1374,7 +1452,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1393,7 +1471,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1411,7 +1489,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1429,7 +1507,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1448,7 +1526,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1466,7 +1544,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1484,7 +1562,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1503,7 +1581,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1520,7 +1598,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1537,7 +1615,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1548,7 +1626,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1562,7 +1640,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1577,7 +1655,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1588,7 +1666,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -1600,7 +1678,7 @@
     }
     /**
      * <pre>
-     * Changes after the requester's revision, in order.
+     * Changes since the requester's revision, in order.
      * </pre>
      *
      * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/FreshnessGrantOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/FreshnessGrantOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Latest committed revision.
+   * </pre>
+   *
    * <code>uint64 revision = 1;</code>
    * @return The revision.
    */
@@ -23,6 +27,10 @@
   long getEchoedSentAtMillis();
 
   /**
+   * <pre>
+   * Not used; all leases have the same duration.
+   * </pre>
+   *
    * <code>int64 lease_millis = 3;</code>
    * @return The leaseMillis.
    */
@@ -30,7 +38,8 @@
 
   /**
    * <pre>
-   * Whole configuration as JSON, for a requester that the deltas do not reach.
+   * Complete configuration as JSON, if the deltas since the requester's revision are no longer
+   * kept.
    * </pre>
    *
    * <code>bytes configuration = 4;</code>
@@ -40,7 +49,7 @@
 
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -49,7 +58,7 @@
       getHostsList();
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -57,7 +66,7 @@
   org.curranthaven.internal.transport.wire.HostRecord getHosts(int index);
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -65,7 +74,7 @@
   int getHostsCount();
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -74,7 +83,7 @@
       getHostsOrBuilderList();
   /**
    * <pre>
-   * Hosts as the control hosts know them.
+   * Hosts that have sent requests to the leader recently.
    * </pre>
    *
    * <code>repeated .curranthaven.HostRecord hosts = 5;</code>
@@ -83,12 +92,20 @@
       int index);
 
   /**
+   * <pre>
+   * Whether the requester gets a lease; false in a push.
+   * </pre>
+   *
    * <code>bool granted = 6;</code>
    * @return The granted.
    */
   boolean getGranted();
 
   /**
+   * <pre>
+   * Not used.
+   * </pre>
+   *
    * <code>uint64 term = 7;</code>
    * @return The term.
    */
@@ -96,7 +113,7 @@
 
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -105,7 +122,7 @@
       getDeltasList();
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -113,7 +130,7 @@
   org.curranthaven.internal.transport.wire.ConfigurationDelta getDeltas(int index);
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -121,7 +138,7 @@
   int getDeltasCount();
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
@@ -130,7 +147,7 @@
       getDeltasOrBuilderList();
   /**
    * <pre>
-   * Changes after the requester's revision, in order.
+   * Changes since the requester's revision, in order.
    * </pre>
    *
    * <code>repeated .curranthaven.ConfigurationDelta deltas = 8;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/FreshnessRequest.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/FreshnessRequest.java
@@ -6,6 +6,12 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Request of a host for a lease to serve with its configuration, sent to the control hosts. The
+ * leader of the configuration group replies with a FreshnessGrant, the others with a
+ * RevisionAnswer.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.FreshnessRequest}
  */
 @com.google.protobuf.Generated
@@ -79,6 +85,10 @@
   public static final int REVISION_FIELD_NUMBER = 2;
   private long revision_ = 0L;
   /**
+   * <pre>
+   * Revision of the configuration that is active on the sender.
+   * </pre>
+   *
    * <code>uint64 revision = 2;</code>
    * @return The revision.
    */
@@ -91,7 +101,7 @@
   private long sentAtMillis_ = 0L;
   /**
    * <pre>
-   * Sender's monotonic clock at sending, in milliseconds; echoed.
+   * Send time on the sender's clock; the reply echoes it, since the lease runs from then.
    * </pre>
    *
    * <code>int64 sent_at_millis = 3;</code>
@@ -107,7 +117,7 @@
   private java.util.List<org.curranthaven.internal.transport.wire.PeerLease> peerLeases_;
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -118,7 +128,7 @@
   }
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -130,7 +140,7 @@
   }
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -141,7 +151,7 @@
   }
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -152,7 +162,7 @@
   }
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -372,6 +382,12 @@
     return builder;
   }
   /**
+   * <pre>
+   * Request of a host for a lease to serve with its configuration, sent to the control hosts. The
+   * leader of the configuration group replies with a FreshnessGrant, the others with a
+   * RevisionAnswer.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.FreshnessRequest}
    */
   public static final class Builder extends
@@ -727,6 +743,10 @@
 
     private long revision_ ;
     /**
+     * <pre>
+     * Revision of the configuration that is active on the sender.
+     * </pre>
+     *
      * <code>uint64 revision = 2;</code>
      * @return The revision.
      */
@@ -735,6 +755,10 @@
       return revision_;
     }
     /**
+     * <pre>
+     * Revision of the configuration that is active on the sender.
+     * </pre>
+     *
      * <code>uint64 revision = 2;</code>
      * @param value The revision to set.
      * @return This builder for chaining.
@@ -747,6 +771,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Revision of the configuration that is active on the sender.
+     * </pre>
+     *
      * <code>uint64 revision = 2;</code>
      * @return This builder for chaining.
      */
@@ -760,7 +788,7 @@
     private long sentAtMillis_ ;
     /**
      * <pre>
-     * Sender's monotonic clock at sending, in milliseconds; echoed.
+     * Send time on the sender's clock; the reply echoes it, since the lease runs from then.
      * </pre>
      *
      * <code>int64 sent_at_millis = 3;</code>
@@ -772,7 +800,7 @@
     }
     /**
      * <pre>
-     * Sender's monotonic clock at sending, in milliseconds; echoed.
+     * Send time on the sender's clock; the reply echoes it, since the lease runs from then.
      * </pre>
      *
      * <code>int64 sent_at_millis = 3;</code>
@@ -788,7 +816,7 @@
     }
     /**
      * <pre>
-     * Sender's monotonic clock at sending, in milliseconds; echoed.
+     * Send time on the sender's clock; the reply echoes it, since the lease runs from then.
      * </pre>
      *
      * <code>int64 sent_at_millis = 3;</code>
@@ -815,7 +843,7 @@
 
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -829,7 +857,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -843,7 +871,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -857,7 +885,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -876,7 +904,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -894,7 +922,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -912,7 +940,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -931,7 +959,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -949,7 +977,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -967,7 +995,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -986,7 +1014,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -1003,7 +1031,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -1020,7 +1048,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -1031,7 +1059,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -1045,7 +1073,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -1060,7 +1088,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -1071,7 +1099,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -1083,7 +1111,7 @@
     }
     /**
      * <pre>
-     * Leases that the sender has given to other hosts and that have not ended.
+     * Leases that the sender has granted to other hosts as a voter and that have not expired.
      * </pre>
      *
      * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/FreshnessRequestOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/FreshnessRequestOrBuilder.java
@@ -26,6 +26,10 @@
   org.curranthaven.internal.transport.wire.HostRecordOrBuilder getHostOrBuilder();
 
   /**
+   * <pre>
+   * Revision of the configuration that is active on the sender.
+   * </pre>
+   *
    * <code>uint64 revision = 2;</code>
    * @return The revision.
    */
@@ -33,7 +37,7 @@
 
   /**
    * <pre>
-   * Sender's monotonic clock at sending, in milliseconds; echoed.
+   * Send time on the sender's clock; the reply echoes it, since the lease runs from then.
    * </pre>
    *
    * <code>int64 sent_at_millis = 3;</code>
@@ -43,7 +47,7 @@
 
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -52,7 +56,7 @@
       getPeerLeasesList();
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -60,7 +64,7 @@
   org.curranthaven.internal.transport.wire.PeerLease getPeerLeases(int index);
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -68,7 +72,7 @@
   int getPeerLeasesCount();
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
@@ -77,7 +81,7 @@
       getPeerLeasesOrBuilderList();
   /**
    * <pre>
-   * Leases that the sender has given to other hosts and that have not ended.
+   * Leases that the sender has granted to other hosts as a voter and that have not expired.
    * </pre>
    *
    * <code>repeated .curranthaven.PeerLease peer_leases = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/GatewayStatus.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/GatewayStatus.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What a gateway has in force, and, on a new term, everything it has open.
+ * Versions that are active on a gateway and, for a new scheduler, all its open requests.
  * </pre>
  *
  * Protobuf type {@code curranthaven.GatewayStatus}
@@ -70,6 +70,10 @@
   public static final int VERSION_FIELD_NUMBER = 2;
   private long version_ = 0L;
   /**
+   * <pre>
+   * Version of the backend servers that the gateway has applied.
+   * </pre>
+   *
    * <code>uint64 version = 2;</code>
    * @return The version.
    */
@@ -81,6 +85,10 @@
   public static final int CATALOG_REVISION_FIELD_NUMBER = 3;
   private long catalogRevision_ = 0L;
   /**
+   * <pre>
+   * Revision of the gateway's active catalog.
+   * </pre>
+   *
    * <code>uint64 catalog_revision = 3;</code>
    * @return The catalogRevision.
    */
@@ -93,7 +101,8 @@
   private boolean full_ = false;
   /**
    * <pre>
-   * Whether the lists below are complete: sent once to each new scheduler.
+   * Whether the lists below are complete. They are sent in full when the gateway starts to follow a
+   * scheduler or reconnects to it, and are empty otherwise.
    * </pre>
    *
    * <code>bool full = 4;</code>
@@ -108,6 +117,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch> open_;
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   @java.lang.Override
@@ -115,6 +128,10 @@
     return open_;
   }
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   @java.lang.Override
@@ -123,6 +140,10 @@
     return open_;
   }
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   @java.lang.Override
@@ -130,6 +151,10 @@
     return open_.size();
   }
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   @java.lang.Override
@@ -137,6 +162,10 @@
     return open_.get(index);
   }
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   @java.lang.Override
@@ -192,7 +221,7 @@
       com.google.protobuf.LazyStringArrayList.emptyList();
   /**
    * <pre>
-   * Names of backend servers that said they are gone.
+   * Ids of removed backend servers.
    * </pre>
    *
    * <code>repeated string gone = 7;</code>
@@ -204,7 +233,7 @@
   }
   /**
    * <pre>
-   * Names of backend servers that said they are gone.
+   * Ids of removed backend servers.
    * </pre>
    *
    * <code>repeated string gone = 7;</code>
@@ -215,7 +244,7 @@
   }
   /**
    * <pre>
-   * Names of backend servers that said they are gone.
+   * Ids of removed backend servers.
    * </pre>
    *
    * <code>repeated string gone = 7;</code>
@@ -227,7 +256,7 @@
   }
   /**
    * <pre>
-   * Names of backend servers that said they are gone.
+   * Ids of removed backend servers.
    * </pre>
    *
    * <code>repeated string gone = 7;</code>
@@ -492,7 +521,7 @@
   }
   /**
    * <pre>
-   * What a gateway has in force, and, on a new term, everything it has open.
+   * Versions that are active on a gateway and, for a new scheduler, all its open requests.
    * </pre>
    *
    * Protobuf type {@code curranthaven.GatewayStatus}
@@ -833,6 +862,10 @@
 
     private long version_ ;
     /**
+     * <pre>
+     * Version of the backend servers that the gateway has applied.
+     * </pre>
+     *
      * <code>uint64 version = 2;</code>
      * @return The version.
      */
@@ -841,6 +874,10 @@
       return version_;
     }
     /**
+     * <pre>
+     * Version of the backend servers that the gateway has applied.
+     * </pre>
+     *
      * <code>uint64 version = 2;</code>
      * @param value The version to set.
      * @return This builder for chaining.
@@ -853,6 +890,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Version of the backend servers that the gateway has applied.
+     * </pre>
+     *
      * <code>uint64 version = 2;</code>
      * @return This builder for chaining.
      */
@@ -865,6 +906,10 @@
 
     private long catalogRevision_ ;
     /**
+     * <pre>
+     * Revision of the gateway's active catalog.
+     * </pre>
+     *
      * <code>uint64 catalog_revision = 3;</code>
      * @return The catalogRevision.
      */
@@ -873,6 +918,10 @@
       return catalogRevision_;
     }
     /**
+     * <pre>
+     * Revision of the gateway's active catalog.
+     * </pre>
+     *
      * <code>uint64 catalog_revision = 3;</code>
      * @param value The catalogRevision to set.
      * @return This builder for chaining.
@@ -885,6 +934,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Revision of the gateway's active catalog.
+     * </pre>
+     *
      * <code>uint64 catalog_revision = 3;</code>
      * @return This builder for chaining.
      */
@@ -898,7 +951,8 @@
     private boolean full_ ;
     /**
      * <pre>
-     * Whether the lists below are complete: sent once to each new scheduler.
+     * Whether the lists below are complete. They are sent in full when the gateway starts to follow a
+     * scheduler or reconnects to it, and are empty otherwise.
      * </pre>
      *
      * <code>bool full = 4;</code>
@@ -910,7 +964,8 @@
     }
     /**
      * <pre>
-     * Whether the lists below are complete: sent once to each new scheduler.
+     * Whether the lists below are complete. They are sent in full when the gateway starts to follow a
+     * scheduler or reconnects to it, and are empty otherwise.
      * </pre>
      *
      * <code>bool full = 4;</code>
@@ -926,7 +981,8 @@
     }
     /**
      * <pre>
-     * Whether the lists below are complete: sent once to each new scheduler.
+     * Whether the lists below are complete. They are sent in full when the gateway starts to follow a
+     * scheduler or reconnects to it, and are empty otherwise.
      * </pre>
      *
      * <code>bool full = 4;</code>
@@ -952,6 +1008,10 @@
         org.curranthaven.internal.transport.wire.OpenDispatch, org.curranthaven.internal.transport.wire.OpenDispatch.Builder, org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder> openBuilder_;
 
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch> getOpenList() {
@@ -962,6 +1022,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public int getOpenCount() {
@@ -972,6 +1036,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public org.curranthaven.internal.transport.wire.OpenDispatch getOpen(int index) {
@@ -982,6 +1050,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder setOpen(
@@ -997,6 +1069,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder setOpen(
@@ -1011,6 +1087,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder addOpen(org.curranthaven.internal.transport.wire.OpenDispatch value) {
@@ -1025,6 +1105,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder addOpen(
@@ -1040,6 +1124,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder addOpen(
@@ -1054,6 +1142,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder addOpen(
@@ -1068,6 +1160,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder addAllOpen(
@@ -1083,6 +1179,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder clearOpen() {
@@ -1096,6 +1196,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public Builder removeOpen(int index) {
@@ -1109,6 +1213,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public org.curranthaven.internal.transport.wire.OpenDispatch.Builder getOpenBuilder(
@@ -1116,6 +1224,10 @@
       return internalGetOpenFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder getOpenOrBuilder(
@@ -1126,6 +1238,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public java.util.List<? extends org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder> 
@@ -1137,6 +1253,10 @@
       }
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public org.curranthaven.internal.transport.wire.OpenDispatch.Builder addOpenBuilder() {
@@ -1144,6 +1264,10 @@
           org.curranthaven.internal.transport.wire.OpenDispatch.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public org.curranthaven.internal.transport.wire.OpenDispatch.Builder addOpenBuilder(
@@ -1152,6 +1276,10 @@
           index, org.curranthaven.internal.transport.wire.OpenDispatch.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Requests that run on backend servers; queued ones are submitted again instead.
+     * </pre>
+     *
      * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch.Builder> 
@@ -1417,7 +1545,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
@@ -1430,7 +1558,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
@@ -1441,7 +1569,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
@@ -1453,7 +1581,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
@@ -1466,7 +1594,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
@@ -1485,7 +1613,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
@@ -1503,7 +1631,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
@@ -1521,7 +1649,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
@@ -1536,7 +1664,7 @@
     }
     /**
      * <pre>
-     * Names of backend servers that said they are gone.
+     * Ids of removed backend servers.
      * </pre>
      *
      * <code>repeated string gone = 7;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/GatewayStatusOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/GatewayStatusOrBuilder.java
@@ -17,12 +17,20 @@
   long getTerm();
 
   /**
+   * <pre>
+   * Version of the backend servers that the gateway has applied.
+   * </pre>
+   *
    * <code>uint64 version = 2;</code>
    * @return The version.
    */
   long getVersion();
 
   /**
+   * <pre>
+   * Revision of the gateway's active catalog.
+   * </pre>
+   *
    * <code>uint64 catalog_revision = 3;</code>
    * @return The catalogRevision.
    */
@@ -30,7 +38,8 @@
 
   /**
    * <pre>
-   * Whether the lists below are complete: sent once to each new scheduler.
+   * Whether the lists below are complete. They are sent in full when the gateway starts to follow a
+   * scheduler or reconnects to it, and are empty otherwise.
    * </pre>
    *
    * <code>bool full = 4;</code>
@@ -39,24 +48,44 @@
   boolean getFull();
 
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch> 
       getOpenList();
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   org.curranthaven.internal.transport.wire.OpenDispatch getOpen(int index);
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   int getOpenCount();
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   java.util.List<? extends org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder> 
       getOpenOrBuilderList();
   /**
+   * <pre>
+   * Requests that run on backend servers; queued ones are submitted again instead.
+   * </pre>
+   *
    * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
    */
   org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder getOpenOrBuilder(
@@ -88,7 +117,7 @@
 
   /**
    * <pre>
-   * Names of backend servers that said they are gone.
+   * Ids of removed backend servers.
    * </pre>
    *
    * <code>repeated string gone = 7;</code>
@@ -98,7 +127,7 @@
       getGoneList();
   /**
    * <pre>
-   * Names of backend servers that said they are gone.
+   * Ids of removed backend servers.
    * </pre>
    *
    * <code>repeated string gone = 7;</code>
@@ -107,7 +136,7 @@
   int getGoneCount();
   /**
    * <pre>
-   * Names of backend servers that said they are gone.
+   * Ids of removed backend servers.
    * </pre>
    *
    * <code>repeated string gone = 7;</code>
@@ -117,7 +146,7 @@
   java.lang.String getGone(int index);
   /**
    * <pre>
-   * Names of backend servers that said they are gone.
+   * Ids of removed backend servers.
    * </pre>
    *
    * <code>repeated string gone = 7;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/GroupMessage.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/GroupMessage.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Message between two replicas of a consensus group.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.GroupMessage}
  */
 @com.google.protobuf.Generated
@@ -117,7 +121,8 @@
   private volatile java.lang.Object toIdentity_ = "";
   /**
    * <pre>
-   * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+   * Identity of the data folder of the intended receiver. A host whose folder has another identity
+   * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
    * </pre>
    *
    * <code>string to_identity = 2;</code>
@@ -138,7 +143,8 @@
   }
   /**
    * <pre>
-   * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+   * Identity of the data folder of the intended receiver. A host whose folder has another identity
+   * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
    * </pre>
    *
    * <code>string to_identity = 2;</code>
@@ -685,6 +691,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Message between two replicas of a consensus group.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.GroupMessage}
    */
   public static final class Builder extends
@@ -1033,7 +1043,8 @@
     private java.lang.Object toIdentity_ = "";
     /**
      * <pre>
-     * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+     * Identity of the data folder of the intended receiver. A host whose folder has another identity
+     * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
      * </pre>
      *
      * <code>string to_identity = 2;</code>
@@ -1053,7 +1064,8 @@
     }
     /**
      * <pre>
-     * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+     * Identity of the data folder of the intended receiver. A host whose folder has another identity
+     * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
      * </pre>
      *
      * <code>string to_identity = 2;</code>
@@ -1074,7 +1086,8 @@
     }
     /**
      * <pre>
-     * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+     * Identity of the data folder of the intended receiver. A host whose folder has another identity
+     * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
      * </pre>
      *
      * <code>string to_identity = 2;</code>
@@ -1091,7 +1104,8 @@
     }
     /**
      * <pre>
-     * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+     * Identity of the data folder of the intended receiver. A host whose folder has another identity
+     * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
      * </pre>
      *
      * <code>string to_identity = 2;</code>
@@ -1105,7 +1119,8 @@
     }
     /**
      * <pre>
-     * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+     * Identity of the data folder of the intended receiver. A host whose folder has another identity
+     * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
      * </pre>
      *
      * <code>string to_identity = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/GroupMessageOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/GroupMessageOrBuilder.java
@@ -18,7 +18,8 @@
 
   /**
    * <pre>
-   * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+   * Identity of the data folder of the intended receiver. A host whose folder has another identity
+   * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
    * </pre>
    *
    * <code>string to_identity = 2;</code>
@@ -27,7 +28,8 @@
   java.lang.String getToIdentity();
   /**
    * <pre>
-   * Identity of the intended receiver; a replaced disk drops what was meant for its predecessor.
+   * Identity of the data folder of the intended receiver. A host whose folder has another identity
+   * drops the message, since after a disk is replaced the new folder lacks the log of the old one.
    * </pre>
    *
    * <code>string to_identity = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/HardState.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/HardState.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Persistent term and vote of one group.
+ * Persistent term and vote of one replica.
  * </pre>
  *
  * Protobuf type {@code curranthaven.HardState}
@@ -68,6 +68,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object votedFor_ = "";
   /**
+   * <pre>
+   * Identity of the candidate voted for in the term; empty for none.
+   * </pre>
+   *
    * <code>string voted_for = 2;</code>
    * @return The votedFor.
    */
@@ -85,6 +89,10 @@
     }
   }
   /**
+   * <pre>
+   * Identity of the candidate voted for in the term; empty for none.
+   * </pre>
+   *
    * <code>string voted_for = 2;</code>
    * @return The bytes for votedFor.
    */
@@ -277,7 +285,7 @@
   }
   /**
    * <pre>
-   * Persistent term and vote of one group.
+   * Persistent term and vote of one replica.
    * </pre>
    *
    * Protobuf type {@code curranthaven.HardState}
@@ -461,6 +469,10 @@
 
     private java.lang.Object votedFor_ = "";
     /**
+     * <pre>
+     * Identity of the candidate voted for in the term; empty for none.
+     * </pre>
+     *
      * <code>string voted_for = 2;</code>
      * @return The votedFor.
      */
@@ -477,6 +489,10 @@
       }
     }
     /**
+     * <pre>
+     * Identity of the candidate voted for in the term; empty for none.
+     * </pre>
+     *
      * <code>string voted_for = 2;</code>
      * @return The bytes for votedFor.
      */
@@ -494,6 +510,10 @@
       }
     }
     /**
+     * <pre>
+     * Identity of the candidate voted for in the term; empty for none.
+     * </pre>
+     *
      * <code>string voted_for = 2;</code>
      * @param value The votedFor to set.
      * @return This builder for chaining.
@@ -507,6 +527,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Identity of the candidate voted for in the term; empty for none.
+     * </pre>
+     *
      * <code>string voted_for = 2;</code>
      * @return This builder for chaining.
      */
@@ -517,6 +541,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Identity of the candidate voted for in the term; empty for none.
+     * </pre>
+     *
      * <code>string voted_for = 2;</code>
      * @param value The bytes for votedFor to set.
      * @return This builder for chaining.
--- a/src/main/java/org/curranthaven/internal/transport/wire/HardStateOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/HardStateOrBuilder.java
@@ -17,11 +17,19 @@
   long getTerm();
 
   /**
+   * <pre>
+   * Identity of the candidate voted for in the term; empty for none.
+   * </pre>
+   *
    * <code>string voted_for = 2;</code>
    * @return The votedFor.
    */
   java.lang.String getVotedFor();
   /**
+   * <pre>
+   * Identity of the candidate voted for in the term; empty for none.
+   * </pre>
+   *
    * <code>string voted_for = 2;</code>
    * @return The bytes for votedFor.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/Hello.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Hello.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * First message on a connection, both ways.
+ * First message on a connection, in both directions.
  * </pre>
  *
  * Protobuf type {@code curranthaven.Hello}
@@ -83,7 +83,7 @@
   private boolean formed_ = false;
   /**
    * <pre>
-   * Whether the sender's data folder holds a formed consensus group.
+   * Whether the sender has bootstrapped or joined a consensus group; same as in host.
    * </pre>
    *
    * <code>bool formed = 2;</code>
@@ -274,7 +274,7 @@
   }
   /**
    * <pre>
-   * First message on a connection, both ways.
+   * First message on a connection, in both directions.
    * </pre>
    *
    * Protobuf type {@code curranthaven.Hello}
@@ -561,7 +561,7 @@
     private boolean formed_ ;
     /**
      * <pre>
-     * Whether the sender's data folder holds a formed consensus group.
+     * Whether the sender has bootstrapped or joined a consensus group; same as in host.
      * </pre>
      *
      * <code>bool formed = 2;</code>
@@ -573,7 +573,7 @@
     }
     /**
      * <pre>
-     * Whether the sender's data folder holds a formed consensus group.
+     * Whether the sender has bootstrapped or joined a consensus group; same as in host.
      * </pre>
      *
      * <code>bool formed = 2;</code>
@@ -589,7 +589,7 @@
     }
     /**
      * <pre>
-     * Whether the sender's data folder holds a formed consensus group.
+     * Whether the sender has bootstrapped or joined a consensus group; same as in host.
      * </pre>
      *
      * <code>bool formed = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/HelloOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/HelloOrBuilder.java
@@ -27,7 +27,7 @@
 
   /**
    * <pre>
-   * Whether the sender's data folder holds a formed consensus group.
+   * Whether the sender has bootstrapped or joined a consensus group; same as in host.
    * </pre>
    *
    * <code>bool formed = 2;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/HostRecord.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/HostRecord.java
@@ -139,6 +139,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object peerAddress_ = "";
   /**
+   * <pre>
+   * Addresses for other hosts and for HTTP clients, as IP:PORT.
+   * </pre>
+   *
    * <code>string peer_address = 3;</code>
    * @return The peerAddress.
    */
@@ -156,6 +160,10 @@
     }
   }
   /**
+   * <pre>
+   * Addresses for other hosts and for HTTP clients, as IP:PORT.
+   * </pre>
+   *
    * <code>string peer_address = 3;</code>
    * @return The bytes for peerAddress.
    */
@@ -217,6 +225,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object identity_ = "";
   /**
+   * <pre>
+   * Identity of the data folder; empty if the host has none.
+   * </pre>
+   *
    * <code>string identity = 5;</code>
    * @return The identity.
    */
@@ -234,6 +246,10 @@
     }
   }
   /**
+   * <pre>
+   * Identity of the data folder; empty if the host has none.
+   * </pre>
+   *
    * <code>string identity = 5;</code>
    * @return The bytes for identity.
    */
@@ -256,7 +272,8 @@
   private long incarnation_ = 0L;
   /**
    * <pre>
-   * Start time of the process in epoch milliseconds; a later one replaces an earlier one.
+   * Start time of the process on its wall clock, in epoch milliseconds; a later process replaces an
+   * earlier one.
    * </pre>
    *
    * <code>uint64 incarnation = 6;</code>
@@ -281,6 +298,10 @@
   public static final int DRAINING_FIELD_NUMBER = 8;
   private boolean draining_ = false;
   /**
+   * <pre>
+   * Whether the host is about to stop and takes no new requests.
+   * </pre>
+   *
    * <code>bool draining = 8;</code>
    * @return The draining.
    */
@@ -292,6 +313,10 @@
   public static final int FORMED_FIELD_NUMBER = 9;
   private boolean formed_ = false;
   /**
+   * <pre>
+   * Whether the host has a replica of a consensus group: it has bootstrapped or joined one.
+   * </pre>
+   *
    * <code>bool formed = 9;</code>
    * @return The formed.
    */
@@ -938,6 +963,10 @@
 
     private java.lang.Object peerAddress_ = "";
     /**
+     * <pre>
+     * Addresses for other hosts and for HTTP clients, as IP:PORT.
+     * </pre>
+     *
      * <code>string peer_address = 3;</code>
      * @return The peerAddress.
      */
@@ -954,6 +983,10 @@
       }
     }
     /**
+     * <pre>
+     * Addresses for other hosts and for HTTP clients, as IP:PORT.
+     * </pre>
+     *
      * <code>string peer_address = 3;</code>
      * @return The bytes for peerAddress.
      */
@@ -971,6 +1004,10 @@
       }
     }
     /**
+     * <pre>
+     * Addresses for other hosts and for HTTP clients, as IP:PORT.
+     * </pre>
+     *
      * <code>string peer_address = 3;</code>
      * @param value The peerAddress to set.
      * @return This builder for chaining.
@@ -984,6 +1021,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Addresses for other hosts and for HTTP clients, as IP:PORT.
+     * </pre>
+     *
      * <code>string peer_address = 3;</code>
      * @return This builder for chaining.
      */
@@ -994,6 +1035,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Addresses for other hosts and for HTTP clients, as IP:PORT.
+     * </pre>
+     *
      * <code>string peer_address = 3;</code>
      * @param value The bytes for peerAddress to set.
      * @return This builder for chaining.
@@ -1082,6 +1127,10 @@
 
     private java.lang.Object identity_ = "";
     /**
+     * <pre>
+     * Identity of the data folder; empty if the host has none.
+     * </pre>
+     *
      * <code>string identity = 5;</code>
      * @return The identity.
      */
@@ -1098,6 +1147,10 @@
       }
     }
     /**
+     * <pre>
+     * Identity of the data folder; empty if the host has none.
+     * </pre>
+     *
      * <code>string identity = 5;</code>
      * @return The bytes for identity.
      */
@@ -1115,6 +1168,10 @@
       }
     }
     /**
+     * <pre>
+     * Identity of the data folder; empty if the host has none.
+     * </pre>
+     *
      * <code>string identity = 5;</code>
      * @param value The identity to set.
      * @return This builder for chaining.
@@ -1128,6 +1185,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Identity of the data folder; empty if the host has none.
+     * </pre>
+     *
      * <code>string identity = 5;</code>
      * @return This builder for chaining.
      */
@@ -1138,6 +1199,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Identity of the data folder; empty if the host has none.
+     * </pre>
+     *
      * <code>string identity = 5;</code>
      * @param value The bytes for identity to set.
      * @return This builder for chaining.
@@ -1155,7 +1220,8 @@
     private long incarnation_ ;
     /**
      * <pre>
-     * Start time of the process in epoch milliseconds; a later one replaces an earlier one.
+     * Start time of the process on its wall clock, in epoch milliseconds; a later process replaces an
+     * earlier one.
      * </pre>
      *
      * <code>uint64 incarnation = 6;</code>
@@ -1167,7 +1233,8 @@
     }
     /**
      * <pre>
-     * Start time of the process in epoch milliseconds; a later one replaces an earlier one.
+     * Start time of the process on its wall clock, in epoch milliseconds; a later process replaces an
+     * earlier one.
      * </pre>
      *
      * <code>uint64 incarnation = 6;</code>
@@ -1183,7 +1250,8 @@
     }
     /**
      * <pre>
-     * Start time of the process in epoch milliseconds; a later one replaces an earlier one.
+     * Start time of the process on its wall clock, in epoch milliseconds; a later process replaces an
+     * earlier one.
      * </pre>
      *
      * <code>uint64 incarnation = 6;</code>
@@ -1230,6 +1298,10 @@
 
     private boolean draining_ ;
     /**
+     * <pre>
+     * Whether the host is about to stop and takes no new requests.
+     * </pre>
+     *
      * <code>bool draining = 8;</code>
      * @return The draining.
      */
@@ -1238,6 +1310,10 @@
       return draining_;
     }
     /**
+     * <pre>
+     * Whether the host is about to stop and takes no new requests.
+     * </pre>
+     *
      * <code>bool draining = 8;</code>
      * @param value The draining to set.
      * @return This builder for chaining.
@@ -1250,6 +1326,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the host is about to stop and takes no new requests.
+     * </pre>
+     *
      * <code>bool draining = 8;</code>
      * @return This builder for chaining.
      */
@@ -1262,6 +1342,10 @@
 
     private boolean formed_ ;
     /**
+     * <pre>
+     * Whether the host has a replica of a consensus group: it has bootstrapped or joined one.
+     * </pre>
+     *
      * <code>bool formed = 9;</code>
      * @return The formed.
      */
@@ -1270,6 +1354,10 @@
       return formed_;
     }
     /**
+     * <pre>
+     * Whether the host has a replica of a consensus group: it has bootstrapped or joined one.
+     * </pre>
+     *
      * <code>bool formed = 9;</code>
      * @param value The formed to set.
      * @return This builder for chaining.
@@ -1282,6 +1370,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the host has a replica of a consensus group: it has bootstrapped or joined one.
+     * </pre>
+     *
      * <code>bool formed = 9;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/HostRecordOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/HostRecordOrBuilder.java
@@ -35,11 +35,19 @@
       getDataCentreBytes();
 
   /**
+   * <pre>
+   * Addresses for other hosts and for HTTP clients, as IP:PORT.
+   * </pre>
+   *
    * <code>string peer_address = 3;</code>
    * @return The peerAddress.
    */
   java.lang.String getPeerAddress();
   /**
+   * <pre>
+   * Addresses for other hosts and for HTTP clients, as IP:PORT.
+   * </pre>
+   *
    * <code>string peer_address = 3;</code>
    * @return The bytes for peerAddress.
    */
@@ -59,11 +67,19 @@
       getHttpAddressBytes();
 
   /**
+   * <pre>
+   * Identity of the data folder; empty if the host has none.
+   * </pre>
+   *
    * <code>string identity = 5;</code>
    * @return The identity.
    */
   java.lang.String getIdentity();
   /**
+   * <pre>
+   * Identity of the data folder; empty if the host has none.
+   * </pre>
+   *
    * <code>string identity = 5;</code>
    * @return The bytes for identity.
    */
@@ -72,7 +88,8 @@
 
   /**
    * <pre>
-   * Start time of the process in epoch milliseconds; a later one replaces an earlier one.
+   * Start time of the process on its wall clock, in epoch milliseconds; a later process replaces an
+   * earlier one.
    * </pre>
    *
    * <code>uint64 incarnation = 6;</code>
@@ -87,12 +104,20 @@
   boolean getControl();
 
   /**
+   * <pre>
+   * Whether the host is about to stop and takes no new requests.
+   * </pre>
+   *
    * <code>bool draining = 8;</code>
    * @return The draining.
    */
   boolean getDraining();
 
   /**
+   * <pre>
+   * Whether the host has a replica of a consensus group: it has bootstrapped or joined one.
+   * </pre>
+   *
    * <code>bool formed = 9;</code>
    * @return The formed.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/KnownHosts.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/KnownHosts.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Peer addresses of the control hosts that the sender is connected to, its own included.
+ * Peer addresses of the sender and the control hosts that it is connected to.
  * </pre>
  *
  * Protobuf type {@code curranthaven.KnownHosts}
@@ -260,7 +260,7 @@
   }
   /**
    * <pre>
-   * Peer addresses of the control hosts that the sender is connected to, its own included.
+   * Peer addresses of the sender and the control hosts that it is connected to.
    * </pre>
    *
    * Protobuf type {@code curranthaven.KnownHosts}
--- a/src/main/java/org/curranthaven/internal/transport/wire/LedgerCommand.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/LedgerCommand.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Commands of a ledger group.
+ * Command for the state machine of a ledger group.
  * </pre>
  *
  * Protobuf type {@code curranthaven.LedgerCommand}
@@ -100,7 +100,8 @@
   private long nowMillis_ = 0L;
   /**
    * <pre>
-   * Wall clock of the proposer in epoch milliseconds; the group's clock never goes back.
+   * Wall clock of the proposer, in epoch milliseconds. The group's clock is the highest value so
+   * far, so it never goes back.
    * </pre>
    *
    * <code>int64 now_millis = 1;</code>
@@ -422,7 +423,7 @@
   }
   /**
    * <pre>
-   * Commands of a ledger group.
+   * Command for the state machine of a ledger group.
    * </pre>
    *
    * Protobuf type {@code curranthaven.LedgerCommand}
@@ -643,7 +644,8 @@
     private long nowMillis_ ;
     /**
      * <pre>
-     * Wall clock of the proposer in epoch milliseconds; the group's clock never goes back.
+     * Wall clock of the proposer, in epoch milliseconds. The group's clock is the highest value so
+     * far, so it never goes back.
      * </pre>
      *
      * <code>int64 now_millis = 1;</code>
@@ -655,7 +657,8 @@
     }
     /**
      * <pre>
-     * Wall clock of the proposer in epoch milliseconds; the group's clock never goes back.
+     * Wall clock of the proposer, in epoch milliseconds. The group's clock is the highest value so
+     * far, so it never goes back.
      * </pre>
      *
      * <code>int64 now_millis = 1;</code>
@@ -671,7 +674,8 @@
     }
     /**
      * <pre>
-     * Wall clock of the proposer in epoch milliseconds; the group's clock never goes back.
+     * Wall clock of the proposer, in epoch milliseconds. The group's clock is the highest value so
+     * far, so it never goes back.
      * </pre>
      *
      * <code>int64 now_millis = 1;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/LedgerCommandOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/LedgerCommandOrBuilder.java
@@ -12,7 +12,8 @@
 
   /**
    * <pre>
-   * Wall clock of the proposer in epoch milliseconds; the group's clock never goes back.
+   * Wall clock of the proposer, in epoch milliseconds. The group's clock is the highest value so
+   * far, so it never goes back.
    * </pre>
    *
    * <code>int64 now_millis = 1;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/LedgerSnapshot.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/LedgerSnapshot.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Snapshot of a ledger group's state machine.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.LedgerSnapshot}
  */
 @com.google.protobuf.Generated
@@ -52,6 +56,10 @@
   public static final int NOW_MILLIS_FIELD_NUMBER = 1;
   private long nowMillis_ = 0L;
   /**
+   * <pre>
+   * The group's clock, in epoch milliseconds.
+   * </pre>
+   *
    * <code>int64 now_millis = 1;</code>
    * @return The nowMillis.
    */
@@ -282,6 +290,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Snapshot of a ledger group's state machine.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.LedgerSnapshot}
    */
   public static final class Builder extends
@@ -476,6 +488,10 @@
 
     private long nowMillis_ ;
     /**
+     * <pre>
+     * The group's clock, in epoch milliseconds.
+     * </pre>
+     *
      * <code>int64 now_millis = 1;</code>
      * @return The nowMillis.
      */
@@ -484,6 +500,10 @@
       return nowMillis_;
     }
     /**
+     * <pre>
+     * The group's clock, in epoch milliseconds.
+     * </pre>
+     *
      * <code>int64 now_millis = 1;</code>
      * @param value The nowMillis to set.
      * @return This builder for chaining.
@@ -496,6 +516,10 @@
       return this;
     }
     /**
+     * <pre>
+     * The group's clock, in epoch milliseconds.
+     * </pre>
+     *
      * <code>int64 now_millis = 1;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/LedgerSnapshotOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/LedgerSnapshotOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * The group's clock, in epoch milliseconds.
+   * </pre>
+   *
    * <code>int64 now_millis = 1;</code>
    * @return The nowMillis.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/LogRecord.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/LogRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One record of a log file.
+ * Record of a log file; later records take precedence.
  * </pre>
  *
  * Protobuf type {@code curranthaven.LogRecord}
@@ -161,7 +161,7 @@
   public static final int TRUNCATE_FROM_FIELD_NUMBER = 3;
   /**
    * <pre>
-   * Every entry from this index on is removed.
+   * Removes all entries from this index on.
    * </pre>
    *
    * <code>uint64 truncate_from = 3;</code>
@@ -173,7 +173,7 @@
   }
   /**
    * <pre>
-   * Every entry from this index on is removed.
+   * Removes all entries from this index on.
    * </pre>
    *
    * <code>uint64 truncate_from = 3;</code>
@@ -396,7 +396,7 @@
   }
   /**
    * <pre>
-   * One record of a log file.
+   * Record of a log file; later records take precedence.
    * </pre>
    *
    * Protobuf type {@code curranthaven.LogRecord}
@@ -875,7 +875,7 @@
 
     /**
      * <pre>
-     * Every entry from this index on is removed.
+     * Removes all entries from this index on.
      * </pre>
      *
      * <code>uint64 truncate_from = 3;</code>
@@ -886,7 +886,7 @@
     }
     /**
      * <pre>
-     * Every entry from this index on is removed.
+     * Removes all entries from this index on.
      * </pre>
      *
      * <code>uint64 truncate_from = 3;</code>
@@ -900,7 +900,7 @@
     }
     /**
      * <pre>
-     * Every entry from this index on is removed.
+     * Removes all entries from this index on.
      * </pre>
      *
      * <code>uint64 truncate_from = 3;</code>
@@ -916,7 +916,7 @@
     }
     /**
      * <pre>
-     * Every entry from this index on is removed.
+     * Removes all entries from this index on.
      * </pre>
      *
      * <code>uint64 truncate_from = 3;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/LogRecordOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/LogRecordOrBuilder.java
@@ -42,7 +42,7 @@
 
   /**
    * <pre>
-   * Every entry from this index on is removed.
+   * Removes all entries from this index on.
    * </pre>
    *
    * <code>uint64 truncate_from = 3;</code>
@@ -51,7 +51,7 @@
   boolean hasTruncateFrom();
   /**
    * <pre>
-   * Every entry from this index on is removed.
+   * Removes all entries from this index on.
    * </pre>
    *
    * <code>uint64 truncate_from = 3;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/Move.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Move.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks the gateway to move a running request to another backend server.
+ * Tells the gateway to migrate a running request to another engine.
  * </pre>
  *
  * Protobuf type {@code curranthaven.Move}
@@ -57,6 +57,10 @@
   public static final int ID_FIELD_NUMBER = 1;
   private long id_ = 0L;
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -69,6 +73,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object target_ = "";
   /**
+   * <pre>
+   * Id of the engine to migrate to.
+   * </pre>
+   *
    * <code>string target = 2;</code>
    * @return The target.
    */
@@ -86,6 +94,10 @@
     }
   }
   /**
+   * <pre>
+   * Id of the engine to migrate to.
+   * </pre>
+   *
    * <code>string target = 2;</code>
    * @return The bytes for target.
    */
@@ -109,7 +121,7 @@
   private volatile java.lang.Object backup_ = "";
   /**
    * <pre>
-   * Backend server that keeps a copy of the call from then on; empty for none.
+   * Id of the engine that keeps the backup copy after the migration; empty for none.
    * </pre>
    *
    * <code>string backup = 3;</code>
@@ -130,7 +142,7 @@
   }
   /**
    * <pre>
-   * Backend server that keeps a copy of the call from then on; empty for none.
+   * Id of the engine that keeps the backup copy after the migration; empty for none.
    * </pre>
    *
    * <code>string backup = 3;</code>
@@ -335,7 +347,7 @@
   }
   /**
    * <pre>
-   * Asks the gateway to move a running request to another backend server.
+   * Tells the gateway to migrate a running request to another engine.
    * </pre>
    *
    * Protobuf type {@code curranthaven.Move}
@@ -501,6 +513,10 @@
 
     private long id_ ;
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return The id.
      */
@@ -509,6 +525,10 @@
       return id_;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -521,6 +541,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return This builder for chaining.
      */
@@ -533,6 +557,10 @@
 
     private java.lang.Object target_ = "";
     /**
+     * <pre>
+     * Id of the engine to migrate to.
+     * </pre>
+     *
      * <code>string target = 2;</code>
      * @return The target.
      */
@@ -549,6 +577,10 @@
       }
     }
     /**
+     * <pre>
+     * Id of the engine to migrate to.
+     * </pre>
+     *
      * <code>string target = 2;</code>
      * @return The bytes for target.
      */
@@ -566,6 +598,10 @@
       }
     }
     /**
+     * <pre>
+     * Id of the engine to migrate to.
+     * </pre>
+     *
      * <code>string target = 2;</code>
      * @param value The target to set.
      * @return This builder for chaining.
@@ -579,6 +615,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the engine to migrate to.
+     * </pre>
+     *
      * <code>string target = 2;</code>
      * @return This builder for chaining.
      */
@@ -589,6 +629,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the engine to migrate to.
+     * </pre>
+     *
      * <code>string target = 2;</code>
      * @param value The bytes for target to set.
      * @return This builder for chaining.
@@ -606,7 +650,7 @@
     private java.lang.Object backup_ = "";
     /**
      * <pre>
-     * Backend server that keeps a copy of the call from then on; empty for none.
+     * Id of the engine that keeps the backup copy after the migration; empty for none.
      * </pre>
      *
      * <code>string backup = 3;</code>
@@ -626,7 +670,7 @@
     }
     /**
      * <pre>
-     * Backend server that keeps a copy of the call from then on; empty for none.
+     * Id of the engine that keeps the backup copy after the migration; empty for none.
      * </pre>
      *
      * <code>string backup = 3;</code>
@@ -647,7 +691,7 @@
     }
     /**
      * <pre>
-     * Backend server that keeps a copy of the call from then on; empty for none.
+     * Id of the engine that keeps the backup copy after the migration; empty for none.
      * </pre>
      *
      * <code>string backup = 3;</code>
@@ -664,7 +708,7 @@
     }
     /**
      * <pre>
-     * Backend server that keeps a copy of the call from then on; empty for none.
+     * Id of the engine that keeps the backup copy after the migration; empty for none.
      * </pre>
      *
      * <code>string backup = 3;</code>
@@ -678,7 +722,7 @@
     }
     /**
      * <pre>
-     * Backend server that keeps a copy of the call from then on; empty for none.
+     * Id of the engine that keeps the backup copy after the migration; empty for none.
      * </pre>
      *
      * <code>string backup = 3;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/MoveOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/MoveOrBuilder.java
@@ -11,17 +11,29 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
   long getId();
 
   /**
+   * <pre>
+   * Id of the engine to migrate to.
+   * </pre>
+   *
    * <code>string target = 2;</code>
    * @return The target.
    */
   java.lang.String getTarget();
   /**
+   * <pre>
+   * Id of the engine to migrate to.
+   * </pre>
+   *
    * <code>string target = 2;</code>
    * @return The bytes for target.
    */
@@ -30,7 +42,7 @@
 
   /**
    * <pre>
-   * Backend server that keeps a copy of the call from then on; empty for none.
+   * Id of the engine that keeps the backup copy after the migration; empty for none.
    * </pre>
    *
    * <code>string backup = 3;</code>
@@ -39,7 +51,7 @@
   java.lang.String getBackup();
   /**
    * <pre>
-   * Backend server that keeps a copy of the call from then on; empty for none.
+   * Id of the engine that keeps the backup copy after the migration; empty for none.
    * </pre>
    *
    * <code>string backup = 3;</code>
