--- a/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatch.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatch.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A request that runs on a backend server.
+ * Request that runs on a backend server.
  * </pre>
  *
  * Protobuf type {@code curranthaven.OpenDispatch}
@@ -57,6 +57,10 @@
   public static final int ASK_FIELD_NUMBER = 1;
   private org.curranthaven.internal.transport.wire.PlacementRequest ask_;
   /**
+   * <pre>
+   * Placement request that led to the placement.
+   * </pre>
+   *
    * <code>.curranthaven.PlacementRequest ask = 1;</code>
    * @return Whether the ask field is set.
    */
@@ -65,6 +69,10 @@
     return ((bitField0_ & 0x00000001) != 0);
   }
   /**
+   * <pre>
+   * Placement request that led to the placement.
+   * </pre>
+   *
    * <code>.curranthaven.PlacementRequest ask = 1;</code>
    * @return The ask.
    */
@@ -73,6 +81,10 @@
     return ask_ == null ? org.curranthaven.internal.transport.wire.PlacementRequest.getDefaultInstance() : ask_;
   }
   /**
+   * <pre>
+   * Placement request that led to the placement.
+   * </pre>
+   *
    * <code>.curranthaven.PlacementRequest ask = 1;</code>
    */
   @java.lang.Override
@@ -84,6 +96,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object backend_ = "";
   /**
+   * <pre>
+   * Id of the backend server.
+   * </pre>
+   *
    * <code>string backend = 2;</code>
    * @return The backend.
    */
@@ -101,6 +117,10 @@
     }
   }
   /**
+   * <pre>
+   * Id of the backend server.
+   * </pre>
+   *
    * <code>string backend = 2;</code>
    * @return The bytes for backend.
    */
@@ -122,6 +142,10 @@
   public static final int OUTPUT_TOKENS_FIELD_NUMBER = 3;
   private int outputTokens_ = 0;
   /**
+   * <pre>
+   * Number of tokens output so far.
+   * </pre>
+   *
    * <code>uint32 output_tokens = 3;</code>
    * @return The outputTokens.
    */
@@ -319,7 +343,7 @@
   }
   /**
    * <pre>
-   * A request that runs on a backend server.
+   * Request that runs on a backend server.
    * </pre>
    *
    * Protobuf type {@code curranthaven.OpenDispatch}
@@ -502,6 +526,10 @@
     private com.google.protobuf.SingleFieldBuilder<
         org.curranthaven.internal.transport.wire.PlacementRequest, org.curranthaven.internal.transport.wire.PlacementRequest.Builder, org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder> askBuilder_;
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      * @return Whether the ask field is set.
      */
@@ -509,6 +537,10 @@
       return ((bitField0_ & 0x00000001) != 0);
     }
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      * @return The ask.
      */
@@ -520,6 +552,10 @@
       }
     }
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     public Builder setAsk(org.curranthaven.internal.transport.wire.PlacementRequest value) {
@@ -534,6 +570,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     public Builder setAsk(
@@ -548,6 +588,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     public Builder mergeAsk(org.curranthaven.internal.transport.wire.PlacementRequest value) {
@@ -569,6 +613,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     public Builder clearAsk() {
@@ -582,6 +630,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     public org.curranthaven.internal.transport.wire.PlacementRequest.Builder getAskBuilder() {
@@ -590,6 +642,10 @@
       return internalGetAskFieldBuilder().getBuilder();
     }
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     public org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAskOrBuilder() {
@@ -601,6 +657,10 @@
       }
     }
     /**
+     * <pre>
+     * Placement request that led to the placement.
+     * </pre>
+     *
      * <code>.curranthaven.PlacementRequest ask = 1;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
@@ -619,6 +679,10 @@
 
     private java.lang.Object backend_ = "";
     /**
+     * <pre>
+     * Id of the backend server.
+     * </pre>
+     *
      * <code>string backend = 2;</code>
      * @return The backend.
      */
@@ -635,6 +699,10 @@
       }
     }
     /**
+     * <pre>
+     * Id of the backend server.
+     * </pre>
+     *
      * <code>string backend = 2;</code>
      * @return The bytes for backend.
      */
@@ -652,6 +720,10 @@
       }
     }
     /**
+     * <pre>
+     * Id of the backend server.
+     * </pre>
+     *
      * <code>string backend = 2;</code>
      * @param value The backend to set.
      * @return This builder for chaining.
@@ -665,6 +737,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the backend server.
+     * </pre>
+     *
      * <code>string backend = 2;</code>
      * @return This builder for chaining.
      */
@@ -675,6 +751,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the backend server.
+     * </pre>
+     *
      * <code>string backend = 2;</code>
      * @param value The bytes for backend to set.
      * @return This builder for chaining.
@@ -691,6 +771,10 @@
 
     private int outputTokens_ ;
     /**
+     * <pre>
+     * Number of tokens output so far.
+     * </pre>
+     *
      * <code>uint32 output_tokens = 3;</code>
      * @return The outputTokens.
      */
@@ -699,6 +783,10 @@
       return outputTokens_;
     }
     /**
+     * <pre>
+     * Number of tokens output so far.
+     * </pre>
+     *
      * <code>uint32 output_tokens = 3;</code>
      * @param value The outputTokens to set.
      * @return This builder for chaining.
@@ -711,6 +799,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Number of tokens output so far.
+     * </pre>
+     *
      * <code>uint32 output_tokens = 3;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatchOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatchOrBuilder.java
@@ -11,26 +11,46 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Placement request that led to the placement.
+   * </pre>
+   *
    * <code>.curranthaven.PlacementRequest ask = 1;</code>
    * @return Whether the ask field is set.
    */
   boolean hasAsk();
   /**
+   * <pre>
+   * Placement request that led to the placement.
+   * </pre>
+   *
    * <code>.curranthaven.PlacementRequest ask = 1;</code>
    * @return The ask.
    */
   org.curranthaven.internal.transport.wire.PlacementRequest getAsk();
   /**
+   * <pre>
+   * Placement request that led to the placement.
+   * </pre>
+   *
    * <code>.curranthaven.PlacementRequest ask = 1;</code>
    */
   org.curranthaven.internal.transport.wire.PlacementRequestOrBuilder getAskOrBuilder();
 
   /**
+   * <pre>
+   * Id of the backend server.
+   * </pre>
+   *
    * <code>string backend = 2;</code>
    * @return The backend.
    */
   java.lang.String getBackend();
   /**
+   * <pre>
+   * Id of the backend server.
+   * </pre>
+   *
    * <code>string backend = 2;</code>
    * @return The bytes for backend.
    */
@@ -38,6 +58,10 @@
       getBackendBytes();
 
   /**
+   * <pre>
+   * Number of tokens output so far.
+   * </pre>
+   *
    * <code>uint32 output_tokens = 3;</code>
    * @return The outputTokens.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/PeerLease.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/PeerLease.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Lease that a voter has granted to another host.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.PeerLease}
  */
 @com.google.protobuf.Generated
@@ -272,6 +276,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Lease that a voter has granted to another host.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.PeerLease}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/Ping.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Ping.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Checks that the connection is alive; the receiver replies with a Pong of the same nonce.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.Ping}
  */
 @com.google.protobuf.Generated
@@ -222,6 +226,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Checks that the connection is alive; the receiver replies with a Pong of the same nonce.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.Ping}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/Placement.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Placement.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Places a request on a backend server.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.Placement}
  */
 @com.google.protobuf.Generated
@@ -53,6 +57,10 @@
   public static final int ID_FIELD_NUMBER = 1;
   private long id_ = 0L;
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -103,6 +111,10 @@
   public static final int URGENCY_FIELD_NUMBER = 3;
   private int urgency_ = 0;
   /**
+   * <pre>
+   * Rank in the engine's own queue, from 0 for the most urgent to 9.
+   * </pre>
+   *
    * <code>uint32 urgency = 3;</code>
    * @return The urgency.
    */
@@ -116,7 +128,7 @@
   private volatile java.lang.Object backup_ = "";
   /**
    * <pre>
-   * Backend server that keeps a copy of the running call; empty for none.
+   * Id of the engine that keeps the backup copy of the request; empty for none.
    * </pre>
    *
    * <code>string backup = 4;</code>
@@ -137,7 +149,7 @@
   }
   /**
    * <pre>
-   * Backend server that keeps a copy of the running call; empty for none.
+   * Id of the engine that keeps the backup copy of the request; empty for none.
    * </pre>
    *
    * <code>string backup = 4;</code>
@@ -352,6 +364,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Places a request on a backend server.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.Placement}
    */
   public static final class Builder extends
@@ -527,6 +543,10 @@
 
     private long id_ ;
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return The id.
      */
@@ -535,6 +555,10 @@
       return id_;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -547,6 +571,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return This builder for chaining.
      */
@@ -631,6 +659,10 @@
 
     private int urgency_ ;
     /**
+     * <pre>
+     * Rank in the engine's own queue, from 0 for the most urgent to 9.
+     * </pre>
+     *
      * <code>uint32 urgency = 3;</code>
      * @return The urgency.
      */
@@ -639,6 +671,10 @@
       return urgency_;
     }
     /**
+     * <pre>
+     * Rank in the engine's own queue, from 0 for the most urgent to 9.
+     * </pre>
+     *
      * <code>uint32 urgency = 3;</code>
      * @param value The urgency to set.
      * @return This builder for chaining.
@@ -651,6 +687,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Rank in the engine's own queue, from 0 for the most urgent to 9.
+     * </pre>
+     *
      * <code>uint32 urgency = 3;</code>
      * @return This builder for chaining.
      */
@@ -664,7 +704,7 @@
     private java.lang.Object backup_ = "";
     /**
      * <pre>
-     * Backend server that keeps a copy of the running call; empty for none.
+     * Id of the engine that keeps the backup copy of the request; empty for none.
      * </pre>
      *
      * <code>string backup = 4;</code>
@@ -684,7 +724,7 @@
     }
     /**
      * <pre>
-     * Backend server that keeps a copy of the running call; empty for none.
+     * Id of the engine that keeps the backup copy of the request; empty for none.
      * </pre>
      *
      * <code>string backup = 4;</code>
@@ -705,7 +745,7 @@
     }
     /**
      * <pre>
-     * Backend server that keeps a copy of the running call; empty for none.
+     * Id of the engine that keeps the backup copy of the request; empty for none.
      * </pre>
      *
      * <code>string backup = 4;</code>
@@ -722,7 +762,7 @@
     }
     /**
      * <pre>
-     * Backend server that keeps a copy of the running call; empty for none.
+     * Id of the engine that keeps the backup copy of the request; empty for none.
      * </pre>
      *
      * <code>string backup = 4;</code>
@@ -736,7 +776,7 @@
     }
     /**
      * <pre>
-     * Backend server that keeps a copy of the running call; empty for none.
+     * Id of the engine that keeps the backup copy of the request; empty for none.
      * </pre>
      *
      * <code>string backup = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/PlacementOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/PlacementOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -29,6 +33,10 @@
       getBackendBytes();
 
   /**
+   * <pre>
+   * Rank in the engine's own queue, from 0 for the most urgent to 9.
+   * </pre>
+   *
    * <code>uint32 urgency = 3;</code>
    * @return The urgency.
    */
@@ -36,7 +44,7 @@
 
   /**
    * <pre>
-   * Backend server that keeps a copy of the running call; empty for none.
+   * Id of the engine that keeps the backup copy of the request; empty for none.
    * </pre>
    *
    * <code>string backup = 4;</code>
@@ -45,7 +53,7 @@
   java.lang.String getBackup();
   /**
    * <pre>
-   * Backend server that keeps a copy of the running call; empty for none.
+   * Id of the engine that keeps the backup copy of the request; empty for none.
    * </pre>
    *
    * <code>string backup = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/PlacementRequest.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/PlacementRequest.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Asks the scheduler to place a request on a backend server.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.PlacementRequest}
  */
 @com.google.protobuf.Generated
@@ -58,6 +62,10 @@
   public static final int ID_FIELD_NUMBER = 1;
   private long id_ = 0L;
   /**
+   * <pre>
+   * Unique on the gateway; a later attempt of the same request has another id.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -186,6 +194,10 @@
   public static final int PRIORITY_FIELD_NUMBER = 5;
   private int priority_ = 0;
   /**
+   * <pre>
+   * Lower values are more urgent.
+   * </pre>
+   *
    * <code>uint32 priority = 5;</code>
    * @return The priority.
    */
@@ -197,6 +209,10 @@
   public static final int PROMPT_TOKENS_FIELD_NUMBER = 6;
   private int promptTokens_ = 0;
   /**
+   * <pre>
+   * Tokens of the prompt and of the output received so far.
+   * </pre>
+   *
    * <code>uint32 prompt_tokens = 6;</code>
    * @return The promptTokens.
    */
@@ -208,6 +224,10 @@
   public static final int MAX_OUTPUT_TOKENS_FIELD_NUMBER = 7;
   private int maxOutputTokens_ = 0;
   /**
+   * <pre>
+   * Limit on the remaining output; 0 if there is none.
+   * </pre>
+   *
    * <code>uint32 max_output_tokens = 7;</code>
    * @return The maxOutputTokens.
    */
@@ -220,7 +240,7 @@
   private int hintedOutputTokens_ = 0;
   /**
    * <pre>
-   * Expected output in tokens as the caller estimates it; 0 when unknown.
+   * Remaining output as the caller estimates it; 0 if unknown.
    * </pre>
    *
    * <code>uint32 hinted_output_tokens = 8;</code>
@@ -235,7 +255,7 @@
   private long targetLeftMillis_ = 0L;
   /**
    * <pre>
-   * Time until the first reply is due, from now; negative once it is late.
+   * Time left until the due time of the first reply; negative once the reply is late.
    * </pre>
    *
    * <code>int64 target_left_millis = 9;</code>
@@ -249,6 +269,10 @@
   public static final int DEADLINE_LEFT_MILLIS_FIELD_NUMBER = 10;
   private long deadlineLeftMillis_ = 0L;
   /**
+   * <pre>
+   * Time left until the deadline of the request.
+   * </pre>
+   *
    * <code>int64 deadline_left_millis = 10;</code>
    * @return The deadlineLeftMillis.
    */
@@ -262,6 +286,10 @@
   private com.google.protobuf.LazyStringArrayList excluded_ =
       com.google.protobuf.LazyStringArrayList.emptyList();
   /**
+   * <pre>
+   * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+   * </pre>
+   *
    * <code>repeated string excluded = 11;</code>
    * @return A list containing the excluded.
    */
@@ -270,6 +298,10 @@
     return excluded_;
   }
   /**
+   * <pre>
+   * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+   * </pre>
+   *
    * <code>repeated string excluded = 11;</code>
    * @return The count of excluded.
    */
@@ -277,6 +309,10 @@
     return excluded_.size();
   }
   /**
+   * <pre>
+   * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+   * </pre>
+   *
    * <code>repeated string excluded = 11;</code>
    * @param index The index of the element to return.
    * @return The excluded at the given index.
@@ -285,6 +321,10 @@
     return excluded_.get(index);
   }
   /**
+   * <pre>
+   * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+   * </pre>
+   *
    * <code>repeated string excluded = 11;</code>
    * @param index The index of the value to return.
    * @return The bytes of the excluded at the given index.
@@ -298,7 +338,8 @@
   private boolean repeat_ = false;
   /**
    * <pre>
-   * Whether the request was sent to a backend server before.
+   * Whether this attempt counts against the retry budget of the service. It does not if all earlier
+   * backend servers were unreachable, since none of them received the request.
    * </pre>
    *
    * <code>bool repeat = 12;</code>
@@ -313,6 +354,10 @@
   @SuppressWarnings("serial")
   private java.util.List<org.curranthaven.internal.transport.wire.PromptPart> parts_;
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   @java.lang.Override
@@ -320,6 +365,10 @@
     return parts_;
   }
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   @java.lang.Override
@@ -328,6 +377,10 @@
     return parts_;
   }
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   @java.lang.Override
@@ -335,6 +388,10 @@
     return parts_.size();
   }
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   @java.lang.Override
@@ -342,6 +399,10 @@
     return parts_.get(index);
   }
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   @java.lang.Override
@@ -354,6 +415,10 @@
   @SuppressWarnings("serial")
   private volatile java.lang.Object dataCentre_ = "";
   /**
+   * <pre>
+   * Data centre of the gateway.
+   * </pre>
+   *
    * <code>string data_centre = 14;</code>
    * @return The dataCentre.
    */
@@ -371,6 +436,10 @@
     }
   }
   /**
+   * <pre>
+   * Data centre of the gateway.
+   * </pre>
+   *
    * <code>string data_centre = 14;</code>
    * @return The bytes for dataCentre.
    */
@@ -392,6 +461,10 @@
   public static final int ENGINE_FIELD_NUMBER = 15;
   private boolean engine_ = false;
   /**
+   * <pre>
+   * Whether the service runs a model, so that its backend servers are engines.
+   * </pre>
+   *
    * <code>bool engine = 15;</code>
    * @return The engine.
    */
@@ -404,7 +477,8 @@
   private boolean irreplaceable_ = false;
   /**
    * <pre>
-   * Whether the loss of the backend server would lose the call: a copy elsewhere saves it.
+   * Whether the request must not run again, so that it is lost with its engine unless another
+   * engine keeps a backup copy.
    * </pre>
    *
    * <code>bool irreplaceable = 16;</code>
@@ -757,6 +831,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Asks the scheduler to place a request on a backend server.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.PlacementRequest}
    */
   public static final class Builder extends
@@ -1136,6 +1214,10 @@
 
     private long id_ ;
     /**
+     * <pre>
+     * Unique on the gateway; a later attempt of the same request has another id.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return The id.
      */
@@ -1144,6 +1226,10 @@
       return id_;
     }
     /**
+     * <pre>
+     * Unique on the gateway; a later attempt of the same request has another id.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -1156,6 +1242,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Unique on the gateway; a later attempt of the same request has another id.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return This builder for chaining.
      */
@@ -1384,6 +1474,10 @@
 
     private int priority_ ;
     /**
+     * <pre>
+     * Lower values are more urgent.
+     * </pre>
+     *
      * <code>uint32 priority = 5;</code>
      * @return The priority.
      */
@@ -1392,6 +1486,10 @@
       return priority_;
     }
     /**
+     * <pre>
+     * Lower values are more urgent.
+     * </pre>
+     *
      * <code>uint32 priority = 5;</code>
      * @param value The priority to set.
      * @return This builder for chaining.
@@ -1404,6 +1502,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Lower values are more urgent.
+     * </pre>
+     *
      * <code>uint32 priority = 5;</code>
      * @return This builder for chaining.
      */
@@ -1416,6 +1518,10 @@
 
     private int promptTokens_ ;
     /**
+     * <pre>
+     * Tokens of the prompt and of the output received so far.
+     * </pre>
+     *
      * <code>uint32 prompt_tokens = 6;</code>
      * @return The promptTokens.
      */
@@ -1424,6 +1530,10 @@
       return promptTokens_;
     }
     /**
+     * <pre>
+     * Tokens of the prompt and of the output received so far.
+     * </pre>
+     *
      * <code>uint32 prompt_tokens = 6;</code>
      * @param value The promptTokens to set.
      * @return This builder for chaining.
@@ -1436,6 +1546,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Tokens of the prompt and of the output received so far.
+     * </pre>
+     *
      * <code>uint32 prompt_tokens = 6;</code>
      * @return This builder for chaining.
      */
@@ -1448,6 +1562,10 @@
 
     private int maxOutputTokens_ ;
     /**
+     * <pre>
+     * Limit on the remaining output; 0 if there is none.
+     * </pre>
+     *
      * <code>uint32 max_output_tokens = 7;</code>
      * @return The maxOutputTokens.
      */
@@ -1456,6 +1574,10 @@
       return maxOutputTokens_;
     }
     /**
+     * <pre>
+     * Limit on the remaining output; 0 if there is none.
+     * </pre>
+     *
      * <code>uint32 max_output_tokens = 7;</code>
      * @param value The maxOutputTokens to set.
      * @return This builder for chaining.
@@ -1468,6 +1590,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Limit on the remaining output; 0 if there is none.
+     * </pre>
+     *
      * <code>uint32 max_output_tokens = 7;</code>
      * @return This builder for chaining.
      */
@@ -1481,7 +1607,7 @@
     private int hintedOutputTokens_ ;
     /**
      * <pre>
-     * Expected output in tokens as the caller estimates it; 0 when unknown.
+     * Remaining output as the caller estimates it; 0 if unknown.
      * </pre>
      *
      * <code>uint32 hinted_output_tokens = 8;</code>
@@ -1493,7 +1619,7 @@
     }
     /**
      * <pre>
-     * Expected output in tokens as the caller estimates it; 0 when unknown.
+     * Remaining output as the caller estimates it; 0 if unknown.
      * </pre>
      *
      * <code>uint32 hinted_output_tokens = 8;</code>
@@ -1509,7 +1635,7 @@
     }
     /**
      * <pre>
-     * Expected output in tokens as the caller estimates it; 0 when unknown.
+     * Remaining output as the caller estimates it; 0 if unknown.
      * </pre>
      *
      * <code>uint32 hinted_output_tokens = 8;</code>
@@ -1525,7 +1651,7 @@
     private long targetLeftMillis_ ;
     /**
      * <pre>
-     * Time until the first reply is due, from now; negative once it is late.
+     * Time left until the due time of the first reply; negative once the reply is late.
      * </pre>
      *
      * <code>int64 target_left_millis = 9;</code>
@@ -1537,7 +1663,7 @@
     }
     /**
      * <pre>
-     * Time until the first reply is due, from now; negative once it is late.
+     * Time left until the due time of the first reply; negative once the reply is late.
      * </pre>
      *
      * <code>int64 target_left_millis = 9;</code>
@@ -1553,7 +1679,7 @@
     }
     /**
      * <pre>
-     * Time until the first reply is due, from now; negative once it is late.
+     * Time left until the due time of the first reply; negative once the reply is late.
      * </pre>
      *
      * <code>int64 target_left_millis = 9;</code>
@@ -1568,6 +1694,10 @@
 
     private long deadlineLeftMillis_ ;
     /**
+     * <pre>
+     * Time left until the deadline of the request.
+     * </pre>
+     *
      * <code>int64 deadline_left_millis = 10;</code>
      * @return The deadlineLeftMillis.
      */
@@ -1576,6 +1706,10 @@
       return deadlineLeftMillis_;
     }
     /**
+     * <pre>
+     * Time left until the deadline of the request.
+     * </pre>
+     *
      * <code>int64 deadline_left_millis = 10;</code>
      * @param value The deadlineLeftMillis to set.
      * @return This builder for chaining.
@@ -1588,6 +1722,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time left until the deadline of the request.
+     * </pre>
+     *
      * <code>int64 deadline_left_millis = 10;</code>
      * @return This builder for chaining.
      */
@@ -1607,6 +1745,10 @@
       bitField0_ |= 0x00000400;
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @return A list containing the excluded.
      */
@@ -1616,6 +1758,10 @@
       return excluded_;
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @return The count of excluded.
      */
@@ -1623,6 +1769,10 @@
       return excluded_.size();
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @param index The index of the element to return.
      * @return The excluded at the given index.
@@ -1631,6 +1781,10 @@
       return excluded_.get(index);
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @param index The index of the value to return.
      * @return The bytes of the excluded at the given index.
@@ -1640,6 +1794,10 @@
       return excluded_.getByteString(index);
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @param index The index to set the value at.
      * @param value The excluded to set.
@@ -1655,6 +1813,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @param value The excluded to add.
      * @return This builder for chaining.
@@ -1669,6 +1831,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @param values The excluded to add.
      * @return This builder for chaining.
@@ -1683,6 +1849,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @return This builder for chaining.
      */
@@ -1694,6 +1864,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+     * </pre>
+     *
      * <code>repeated string excluded = 11;</code>
      * @param value The bytes of the excluded to add.
      * @return This builder for chaining.
@@ -1712,7 +1886,8 @@
     private boolean repeat_ ;
     /**
      * <pre>
-     * Whether the request was sent to a backend server before.
+     * Whether this attempt counts against the retry budget of the service. It does not if all earlier
+     * backend servers were unreachable, since none of them received the request.
      * </pre>
      *
      * <code>bool repeat = 12;</code>
@@ -1724,7 +1899,8 @@
     }
     /**
      * <pre>
-     * Whether the request was sent to a backend server before.
+     * Whether this attempt counts against the retry budget of the service. It does not if all earlier
+     * backend servers were unreachable, since none of them received the request.
      * </pre>
      *
      * <code>bool repeat = 12;</code>
@@ -1740,7 +1916,8 @@
     }
     /**
      * <pre>
-     * Whether the request was sent to a backend server before.
+     * Whether this attempt counts against the retry budget of the service. It does not if all earlier
+     * backend servers were unreachable, since none of them received the request.
      * </pre>
      *
      * <code>bool repeat = 12;</code>
@@ -1766,6 +1943,10 @@
         org.curranthaven.internal.transport.wire.PromptPart, org.curranthaven.internal.transport.wire.PromptPart.Builder, org.curranthaven.internal.transport.wire.PromptPartOrBuilder> partsBuilder_;
 
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.PromptPart> getPartsList() {
@@ -1776,6 +1957,10 @@
       }
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public int getPartsCount() {
@@ -1786,6 +1971,10 @@
       }
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public org.curranthaven.internal.transport.wire.PromptPart getParts(int index) {
@@ -1796,6 +1985,10 @@
       }
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder setParts(
@@ -1811,6 +2004,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder setParts(
@@ -1825,6 +2022,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder addParts(org.curranthaven.internal.transport.wire.PromptPart value) {
@@ -1839,6 +2040,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder addParts(
@@ -1854,6 +2059,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder addParts(
@@ -1868,6 +2077,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder addParts(
@@ -1882,6 +2095,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder addAllParts(
@@ -1897,6 +2114,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder clearParts() {
@@ -1910,6 +2131,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public Builder removeParts(int index) {
@@ -1923,6 +2148,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public org.curranthaven.internal.transport.wire.PromptPart.Builder getPartsBuilder(
@@ -1930,6 +2159,10 @@
       return internalGetPartsFieldBuilder().getBuilder(index);
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public org.curranthaven.internal.transport.wire.PromptPartOrBuilder getPartsOrBuilder(
@@ -1940,6 +2173,10 @@
       }
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public java.util.List<? extends org.curranthaven.internal.transport.wire.PromptPartOrBuilder> 
@@ -1951,6 +2188,10 @@
       }
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public org.curranthaven.internal.transport.wire.PromptPart.Builder addPartsBuilder() {
@@ -1958,6 +2199,10 @@
           org.curranthaven.internal.transport.wire.PromptPart.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public org.curranthaven.internal.transport.wire.PromptPart.Builder addPartsBuilder(
@@ -1966,6 +2211,10 @@
           index, org.curranthaven.internal.transport.wire.PromptPart.getDefaultInstance());
     }
     /**
+     * <pre>
+     * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+     * </pre>
+     *
      * <code>repeated .curranthaven.PromptPart parts = 13;</code>
      */
     public java.util.List<org.curranthaven.internal.transport.wire.PromptPart.Builder> 
@@ -1989,6 +2238,10 @@
 
     private java.lang.Object dataCentre_ = "";
     /**
+     * <pre>
+     * Data centre of the gateway.
+     * </pre>
+     *
      * <code>string data_centre = 14;</code>
      * @return The dataCentre.
      */
@@ -2005,6 +2258,10 @@
       }
     }
     /**
+     * <pre>
+     * Data centre of the gateway.
+     * </pre>
+     *
      * <code>string data_centre = 14;</code>
      * @return The bytes for dataCentre.
      */
@@ -2022,6 +2279,10 @@
       }
     }
     /**
+     * <pre>
+     * Data centre of the gateway.
+     * </pre>
+     *
      * <code>string data_centre = 14;</code>
      * @param value The dataCentre to set.
      * @return This builder for chaining.
@@ -2035,6 +2296,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Data centre of the gateway.
+     * </pre>
+     *
      * <code>string data_centre = 14;</code>
      * @return This builder for chaining.
      */
@@ -2045,6 +2310,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Data centre of the gateway.
+     * </pre>
+     *
      * <code>string data_centre = 14;</code>
      * @param value The bytes for dataCentre to set.
      * @return This builder for chaining.
@@ -2061,6 +2330,10 @@
 
     private boolean engine_ ;
     /**
+     * <pre>
+     * Whether the service runs a model, so that its backend servers are engines.
+     * </pre>
+     *
      * <code>bool engine = 15;</code>
      * @return The engine.
      */
@@ -2069,6 +2342,10 @@
       return engine_;
     }
     /**
+     * <pre>
+     * Whether the service runs a model, so that its backend servers are engines.
+     * </pre>
+     *
      * <code>bool engine = 15;</code>
      * @param value The engine to set.
      * @return This builder for chaining.
@@ -2081,6 +2358,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the service runs a model, so that its backend servers are engines.
+     * </pre>
+     *
      * <code>bool engine = 15;</code>
      * @return This builder for chaining.
      */
@@ -2094,7 +2375,8 @@
     private boolean irreplaceable_ ;
     /**
      * <pre>
-     * Whether the loss of the backend server would lose the call: a copy elsewhere saves it.
+     * Whether the request must not run again, so that it is lost with its engine unless another
+     * engine keeps a backup copy.
      * </pre>
      *
      * <code>bool irreplaceable = 16;</code>
@@ -2106,7 +2388,8 @@
     }
     /**
      * <pre>
-     * Whether the loss of the backend server would lose the call: a copy elsewhere saves it.
+     * Whether the request must not run again, so that it is lost with its engine unless another
+     * engine keeps a backup copy.
      * </pre>
      *
      * <code>bool irreplaceable = 16;</code>
@@ -2122,7 +2405,8 @@
     }
     /**
      * <pre>
-     * Whether the loss of the backend server would lose the call: a copy elsewhere saves it.
+     * Whether the request must not run again, so that it is lost with its engine unless another
+     * engine keeps a backup copy.
      * </pre>
      *
      * <code>bool irreplaceable = 16;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/PlacementRequestOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/PlacementRequestOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Unique on the gateway; a later attempt of the same request has another id.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -53,18 +57,30 @@
       getWorkspaceBytes();
 
   /**
+   * <pre>
+   * Lower values are more urgent.
+   * </pre>
+   *
    * <code>uint32 priority = 5;</code>
    * @return The priority.
    */
   int getPriority();
 
   /**
+   * <pre>
+   * Tokens of the prompt and of the output received so far.
+   * </pre>
+   *
    * <code>uint32 prompt_tokens = 6;</code>
    * @return The promptTokens.
    */
   int getPromptTokens();
 
   /**
+   * <pre>
+   * Limit on the remaining output; 0 if there is none.
+   * </pre>
+   *
    * <code>uint32 max_output_tokens = 7;</code>
    * @return The maxOutputTokens.
    */
@@ -72,7 +88,7 @@
 
   /**
    * <pre>
-   * Expected output in tokens as the caller estimates it; 0 when unknown.
+   * Remaining output as the caller estimates it; 0 if unknown.
    * </pre>
    *
    * <code>uint32 hinted_output_tokens = 8;</code>
@@ -82,7 +98,7 @@
 
   /**
    * <pre>
-   * Time until the first reply is due, from now; negative once it is late.
+   * Time left until the due time of the first reply; negative once the reply is late.
    * </pre>
    *
    * <code>int64 target_left_millis = 9;</code>
@@ -91,29 +107,49 @@
   long getTargetLeftMillis();
 
   /**
+   * <pre>
+   * Time left until the deadline of the request.
+   * </pre>
+   *
    * <code>int64 deadline_left_millis = 10;</code>
    * @return The deadlineLeftMillis.
    */
   long getDeadlineLeftMillis();
 
   /**
+   * <pre>
+   * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+   * </pre>
+   *
    * <code>repeated string excluded = 11;</code>
    * @return A list containing the excluded.
    */
   java.util.List<java.lang.String>
       getExcludedList();
   /**
+   * <pre>
+   * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+   * </pre>
+   *
    * <code>repeated string excluded = 11;</code>
    * @return The count of excluded.
    */
   int getExcludedCount();
   /**
+   * <pre>
+   * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+   * </pre>
+   *
    * <code>repeated string excluded = 11;</code>
    * @param index The index of the element to return.
    * @return The excluded at the given index.
    */
   java.lang.String getExcluded(int index);
   /**
+   * <pre>
+   * Ids of backend servers where earlier attempts failed; the request is not placed there again.
+   * </pre>
+   *
    * <code>repeated string excluded = 11;</code>
    * @param index The index of the value to return.
    * @return The bytes of the excluded at the given index.
@@ -123,7 +159,8 @@
 
   /**
    * <pre>
-   * Whether the request was sent to a backend server before.
+   * Whether this attempt counts against the retry budget of the service. It does not if all earlier
+   * backend servers were unreachable, since none of them received the request.
    * </pre>
    *
    * <code>bool repeat = 12;</code>
@@ -132,35 +169,63 @@
   boolean getRepeat();
 
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   java.util.List<org.curranthaven.internal.transport.wire.PromptPart> 
       getPartsList();
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   org.curranthaven.internal.transport.wire.PromptPart getParts(int index);
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   int getPartsCount();
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   java.util.List<? extends org.curranthaven.internal.transport.wire.PromptPartOrBuilder> 
       getPartsOrBuilderList();
   /**
+   * <pre>
+   * Parts of the prompt in order; the scheduler prefers engines that have cached them.
+   * </pre>
+   *
    * <code>repeated .curranthaven.PromptPart parts = 13;</code>
    */
   org.curranthaven.internal.transport.wire.PromptPartOrBuilder getPartsOrBuilder(
       int index);
 
   /**
+   * <pre>
+   * Data centre of the gateway.
+   * </pre>
+   *
    * <code>string data_centre = 14;</code>
    * @return The dataCentre.
    */
   java.lang.String getDataCentre();
   /**
+   * <pre>
+   * Data centre of the gateway.
+   * </pre>
+   *
    * <code>string data_centre = 14;</code>
    * @return The bytes for dataCentre.
    */
@@ -168,6 +233,10 @@
       getDataCentreBytes();
 
   /**
+   * <pre>
+   * Whether the service runs a model, so that its backend servers are engines.
+   * </pre>
+   *
    * <code>bool engine = 15;</code>
    * @return The engine.
    */
@@ -175,7 +244,8 @@
 
   /**
    * <pre>
-   * Whether the loss of the backend server would lose the call: a copy elsewhere saves it.
+   * Whether the request must not run again, so that it is lost with its engine unless another
+   * engine keeps a backup copy.
    * </pre>
    *
    * <code>bool irreplaceable = 16;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/Pong.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Pong.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reply to a Ping.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.Pong}
  */
 @com.google.protobuf.Generated
@@ -222,6 +226,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reply to a Ping.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.Pong}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/PromptPart.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/PromptPart.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A part of a prompt that a backend server may hold in its cache.
+ * Part of a prompt that an engine may have in its cache.
  * </pre>
  *
  * Protobuf type {@code curranthaven.PromptPart}
@@ -276,7 +276,7 @@
   }
   /**
    * <pre>
-   * A part of a prompt that a backend server may hold in its cache.
+   * Part of a prompt that an engine may have in its cache.
    * </pre>
    *
    * Protobuf type {@code curranthaven.PromptPart}
--- a/src/main/java/org/curranthaven/internal/transport/wire/Refusal.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Refusal.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Rejects a request; it did not run.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.Refusal}
  */
 @com.google.protobuf.Generated
@@ -52,6 +56,10 @@
   public static final int ID_FIELD_NUMBER = 1;
   private long id_ = 0L;
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
@@ -63,6 +71,10 @@
   public static final int RETRY_AFTER_MILLIS_FIELD_NUMBER = 2;
   private long retryAfterMillis_ = 0L;
   /**
+   * <pre>
+   * Time after which capacity is expected.
+   * </pre>
+   *
    * <code>uint64 retry_after_millis = 2;</code>
    * @return The retryAfterMillis.
    */
@@ -295,6 +307,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Rejects a request; it did not run.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.Refusal}
    */
   public static final class Builder extends
@@ -456,6 +472,10 @@
 
     private long id_ ;
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return The id.
      */
@@ -464,6 +484,10 @@
       return id_;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @param value The id to set.
      * @return This builder for chaining.
@@ -476,6 +500,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Id of the placement request.
+     * </pre>
+     *
      * <code>uint64 id = 1;</code>
      * @return This builder for chaining.
      */
@@ -488,6 +516,10 @@
 
     private long retryAfterMillis_ ;
     /**
+     * <pre>
+     * Time after which capacity is expected.
+     * </pre>
+     *
      * <code>uint64 retry_after_millis = 2;</code>
      * @return The retryAfterMillis.
      */
@@ -496,6 +528,10 @@
       return retryAfterMillis_;
     }
     /**
+     * <pre>
+     * Time after which capacity is expected.
+     * </pre>
+     *
      * <code>uint64 retry_after_millis = 2;</code>
      * @param value The retryAfterMillis to set.
      * @return This builder for chaining.
@@ -508,6 +544,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time after which capacity is expected.
+     * </pre>
+     *
      * <code>uint64 retry_after_millis = 2;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/RefusalOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/RefusalOrBuilder.java
@@ -11,12 +11,20 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Id of the placement request.
+   * </pre>
+   *
    * <code>uint64 id = 1;</code>
    * @return The id.
    */
   long getId();
 
   /**
+   * <pre>
+   * Time after which capacity is expected.
+   * </pre>
+   *
    * <code>uint64 retry_after_millis = 2;</code>
    * @return The retryAfterMillis.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/ReleaseCommand.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ReleaseCommand.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Releases the claim of a request that was not executed.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.ReleaseCommand}
  */
 @com.google.protobuf.Generated
@@ -349,6 +353,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Releases the claim of a request that was not executed.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.ReleaseCommand}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/RevisionAnswer.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/RevisionAnswer.java
@@ -6,6 +6,11 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reply of a control host that is not the leader to a FreshnessRequest. Leases from a majority of
+ * one voter set together let the requester serve.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.RevisionAnswer}
  */
 @com.google.protobuf.Generated
@@ -51,6 +56,10 @@
   public static final int REVISION_FIELD_NUMBER = 1;
   private long revision_ = 0L;
   /**
+   * <pre>
+   * Latest revision known to the sender.
+   * </pre>
+   *
    * <code>uint64 revision = 1;</code>
    * @return The revision.
    */
@@ -73,6 +82,10 @@
   public static final int GRANTED_FIELD_NUMBER = 3;
   private boolean granted_ = false;
   /**
+   * <pre>
+   * Whether the sender, as a voter, grants a lease.
+   * </pre>
+   *
    * <code>bool granted = 3;</code>
    * @return The granted.
    */
@@ -85,7 +98,7 @@
   private long witnessSetVersion_ = 0L;
   /**
    * <pre>
-   * Log index of the voter set that the sender has in force, and its size.
+   * Log index of the voter set that the sender uses, and the number of its voters.
    * </pre>
    *
    * <code>uint64 witness_set_version = 4;</code>
@@ -317,6 +330,11 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reply of a control host that is not the leader to a FreshnessRequest. Leases from a majority of
+   * one voter set together let the requester serve.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.RevisionAnswer}
    */
   public static final class Builder extends
@@ -500,6 +518,10 @@
 
     private long revision_ ;
     /**
+     * <pre>
+     * Latest revision known to the sender.
+     * </pre>
+     *
      * <code>uint64 revision = 1;</code>
      * @return The revision.
      */
@@ -508,6 +530,10 @@
       return revision_;
     }
     /**
+     * <pre>
+     * Latest revision known to the sender.
+     * </pre>
+     *
      * <code>uint64 revision = 1;</code>
      * @param value The revision to set.
      * @return This builder for chaining.
@@ -520,6 +546,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Latest revision known to the sender.
+     * </pre>
+     *
      * <code>uint64 revision = 1;</code>
      * @return This builder for chaining.
      */
@@ -564,6 +594,10 @@
 
     private boolean granted_ ;
     /**
+     * <pre>
+     * Whether the sender, as a voter, grants a lease.
+     * </pre>
+     *
      * <code>bool granted = 3;</code>
      * @return The granted.
      */
@@ -572,6 +606,10 @@
       return granted_;
     }
     /**
+     * <pre>
+     * Whether the sender, as a voter, grants a lease.
+     * </pre>
+     *
      * <code>bool granted = 3;</code>
      * @param value The granted to set.
      * @return This builder for chaining.
@@ -584,6 +622,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the sender, as a voter, grants a lease.
+     * </pre>
+     *
      * <code>bool granted = 3;</code>
      * @return This builder for chaining.
      */
@@ -597,7 +639,7 @@
     private long witnessSetVersion_ ;
     /**
      * <pre>
-     * Log index of the voter set that the sender has in force, and its size.
+     * Log index of the voter set that the sender uses, and the number of its voters.
      * </pre>
      *
      * <code>uint64 witness_set_version = 4;</code>
@@ -609,7 +651,7 @@
     }
     /**
      * <pre>
-     * Log index of the voter set that the sender has in force, and its size.
+     * Log index of the voter set that the sender uses, and the number of its voters.
      * </pre>
      *
      * <code>uint64 witness_set_version = 4;</code>
@@ -625,7 +667,7 @@
     }
     /**
      * <pre>
-     * Log index of the voter set that the sender has in force, and its size.
+     * Log index of the voter set that the sender uses, and the number of its voters.
      * </pre>
      *
      * <code>uint64 witness_set_version = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/RevisionAnswerOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/RevisionAnswerOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Latest revision known to the sender.
+   * </pre>
+   *
    * <code>uint64 revision = 1;</code>
    * @return The revision.
    */
@@ -23,6 +27,10 @@
   long getEchoedSentAtMillis();
 
   /**
+   * <pre>
+   * Whether the sender, as a voter, grants a lease.
+   * </pre>
+   *
    * <code>bool granted = 3;</code>
    * @return The granted.
    */
@@ -30,7 +38,7 @@
 
   /**
    * <pre>
-   * Log index of the voter set that the sender has in force, and its size.
+   * Log index of the voter set that the sender uses, and the number of its voters.
    * </pre>
    *
    * <code>uint64 witness_set_version = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/SchedulerView.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SchedulerView.java
@@ -7,7 +7,8 @@
 
 /**
  * <pre>
- * What a scheduler tells a gateway: backend servers, the catalog, and that it is alive.
+ * View that a scheduler publishes to a gateway: backend servers and the catalog. Also the
+ * scheduler's heartbeat.
  * </pre>
  *
  * Protobuf type {@code curranthaven.SchedulerView}
@@ -60,7 +61,7 @@
   private long term_ = 0L;
   /**
    * <pre>
-   * Term of the leader that schedules; a gateway follows the highest it has heard.
+   * Term of the leader that schedules; a gateway follows the highest term received.
    * </pre>
    *
    * <code>uint64 term = 1;</code>
@@ -75,7 +76,8 @@
   private long version_ = 0L;
   /**
    * <pre>
-   * Counts the changes of backend servers within the term.
+   * Number of changes to the backend servers within the term; 0 if this message has no list of
+   * them.
    * </pre>
    *
    * <code>uint64 version = 2;</code>
@@ -90,7 +92,7 @@
   private long baseVersion_ = 0L;
   /**
    * <pre>
-   * Version that the change starts from; 0 when the list of backend servers is complete.
+   * Version that the change applies to; 0 if the list of backend servers is complete.
    * </pre>
    *
    * <code>uint64 base_version = 3;</code>
@@ -147,6 +149,10 @@
   private com.google.protobuf.LazyStringArrayList gone_ =
       com.google.protobuf.LazyStringArrayList.emptyList();
   /**
+   * <pre>
+   * Ids of removed backend servers.
+   * </pre>
+   *
    * <code>repeated string gone = 5;</code>
    * @return A list containing the gone.
    */
@@ -155,6 +161,10 @@
     return gone_;
   }
   /**
+   * <pre>
+   * Ids of removed backend servers.
+   * </pre>
+   *
    * <code>repeated string gone = 5;</code>
    * @return The count of gone.
    */
@@ -162,6 +172,10 @@
     return gone_.size();
   }
   /**
+   * <pre>
+   * Ids of removed backend servers.
+   * </pre>
+   *
    * <code>repeated string gone = 5;</code>
    * @param index The index of the element to return.
    * @return The gone at the given index.
@@ -170,6 +184,10 @@
     return gone_.get(index);
   }
   /**
+   * <pre>
+   * Ids of removed backend servers.
+   * </pre>
+   *
    * <code>repeated string gone = 5;</code>
    * @param index The index of the value to return.
    * @return The bytes of the gone at the given index.
@@ -194,7 +212,7 @@
   private com.google.protobuf.ByteString catalog_ = com.google.protobuf.ByteString.EMPTY;
   /**
    * <pre>
-   * Catalog document; empty unless it is newer than what the gateway has in force.
+   * Catalog document; empty unless it is newer than the gateway's active catalog.
    * </pre>
    *
    * <code>bytes catalog = 7;</code>
@@ -224,7 +242,8 @@
   private boolean resigned_ = false;
   /**
    * <pre>
-   * Whether this host has stopped scheduling; the gateway decides alone until another one starts.
+   * Whether this host has stopped scheduling. The gateway then places requests locally until
+   * another scheduler publishes its view.
    * </pre>
    *
    * <code>bool resigned = 9;</code>
@@ -504,7 +523,8 @@
   }
   /**
    * <pre>
-   * What a scheduler tells a gateway: backend servers, the catalog, and that it is alive.
+   * View that a scheduler publishes to a gateway: backend servers and the catalog. Also the
+   * scheduler's heartbeat.
    * </pre>
    *
    * Protobuf type {@code curranthaven.SchedulerView}
@@ -795,7 +815,7 @@
     private long term_ ;
     /**
      * <pre>
-     * Term of the leader that schedules; a gateway follows the highest it has heard.
+     * Term of the leader that schedules; a gateway follows the highest term received.
      * </pre>
      *
      * <code>uint64 term = 1;</code>
@@ -807,7 +827,7 @@
     }
     /**
      * <pre>
-     * Term of the leader that schedules; a gateway follows the highest it has heard.
+     * Term of the leader that schedules; a gateway follows the highest term received.
      * </pre>
      *
      * <code>uint64 term = 1;</code>
@@ -823,7 +843,7 @@
     }
     /**
      * <pre>
-     * Term of the leader that schedules; a gateway follows the highest it has heard.
+     * Term of the leader that schedules; a gateway follows the highest term received.
      * </pre>
      *
      * <code>uint64 term = 1;</code>
@@ -839,7 +859,8 @@
     private long version_ ;
     /**
      * <pre>
-     * Counts the changes of backend servers within the term.
+     * Number of changes to the backend servers within the term; 0 if this message has no list of
+     * them.
      * </pre>
      *
      * <code>uint64 version = 2;</code>
@@ -851,7 +872,8 @@
     }
     /**
      * <pre>
-     * Counts the changes of backend servers within the term.
+     * Number of changes to the backend servers within the term; 0 if this message has no list of
+     * them.
      * </pre>
      *
      * <code>uint64 version = 2;</code>
@@ -867,7 +889,8 @@
     }
     /**
      * <pre>
-     * Counts the changes of backend servers within the term.
+     * Number of changes to the backend servers within the term; 0 if this message has no list of
+     * them.
      * </pre>
      *
      * <code>uint64 version = 2;</code>
@@ -883,7 +906,7 @@
     private long baseVersion_ ;
     /**
      * <pre>
-     * Version that the change starts from; 0 when the list of backend servers is complete.
+     * Version that the change applies to; 0 if the list of backend servers is complete.
      * </pre>
      *
      * <code>uint64 base_version = 3;</code>
@@ -895,7 +918,7 @@
     }
     /**
      * <pre>
-     * Version that the change starts from; 0 when the list of backend servers is complete.
+     * Version that the change applies to; 0 if the list of backend servers is complete.
      * </pre>
      *
      * <code>uint64 base_version = 3;</code>
@@ -911,7 +934,7 @@
     }
     /**
      * <pre>
-     * Version that the change starts from; 0 when the list of backend servers is complete.
+     * Version that the change applies to; 0 if the list of backend servers is complete.
      * </pre>
      *
      * <code>uint64 base_version = 3;</code>
@@ -1167,6 +1190,10 @@
       bitField0_ |= 0x00000010;
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @return A list containing the gone.
      */
@@ -1176,6 +1203,10 @@
       return gone_;
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @return The count of gone.
      */
@@ -1183,6 +1214,10 @@
       return gone_.size();
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @param index The index of the element to return.
      * @return The gone at the given index.
@@ -1191,6 +1226,10 @@
       return gone_.get(index);
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @param index The index of the value to return.
      * @return The bytes of the gone at the given index.
@@ -1200,6 +1239,10 @@
       return gone_.getByteString(index);
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @param index The index to set the value at.
      * @param value The gone to set.
@@ -1215,6 +1258,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @param value The gone to add.
      * @return This builder for chaining.
@@ -1229,6 +1276,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @param values The gone to add.
      * @return This builder for chaining.
@@ -1243,6 +1294,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @return This builder for chaining.
      */
@@ -1254,6 +1309,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Ids of removed backend servers.
+     * </pre>
+     *
      * <code>repeated string gone = 5;</code>
      * @param value The bytes of the gone to add.
      * @return This builder for chaining.
@@ -1304,7 +1363,7 @@
     private com.google.protobuf.ByteString catalog_ = com.google.protobuf.ByteString.EMPTY;
     /**
      * <pre>
-     * Catalog document; empty unless it is newer than what the gateway has in force.
+     * Catalog document; empty unless it is newer than the gateway's active catalog.
      * </pre>
      *
      * <code>bytes catalog = 7;</code>
@@ -1316,7 +1375,7 @@
     }
     /**
      * <pre>
-     * Catalog document; empty unless it is newer than what the gateway has in force.
+     * Catalog document; empty unless it is newer than the gateway's active catalog.
      * </pre>
      *
      * <code>bytes catalog = 7;</code>
@@ -1332,7 +1391,7 @@
     }
     /**
      * <pre>
-     * Catalog document; empty unless it is newer than what the gateway has in force.
+     * Catalog document; empty unless it is newer than the gateway's active catalog.
      * </pre>
      *
      * <code>bytes catalog = 7;</code>
@@ -1392,7 +1451,8 @@
     private boolean resigned_ ;
     /**
      * <pre>
-     * Whether this host has stopped scheduling; the gateway decides alone until another one starts.
+     * Whether this host has stopped scheduling. The gateway then places requests locally until
+     * another scheduler publishes its view.
      * </pre>
      *
      * <code>bool resigned = 9;</code>
@@ -1404,7 +1464,8 @@
     }
     /**
      * <pre>
-     * Whether this host has stopped scheduling; the gateway decides alone until another one starts.
+     * Whether this host has stopped scheduling. The gateway then places requests locally until
+     * another scheduler publishes its view.
      * </pre>
      *
      * <code>bool resigned = 9;</code>
@@ -1420,7 +1481,8 @@
     }
     /**
      * <pre>
-     * Whether this host has stopped scheduling; the gateway decides alone until another one starts.
+     * Whether this host has stopped scheduling. The gateway then places requests locally until
+     * another scheduler publishes its view.
      * </pre>
      *
      * <code>bool resigned = 9;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/SchedulerViewOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SchedulerViewOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Term of the leader that schedules; a gateway follows the highest it has heard.
+   * Term of the leader that schedules; a gateway follows the highest term received.
    * </pre>
    *
    * <code>uint64 term = 1;</code>
@@ -22,7 +22,8 @@
 
   /**
    * <pre>
-   * Counts the changes of backend servers within the term.
+   * Number of changes to the backend servers within the term; 0 if this message has no list of
+   * them.
    * </pre>
    *
    * <code>uint64 version = 2;</code>
@@ -32,7 +33,7 @@
 
   /**
    * <pre>
-   * Version that the change starts from; 0 when the list of backend servers is complete.
+   * Version that the change applies to; 0 if the list of backend servers is complete.
    * </pre>
    *
    * <code>uint64 base_version = 3;</code>
@@ -65,23 +66,39 @@
       int index);
 
   /**
+   * <pre>
+   * Ids of removed backend servers.
+   * </pre>
+   *
    * <code>repeated string gone = 5;</code>
    * @return A list containing the gone.
    */
   java.util.List<java.lang.String>
       getGoneList();
   /**
+   * <pre>
+   * Ids of removed backend servers.
+   * </pre>
+   *
    * <code>repeated string gone = 5;</code>
    * @return The count of gone.
    */
   int getGoneCount();
   /**
+   * <pre>
+   * Ids of removed backend servers.
+   * </pre>
+   *
    * <code>repeated string gone = 5;</code>
    * @param index The index of the element to return.
    * @return The gone at the given index.
    */
   java.lang.String getGone(int index);
   /**
+   * <pre>
+   * Ids of removed backend servers.
+   * </pre>
+   *
    * <code>repeated string gone = 5;</code>
    * @param index The index of the value to return.
    * @return The bytes of the gone at the given index.
@@ -97,7 +114,7 @@
 
   /**
    * <pre>
-   * Catalog document; empty unless it is newer than what the gateway has in force.
+   * Catalog document; empty unless it is newer than the gateway's active catalog.
    * </pre>
    *
    * <code>bytes catalog = 7;</code>
@@ -117,7 +134,8 @@
 
   /**
    * <pre>
-   * Whether this host has stopped scheduling; the gateway decides alone until another one starts.
+   * Whether this host has stopped scheduling. The gateway then places requests locally until
+   * another scheduler publishes its view.
    * </pre>
    *
    * <code>bool resigned = 9;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/SnapshotChunk.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SnapshotChunk.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Part of a snapshot, sent to a replica whose next entry the leader has compacted away.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.SnapshotChunk}
  */
 @com.google.protobuf.Generated
@@ -53,6 +57,10 @@
   public static final int LAST_INDEX_FIELD_NUMBER = 1;
   private long lastIndex_ = 0L;
   /**
+   * <pre>
+   * Index and term of the last entry that the snapshot covers.
+   * </pre>
+   *
    * <code>uint64 last_index = 1;</code>
    * @return The lastIndex.
    */
@@ -75,6 +83,10 @@
   public static final int VOTERS_FIELD_NUMBER = 3;
   private com.google.protobuf.ByteString voters_ = com.google.protobuf.ByteString.EMPTY;
   /**
+   * <pre>
+   * Serialized VoterSet at last_index.
+   * </pre>
+   *
    * <code>bytes voters = 3;</code>
    * @return The voters.
    */
@@ -86,6 +98,10 @@
   public static final int OFFSET_FIELD_NUMBER = 4;
   private long offset_ = 0L;
   /**
+   * <pre>
+   * Position of the data in the snapshot's state, in bytes.
+   * </pre>
+   *
    * <code>uint64 offset = 4;</code>
    * @return The offset.
    */
@@ -108,6 +124,10 @@
   public static final int LAST_FIELD_NUMBER = 6;
   private boolean last_ = false;
   /**
+   * <pre>
+   * Whether this is the last chunk.
+   * </pre>
+   *
    * <code>bool last = 6;</code>
    * @return The last.
    */
@@ -119,6 +139,10 @@
   public static final int SENT_AT_MILLIS_FIELD_NUMBER = 7;
   private long sentAtMillis_ = 0L;
   /**
+   * <pre>
+   * As in AppendRequest.
+   * </pre>
+   *
    * <code>int64 sent_at_millis = 7;</code>
    * @return The sentAtMillis.
    */
@@ -360,6 +384,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Part of a snapshot, sent to a replica whose next entry the leader has compacted away.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.SnapshotChunk}
    */
   public static final class Builder extends
@@ -567,6 +595,10 @@
 
     private long lastIndex_ ;
     /**
+     * <pre>
+     * Index and term of the last entry that the snapshot covers.
+     * </pre>
+     *
      * <code>uint64 last_index = 1;</code>
      * @return The lastIndex.
      */
@@ -575,6 +607,10 @@
       return lastIndex_;
     }
     /**
+     * <pre>
+     * Index and term of the last entry that the snapshot covers.
+     * </pre>
+     *
      * <code>uint64 last_index = 1;</code>
      * @param value The lastIndex to set.
      * @return This builder for chaining.
@@ -587,6 +623,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Index and term of the last entry that the snapshot covers.
+     * </pre>
+     *
      * <code>uint64 last_index = 1;</code>
      * @return This builder for chaining.
      */
@@ -631,6 +671,10 @@
 
     private com.google.protobuf.ByteString voters_ = com.google.protobuf.ByteString.EMPTY;
     /**
+     * <pre>
+     * Serialized VoterSet at last_index.
+     * </pre>
+     *
      * <code>bytes voters = 3;</code>
      * @return The voters.
      */
@@ -639,6 +683,10 @@
       return voters_;
     }
     /**
+     * <pre>
+     * Serialized VoterSet at last_index.
+     * </pre>
+     *
      * <code>bytes voters = 3;</code>
      * @param value The voters to set.
      * @return This builder for chaining.
@@ -651,6 +699,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Serialized VoterSet at last_index.
+     * </pre>
+     *
      * <code>bytes voters = 3;</code>
      * @return This builder for chaining.
      */
@@ -663,6 +715,10 @@
 
     private long offset_ ;
     /**
+     * <pre>
+     * Position of the data in the snapshot's state, in bytes.
+     * </pre>
+     *
      * <code>uint64 offset = 4;</code>
      * @return The offset.
      */
@@ -671,6 +727,10 @@
       return offset_;
     }
     /**
+     * <pre>
+     * Position of the data in the snapshot's state, in bytes.
+     * </pre>
+     *
      * <code>uint64 offset = 4;</code>
      * @param value The offset to set.
      * @return This builder for chaining.
@@ -683,6 +743,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Position of the data in the snapshot's state, in bytes.
+     * </pre>
+     *
      * <code>uint64 offset = 4;</code>
      * @return This builder for chaining.
      */
@@ -727,6 +791,10 @@
 
     private boolean last_ ;
     /**
+     * <pre>
+     * Whether this is the last chunk.
+     * </pre>
+     *
      * <code>bool last = 6;</code>
      * @return The last.
      */
@@ -735,6 +803,10 @@
       return last_;
     }
     /**
+     * <pre>
+     * Whether this is the last chunk.
+     * </pre>
+     *
      * <code>bool last = 6;</code>
      * @param value The last to set.
      * @return This builder for chaining.
@@ -747,6 +819,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether this is the last chunk.
+     * </pre>
+     *
      * <code>bool last = 6;</code>
      * @return This builder for chaining.
      */
@@ -759,6 +835,10 @@
 
     private long sentAtMillis_ ;
     /**
+     * <pre>
+     * As in AppendRequest.
+     * </pre>
+     *
      * <code>int64 sent_at_millis = 7;</code>
      * @return The sentAtMillis.
      */
@@ -767,6 +847,10 @@
       return sentAtMillis_;
     }
     /**
+     * <pre>
+     * As in AppendRequest.
+     * </pre>
+     *
      * <code>int64 sent_at_millis = 7;</code>
      * @param value The sentAtMillis to set.
      * @return This builder for chaining.
@@ -779,6 +863,10 @@
       return this;
     }
     /**
+     * <pre>
+     * As in AppendRequest.
+     * </pre>
+     *
      * <code>int64 sent_at_millis = 7;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/SnapshotChunkOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SnapshotChunkOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Index and term of the last entry that the snapshot covers.
+   * </pre>
+   *
    * <code>uint64 last_index = 1;</code>
    * @return The lastIndex.
    */
@@ -23,12 +27,20 @@
   long getLastTerm();
 
   /**
+   * <pre>
+   * Serialized VoterSet at last_index.
+   * </pre>
+   *
    * <code>bytes voters = 3;</code>
    * @return The voters.
    */
   com.google.protobuf.ByteString getVoters();
 
   /**
+   * <pre>
+   * Position of the data in the snapshot's state, in bytes.
+   * </pre>
+   *
    * <code>uint64 offset = 4;</code>
    * @return The offset.
    */
@@ -41,12 +53,20 @@
   com.google.protobuf.ByteString getData();
 
   /**
+   * <pre>
+   * Whether this is the last chunk.
+   * </pre>
+   *
    * <code>bool last = 6;</code>
    * @return The last.
    */
   boolean getLast();
 
   /**
+   * <pre>
+   * As in AppendRequest.
+   * </pre>
+   *
    * <code>int64 sent_at_millis = 7;</code>
    * @return The sentAtMillis.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/SnapshotFile.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SnapshotFile.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Snapshot of a state machine, as stored in the data folder.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.SnapshotFile}
  */
 @com.google.protobuf.Generated
@@ -53,6 +57,10 @@
   public static final int LAST_INDEX_FIELD_NUMBER = 1;
   private long lastIndex_ = 0L;
   /**
+   * <pre>
+   * Index and term of the last entry that the snapshot covers.
+   * </pre>
+   *
    * <code>uint64 last_index = 1;</code>
    * @return The lastIndex.
    */
@@ -311,6 +319,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Snapshot of a state machine, as stored in the data folder.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.SnapshotFile}
    */
   public static final class Builder extends
@@ -499,6 +511,10 @@
 
     private long lastIndex_ ;
     /**
+     * <pre>
+     * Index and term of the last entry that the snapshot covers.
+     * </pre>
+     *
      * <code>uint64 last_index = 1;</code>
      * @return The lastIndex.
      */
@@ -507,6 +523,10 @@
       return lastIndex_;
     }
     /**
+     * <pre>
+     * Index and term of the last entry that the snapshot covers.
+     * </pre>
+     *
      * <code>uint64 last_index = 1;</code>
      * @param value The lastIndex to set.
      * @return This builder for chaining.
@@ -519,6 +539,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Index and term of the last entry that the snapshot covers.
+     * </pre>
+     *
      * <code>uint64 last_index = 1;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/SnapshotFileOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SnapshotFileOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Index and term of the last entry that the snapshot covers.
+   * </pre>
+   *
    * <code>uint64 last_index = 1;</code>
    * @return The lastIndex.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/SnapshotReply.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SnapshotReply.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reply to a SnapshotChunk.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.SnapshotReply}
  */
 @com.google.protobuf.Generated
@@ -51,6 +55,10 @@
   public static final int NEXT_OFFSET_FIELD_NUMBER = 1;
   private long nextOffset_ = 0L;
   /**
+   * <pre>
+   * Offset of the chunk that the receiver needs next, unless installed.
+   * </pre>
+   *
    * <code>uint64 next_offset = 1;</code>
    * @return The nextOffset.
    */
@@ -62,6 +70,10 @@
   public static final int INSTALLED_FIELD_NUMBER = 2;
   private boolean installed_ = false;
   /**
+   * <pre>
+   * Whether the receiver has everything that the snapshot covers.
+   * </pre>
+   *
    * <code>bool installed = 2;</code>
    * @return The installed.
    */
@@ -73,6 +85,10 @@
   public static final int LAST_INDEX_FIELD_NUMBER = 3;
   private long lastIndex_ = 0L;
   /**
+   * <pre>
+   * Index of the last entry that the snapshot covers; as in the chunk.
+   * </pre>
+   *
    * <code>uint64 last_index = 3;</code>
    * @return The lastIndex.
    */
@@ -291,6 +307,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reply to a SnapshotChunk.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.SnapshotReply}
    */
   public static final class Builder extends
@@ -462,6 +482,10 @@
 
     private long nextOffset_ ;
     /**
+     * <pre>
+     * Offset of the chunk that the receiver needs next, unless installed.
+     * </pre>
+     *
      * <code>uint64 next_offset = 1;</code>
      * @return The nextOffset.
      */
@@ -470,6 +494,10 @@
       return nextOffset_;
     }
     /**
+     * <pre>
+     * Offset of the chunk that the receiver needs next, unless installed.
+     * </pre>
+     *
      * <code>uint64 next_offset = 1;</code>
      * @param value The nextOffset to set.
      * @return This builder for chaining.
@@ -482,6 +510,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Offset of the chunk that the receiver needs next, unless installed.
+     * </pre>
+     *
      * <code>uint64 next_offset = 1;</code>
      * @return This builder for chaining.
      */
@@ -494,6 +526,10 @@
 
     private boolean installed_ ;
     /**
+     * <pre>
+     * Whether the receiver has everything that the snapshot covers.
+     * </pre>
+     *
      * <code>bool installed = 2;</code>
      * @return The installed.
      */
@@ -502,6 +538,10 @@
       return installed_;
     }
     /**
+     * <pre>
+     * Whether the receiver has everything that the snapshot covers.
+     * </pre>
+     *
      * <code>bool installed = 2;</code>
      * @param value The installed to set.
      * @return This builder for chaining.
@@ -514,6 +554,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the receiver has everything that the snapshot covers.
+     * </pre>
+     *
      * <code>bool installed = 2;</code>
      * @return This builder for chaining.
      */
@@ -526,6 +570,10 @@
 
     private long lastIndex_ ;
     /**
+     * <pre>
+     * Index of the last entry that the snapshot covers; as in the chunk.
+     * </pre>
+     *
      * <code>uint64 last_index = 3;</code>
      * @return The lastIndex.
      */
@@ -534,6 +582,10 @@
       return lastIndex_;
     }
     /**
+     * <pre>
+     * Index of the last entry that the snapshot covers; as in the chunk.
+     * </pre>
+     *
      * <code>uint64 last_index = 3;</code>
      * @param value The lastIndex to set.
      * @return This builder for chaining.
@@ -546,6 +598,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Index of the last entry that the snapshot covers; as in the chunk.
+     * </pre>
+     *
      * <code>uint64 last_index = 3;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/SnapshotReplyOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SnapshotReplyOrBuilder.java
@@ -11,18 +11,30 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Offset of the chunk that the receiver needs next, unless installed.
+   * </pre>
+   *
    * <code>uint64 next_offset = 1;</code>
    * @return The nextOffset.
    */
   long getNextOffset();
 
   /**
+   * <pre>
+   * Whether the receiver has everything that the snapshot covers.
+   * </pre>
+   *
    * <code>bool installed = 2;</code>
    * @return The installed.
    */
   boolean getInstalled();
 
   /**
+   * <pre>
+   * Index of the last entry that the snapshot covers; as in the chunk.
+   * </pre>
+   *
    * <code>uint64 last_index = 3;</code>
    * @return The lastIndex.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/SoftState.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SoftState.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Soft state of backend servers and load, from one gateway to another.
+ * Backend servers and load as one host knows them, broadcast to the other hosts; not persisted.
  * </pre>
  *
  * Protobuf type {@code curranthaven.SoftState}
@@ -140,7 +140,7 @@
   private boolean fullShares_ = false;
   /**
    * <pre>
-   * Whether the sender has nothing open on backend servers that are not named.
+   * Whether shares is complete: the sender has no open request on a backend server not listed.
    * </pre>
    *
    * <code>bool full_shares = 3;</code>
@@ -351,7 +351,7 @@
   }
   /**
    * <pre>
-   * Soft state of backend servers and load, from one gateway to another.
+   * Backend servers and load as one host knows them, broadcast to the other hosts; not persisted.
    * </pre>
    *
    * Protobuf type {@code curranthaven.SoftState}
@@ -1072,7 +1072,7 @@
     private boolean fullShares_ ;
     /**
      * <pre>
-     * Whether the sender has nothing open on backend servers that are not named.
+     * Whether shares is complete: the sender has no open request on a backend server not listed.
      * </pre>
      *
      * <code>bool full_shares = 3;</code>
@@ -1084,7 +1084,7 @@
     }
     /**
      * <pre>
-     * Whether the sender has nothing open on backend servers that are not named.
+     * Whether shares is complete: the sender has no open request on a backend server not listed.
      * </pre>
      *
      * <code>bool full_shares = 3;</code>
@@ -1100,7 +1100,7 @@
     }
     /**
      * <pre>
-     * Whether the sender has nothing open on backend servers that are not named.
+     * Whether shares is complete: the sender has no open request on a backend server not listed.
      * </pre>
      *
      * <code>bool full_shares = 3;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/SoftStateOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/SoftStateOrBuilder.java
@@ -60,7 +60,7 @@
 
   /**
    * <pre>
-   * Whether the sender has nothing open on backend servers that are not named.
+   * Whether shares is complete: the sender has no open request on a backend server not listed.
    * </pre>
    *
    * <code>bool full_shares = 3;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/StoredAnswer.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/StoredAnswer.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Stored response, returned to a caller that sends the request again.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.StoredAnswer}
  */
 @com.google.protobuf.Generated
@@ -53,6 +57,10 @@
   public static final int STATUS_FIELD_NUMBER = 1;
   private int status_ = 0;
   /**
+   * <pre>
+   * HTTP status.
+   * </pre>
+   *
    * <code>uint32 status = 1;</code>
    * @return The status.
    */
@@ -294,6 +302,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Stored response, returned to a caller that sends the request again.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.StoredAnswer}
    */
   public static final class Builder extends
@@ -455,6 +467,10 @@
 
     private int status_ ;
     /**
+     * <pre>
+     * HTTP status.
+     * </pre>
+     *
      * <code>uint32 status = 1;</code>
      * @return The status.
      */
@@ -463,6 +479,10 @@
       return status_;
     }
     /**
+     * <pre>
+     * HTTP status.
+     * </pre>
+     *
      * <code>uint32 status = 1;</code>
      * @param value The status to set.
      * @return This builder for chaining.
@@ -475,6 +495,10 @@
       return this;
     }
     /**
+     * <pre>
+     * HTTP status.
+     * </pre>
+     *
      * <code>uint32 status = 1;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/curranthaven/internal/transport/wire/StoredAnswerOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/StoredAnswerOrBuilder.java
@@ -11,6 +11,10 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * HTTP status.
+   * </pre>
+   *
    * <code>uint32 status = 1;</code>
    * @return The status.
    */
--- a/src/main/java/org/curranthaven/internal/transport/wire/TimeoutNow.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/TimeoutNow.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Sent by a leader that transfers its leadership: the receiver starts an election at once.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.TimeoutNow}
  */
 @com.google.protobuf.Generated
@@ -194,6 +198,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Sent by a leader that transfers its leadership: the receiver starts an election at once.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.TimeoutNow}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/VoteReply.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/VoteReply.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Reply to a VoteRequest.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.VoteReply}
  */
 @com.google.protobuf.Generated
@@ -245,6 +249,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Reply to a VoteRequest.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.VoteReply}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/VoteRequest.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/VoteRequest.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Request of a candidate for a vote.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.VoteRequest}
  */
 @com.google.protobuf.Generated
@@ -51,6 +55,10 @@
   public static final int PRE_VOTE_FIELD_NUMBER = 1;
   private boolean preVote_ = false;
   /**
+   * <pre>
+   * Whether this only checks that the candidate could win; no vote is recorded then.
+   * </pre>
+   *
    * <code>bool pre_vote = 1;</code>
    * @return The preVote.
    */
@@ -62,6 +70,10 @@
   public static final int LAST_INDEX_FIELD_NUMBER = 2;
   private long lastIndex_ = 0L;
   /**
+   * <pre>
+   * Index and term of the last entry in the candidate's log.
+   * </pre>
+   *
    * <code>uint64 last_index = 2;</code>
    * @return The lastIndex.
    */
@@ -85,7 +97,7 @@
   private boolean leadershipTransfer_ = false;
   /**
    * <pre>
-   * Set when the current leader asked for this election.
+   * Whether the current leader started this election to transfer its leadership.
    * </pre>
    *
    * <code>bool leadership_transfer = 4;</code>
@@ -295,6 +307,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Request of a candidate for a vote.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.VoteRequest}
    */
   public static final class Builder extends
@@ -466,6 +482,10 @@
 
     private boolean preVote_ ;
     /**
+     * <pre>
+     * Whether this only checks that the candidate could win; no vote is recorded then.
+     * </pre>
+     *
      * <code>bool pre_vote = 1;</code>
      * @return The preVote.
      */
@@ -474,6 +494,10 @@
       return preVote_;
     }
     /**
+     * <pre>
+     * Whether this only checks that the candidate could win; no vote is recorded then.
+     * </pre>
+     *
      * <code>bool pre_vote = 1;</code>
      * @param value The preVote to set.
      * @return This builder for chaining.
@@ -486,6 +510,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether this only checks that the candidate could win; no vote is recorded then.
+     * </pre>
+     *
      * <code>bool pre_vote = 1;</code>
      * @return This builder for chaining.
      */
@@ -498,6 +526,10 @@
 
     private long lastIndex_ ;
     /**
+     * <pre>
+     * Index and term of the last entry in the candidate's log.
+     * </pre>
+     *
      * <code>uint64 last_index = 2;</code>
      * @return The lastIndex.
      */
@@ -506,6 +538,10 @@
       return lastIndex_;
     }
     /**
+     * <pre>
+     * Index and term of the last entry in the candidate's log.
+     * </pre>
+     *
      * <code>uint64 last_index = 2;</code>
      * @param value The lastIndex to set.
      * @return This builder for chaining.
@@ -518,6 +554,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Index and term of the last entry in the candidate's log.
+     * </pre>
+     *
      * <code>uint64 last_index = 2;</code>
      * @return This builder for chaining.
      */
@@ -563,7 +603,7 @@
     private boolean leadershipTransfer_ ;
     /**
      * <pre>
-     * Set when the current leader asked for this election.
+     * Whether the current leader started this election to transfer its leadership.
      * </pre>
      *
      * <code>bool leadership_transfer = 4;</code>
@@ -575,7 +615,7 @@
     }
     /**
      * <pre>
-     * Set when the current leader asked for this election.
+     * Whether the current leader started this election to transfer its leadership.
      * </pre>
      *
      * <code>bool leadership_transfer = 4;</code>
@@ -591,7 +631,7 @@
     }
     /**
      * <pre>
-     * Set when the current leader asked for this election.
+     * Whether the current leader started this election to transfer its leadership.
      * </pre>
      *
      * <code>bool leadership_transfer = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/VoteRequestOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/VoteRequestOrBuilder.java
@@ -11,12 +11,20 @@
     com.google.protobuf.MessageOrBuilder {
 
   /**
+   * <pre>
+   * Whether this only checks that the candidate could win; no vote is recorded then.
+   * </pre>
+   *
    * <code>bool pre_vote = 1;</code>
    * @return The preVote.
    */
   boolean getPreVote();
 
   /**
+   * <pre>
+   * Index and term of the last entry in the candidate's log.
+   * </pre>
+   *
    * <code>uint64 last_index = 2;</code>
    * @return The lastIndex.
    */
@@ -30,7 +38,7 @@
 
   /**
    * <pre>
-   * Set when the current leader asked for this election.
+   * Whether the current leader started this election to transfer its leadership.
    * </pre>
    *
    * <code>bool leadership_transfer = 4;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/Voter.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Voter.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Member of a consensus group, identified by its data folder.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.Voter}
  */
 @com.google.protobuf.Generated
@@ -349,6 +353,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Member of a consensus group, identified by its data folder.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.Voter}
    */
   public static final class Builder extends
--- a/src/main/java/org/curranthaven/internal/transport/wire/VoterSet.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/VoterSet.java
@@ -6,6 +6,10 @@
 package org.curranthaven.internal.transport.wire;
 
 /**
+ * <pre>
+ * Members of a consensus group; learners receive the log but do not vote.
+ * </pre>
+ *
  * Protobuf type {@code curranthaven.VoterSet}
  */
 @com.google.protobuf.Generated
@@ -319,6 +323,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Members of a consensus group; learners receive the log but do not vote.
+   * </pre>
+   *
    * Protobuf type {@code curranthaven.VoterSet}
    */
   public static final class Builder extends
