--- a/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/OverheadBench.java
@@ -109,7 +109,7 @@
         "a",
         0,
         fleet.httpAddresses(),
-        Workloads.STORY,
+        Workloads.STORY_MODEL,
         new EngineOptions(200_000, 4_096, 30_000, 1, 1, 1_000_000, 64, 64, true),
         BackendAnnouncement.Resume.TAKEOVER,
         true);
@@ -146,7 +146,7 @@
             .formatted(id, id, TOKENS);
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + address + "/v1/completions"))
-            .header("Authorization", "Bearer " + Workloads.KEY)
+            .header("Authorization", "Bearer " + Workloads.API_KEY)
             .header("Curranthaven-Class", "draft")
             .POST(HttpRequest.BodyPublishers.ofString(body))
             .build();
--- a/src/main/java/org/curranthaven/internal/check/Action.java
+++ b/src/main/java/org/curranthaven/internal/check/Action.java
@@ -1,46 +1,46 @@
 package org.curranthaven.internal.check;
 
 /**
- * One step of a run. The numbers pick a replica or message modulo how many there are, so that a run
- * still makes sense after some of its actions were left out.
+ * One step of a simulated run. Replicas and messages are chosen by a number modulo how many there
+ * are, so that a list of actions stays valid after some were removed.
  */
 public sealed interface Action {
-  /** Delivers a message under way. */
+  /** Delivers a message in transit. */
   record Deliver(int message) implements Action {}
 
-  /** Loses a message under way. */
+  /** Drops a message in transit. */
   record Drop(int message) implements Action {}
 
-  /** Delivers a message and leaves a copy under way. */
+  /** Delivers a message and leaves a duplicate in transit. */
   record Repeat(int message) implements Action {}
 
-  /** Lets time pass. */
+  /** Advances simulated time. */
   record Advance(int millis) implements Action {}
 
   /** Proposes a new command at a replica. */
   record Propose(int replica) implements Action {}
 
-  /** Stops a replica; with {@code loseBatch} in the middle of its next write. */
+  /** Stops a replica; with {@code loseBatch}, at its next disk write, which is lost. */
   record Crash(int replica, boolean loseBatch) implements Action {}
 
-  /** Starts a stopped replica on what its disk holds. */
+  /** Restarts a stopped replica from its disk. */
   record Restart(int replica) implements Action {}
 
-  /** Cuts the way from one replica to another, in that direction only. */
+  /** Cuts the link from one replica to another, in that direction only. */
   record Cut(int from, int to) implements Action {}
 
-  /** Cuts a replica off from all others, both ways. */
+  /** Cuts the links between a replica and all others, in both directions. */
   record Isolate(int replica) implements Action {}
 
-  /** Mends every cut. */
+  /** Restores all links. */
   record Heal() implements Action {}
 
-  /** Stops a replica, empties its disk, and starts it. */
+  /** Stops a replica, empties its disk and restarts it. */
   record Wipe(int replica) implements Action {}
 
-  /** Asks a replica to hand over leadership, if it leads. */
+  /** Asks a replica to transfer leadership, if it is the leader. */
   record Transfer(int replica) implements Action {}
 
-  /** Lets a replica take a snapshot. */
+  /** Makes a replica take a snapshot. */
   record Snapshot(int replica) implements Action {}
 }
--- a/src/main/java/org/curranthaven/internal/check/MemoryDisk.java
+++ b/src/main/java/org/curranthaven/internal/check/InMemoryDisk.java
@@ -7,8 +7,8 @@
 import org.curranthaven.internal.transport.wire.LogEntry;
 import org.curranthaven.internal.transport.wire.SnapshotFile;
 
-/** A replica's disk in memory: what was written to it is synced. */
-final class MemoryDisk {
+/** An in-memory disk of a replica, on which every write is synced at once. */
+final class InMemoryDisk {
   private long term;
   private String votedFor = "";
   private SnapshotFile snapshot = SnapshotFile.getDefaultInstance();
@@ -31,12 +31,13 @@
     }
   }
 
-  void forgetVote() {
+  /** Resets the term and the vote, as if they had never been saved. */
+  void eraseVote() {
     term = 0;
     votedFor = "";
   }
 
-  StoredState state() {
+  StoredState storedState() {
     return new StoredState(term, votedFor, snapshot, entries);
   }
 }
--- a/src/main/java/org/curranthaven/internal/check/InjectedFault.java
+++ b/src/main/java/org/curranthaven/internal/check/InjectedFault.java
@@ -1,17 +1,17 @@
 package org.curranthaven.internal.check;
 
-/** Deliberate faults of the system itself, by which a check is shown to be able to fail. */
+/** Faults injected into the system on purpose, to show that the simulation detects them. */
 public enum InjectedFault {
-  /** None: the system as it is. */
+  /** No fault. */
   NONE,
-  /** Messages leave before what they rest on is synced. */
+  /** A replica sends messages before the state that they depend on is synced to disk. */
   ACKNOWLEDGE_BEFORE_SYNC,
-  /** A wiped disk keeps its old identity, and so its vote. */
+  /** A replica keeps its identity, and so its vote, after its disk was emptied. */
   VOTE_ON_WIPED_DISK,
-  /** Term and vote are forgotten on a restart. */
+  /** A replica loses its term and vote on a restart. */
   FORGET_VOTE_ON_RESTART,
-  /** Every pre-vote is granted at once, as if there were none. */
+  /** Every pre-vote is granted at once, as if there were no pre-vote phase. */
   NO_PRE_VOTE,
-  /** Clocks differ by far more than the lease allows for. */
+  /** Clocks drift apart by far more than the lease allows for. */
   CLOCKS_BEYOND_BOUND
 }
--- a/src/main/java/org/curranthaven/internal/check/package-info.java
+++ b/src/main/java/org/curranthaven/internal/check/package-info.java
@@ -1,4 +1,4 @@
-/** Checks of the consensus core on given time, over sequences of events drawn from a seed. */
+/** Simulations of the consensus core in simulated time, over random action sequences from seeds. */
 @NullMarked
 package org.curranthaven.internal.check;
 
--- a/src/main/java/org/curranthaven/internal/cli/BenchCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/BenchCommand.java
@@ -57,7 +57,7 @@
         READY_MILLIS,
         () -> {
           try {
-            return client.change("bench", 0, "bench", Workloads.configuration())
+            return client.change("bench", 0, "bench", Workloads.configurationEdits())
                 instanceof Outcome.Success<JsonNode>;
           } catch (IOException e) {
             return false;
--- a/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
@@ -7,9 +7,9 @@
 import org.curranthaven.api.Failure;
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.check.Action;
-import org.curranthaven.internal.check.Actions;
+import org.curranthaven.internal.check.ActionSequences;
 import org.curranthaven.internal.check.InjectedFault;
-import org.curranthaven.internal.check.Violation;
+import org.curranthaven.internal.check.InvariantViolation;
 import org.jspecify.annotations.Nullable;
 
 /** {@code check}: runs the replicated log through sequences of events drawn from seeds. */
@@ -62,8 +62,9 @@
     long deadline = System.nanoTime() + arguments.getInt("minutes") * NANOS_PER_MINUTE;
     long seed = first;
     for (; seed < first + seeds && System.nanoTime() < deadline; seed++) {
-      List<Action> actions = Actions.draw(seed, DEFAULT_ACTIONS);
-      Violation violation = Actions.violation(seed, replicas, actions, breakage);
+      List<Action> actions = ActionSequences.draw(seed, DEFAULT_ACTIONS);
+      InvariantViolation violation =
+          ActionSequences.findViolation(seed, replicas, actions, breakage);
       if (violation != null) {
         return report(seed, replicas, actions, breakage, violation);
       }
@@ -75,12 +76,17 @@
   }
 
   private static int report(
-      long seed, int replicas, List<Action> actions, InjectedFault breakage, Violation violation) {
-    List<Action> shortest = Actions.shorten(seed, replicas, actions, breakage);
+      long seed,
+      int replicas,
+      List<Action> actions,
+      InjectedFault breakage,
+      InvariantViolation violation) {
+    List<Action> shortest = ActionSequences.minimize(seed, replicas, actions, breakage);
     System.out.println("seed " + seed + ": " + violation.getMessage());
     System.out.println("shortest trace found, " + shortest.size() + " actions:");
     shortest.forEach(action -> System.out.println("  " + action));
-    @Nullable Violation last = Actions.violation(seed, replicas, shortest, breakage);
+    @Nullable InvariantViolation last =
+        ActionSequences.findViolation(seed, replicas, shortest, breakage);
     return Main.fail(
         Failure.of(
             ResultCode.PROMISE_BROKEN,
--- a/src/main/java/org/curranthaven/internal/cli/DemoCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoCommand.java
@@ -9,8 +9,8 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.settings.Json;
-import org.curranthaven.internal.standin.ClassTally;
-import org.curranthaven.internal.standin.PromiseTally;
+import org.curranthaven.internal.standin.ClassStatistics;
+import org.curranthaven.internal.standin.GuaranteeViolations;
 
 /** {@code demo}: a whole fleet under load and faults in one process. */
 final class DemoCommand implements Command {
@@ -62,7 +62,7 @@
     } else {
       print(report);
     }
-    return report.promises().allKept() && report.unfinished() == 0
+    return report.promises().noViolations() && report.unfinished() == 0
         ? 0
         : ResultCode.PROMISE_BROKEN.exitCode();
   }
@@ -76,7 +76,7 @@
     }
   }
 
-  static void printClasses(Map<String, ClassTally.Summary> classes) {
+  static void printClasses(Map<String, ClassStatistics.Summary> classes) {
     System.out.println();
     System.out.printf(
         "%-9s %6s %6s %8s %18s %18s %9s  %s%n",
@@ -91,7 +91,7 @@
     classes.forEach(DemoCommand::printClass);
   }
 
-  private static void printClass(String name, ClassTally.Summary summary) {
+  private static void printClass(String name, ClassStatistics.Summary summary) {
     System.out.printf(
         "%-9s %6d %6d %8d %18s %18s %9d  %s%n",
         name,
@@ -108,7 +108,7 @@
         summary.failures().isEmpty() ? "" : summary.failures());
   }
 
-  static void printPromises(PromiseTally.Counts counts) {
+  static void printPromises(GuaranteeViolations.Counts counts) {
     System.out.println("promises broken, counted by callers and backend servers:");
     System.out.printf(
         "  tokens lost %d, repeated %d, out of order %d; generations spliced %d; answers crossed"
--- a/src/main/java/org/curranthaven/internal/cli/DemoRun.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoRun.java
@@ -9,12 +9,12 @@
 import org.curranthaven.api.Outcome;
 import org.curranthaven.internal.host.HostProcess;
 import org.curranthaven.internal.membership.BackendAnnouncement;
-import org.curranthaven.internal.standin.Balancer;
-import org.curranthaven.internal.standin.ClassTally;
+import org.curranthaven.internal.standin.ClassStatistics;
 import org.curranthaven.internal.standin.EngineOptions;
+import org.curranthaven.internal.standin.GuaranteeViolations;
+import org.curranthaven.internal.standin.LoadBalancer;
 import org.curranthaven.internal.standin.LoadGenerator;
 import org.curranthaven.internal.standin.LocalFleet;
-import org.curranthaven.internal.standin.PromiseTally;
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.StandinEngine;
 import org.curranthaven.internal.standin.StandinOptions;
@@ -50,8 +50,8 @@
 
   /** What a run showed. */
   record Report(
-      Map<String, ClassTally.Summary> classes,
-      PromiseTally.Counts promises,
+      Map<String, ClassStatistics.Summary> classes,
+      GuaranteeViolations.Counts promises,
       long preemptions,
       int unfinished) {}
 
@@ -62,7 +62,7 @@
 
   Report run() throws IOException, InterruptedException {
     try (LocalFleet fleet = LocalFleet.start(HOSTS, CONTROL_HOSTS);
-        Balancer balancer = new Balancer(fleet.httpAddresses())) {
+        LoadBalancer balancer = new LoadBalancer(fleet.httpAddresses())) {
       startStandins(fleet.httpAddresses());
       configure(fleet);
       say("five hosts in three data centres are ready, configuration in force");
@@ -79,12 +79,15 @@
 
   private void startStandins(List<String> hosts) throws IOException {
     for (int i = 1; i <= 3; i++) {
-      engines.add(StandinEngine.start(engine("story-" + i, Workloads.STORY, hosts), runLog));
-      engines.add(StandinEngine.start(engine("lounge-" + i, Workloads.LOUNGE, hosts), runLog));
+      engines.add(StandinEngine.start(engine("story-" + i, Workloads.STORY_MODEL, hosts), runLog));
+      engines.add(
+          StandinEngine.start(engine("lounge-" + i, Workloads.LOUNGE_MODEL, hosts), runLog));
     }
     for (int i = 1; i <= 2; i++) {
-      services.add(StandinService.start(engine("desk-" + i, Workloads.DESK, hosts), runLog));
-      services.add(StandinService.start(engine("archive-" + i, Workloads.ARCHIVE, hosts), runLog));
+      services.add(
+          StandinService.start(engine("desk-" + i, Workloads.DESK_SERVICE, hosts), runLog));
+      services.add(
+          StandinService.start(engine("archive-" + i, Workloads.ARCHIVE_SERVICE, hosts), runLog));
     }
   }
 
@@ -107,7 +110,7 @@
             READY_MILLIS, () -> !fleet.host(HOSTS - 1).network().connectedHosts().isEmpty());
     Outcome<JsonNode> outcome =
         answering
-            ? admin.change("demo-setup", 0, "demo", Workloads.configuration())
+            ? admin.change("demo-setup", 0, "demo", Workloads.configurationEdits())
             : Outcome.failed(
                 org.curranthaven.api.ResultCode.HOST_UNREACHABLE, "the hosts do not connect");
     if (outcome instanceof Outcome.Failed<JsonNode> failed) {
@@ -118,27 +121,32 @@
     }
   }
 
-  private Report load(LocalFleet fleet, Balancer balancer) throws InterruptedException {
-    LocalFleet.await(READY_MILLIS, () -> balancer.readyCount() == HOSTS);
+  private Report load(LocalFleet fleet, LoadBalancer balancer) throws InterruptedException {
+    LocalFleet.await(READY_MILLIS, () -> balancer.readyHostCount() == HOSTS);
     try (LoadGenerator load =
-        new LoadGenerator(Workloads.kinds(), Workloads.classes(), balancer, runLog)) {
+        new LoadGenerator(Workloads.requestKinds(), Workloads.serviceClasses(), balancer, runLog)) {
       Thread faults = Thread.ofPlatform().daemon(true).start(() -> faults(fleet, load));
-      load.run(
+      load.sendRequests(
           (long) options.seconds() * MILLIS_PER_SECOND,
           options.requestsPerSecond(),
           options.seed());
       faults.join();
-      say("all " + load.sent() + " requests are sent; waiting for " + load.open() + " answers");
-      int unfinished = load.awaitEnd(END_MILLIS);
-      long preemptions = engines.stream().mapToLong(StandinEngine::preemptions).sum();
-      return new Report(load.classes(), load.promises(), preemptions, unfinished);
+      say(
+          "all "
+              + load.sentRequestCount()
+              + " requests are sent; waiting for "
+              + load.openRequestCount()
+              + " answers");
+      int unfinished = load.awaitCompletion(END_MILLIS);
+      long preemptions = engines.stream().mapToLong(StandinEngine::preemptionCount).sum();
+      return new Report(load.classes(), load.violations(), preemptions, unfinished);
     }
   }
 
   private void faults(LocalFleet fleet, LoadGenerator load) {
     try {
       waitUntil(0.15);
-      boolean silenced = engines.stream().anyMatch(StandinEngine::silenceOneConnection);
+      boolean silenced = engines.stream().anyMatch(StandinEngine::stallOneConnection);
       say(silenced ? "fault: one open stream goes silent for good" : "no stream to silence");
       waitUntil(0.3);
       say("fault: engine " + engines.get(0).name() + " is lost");
@@ -152,7 +160,7 @@
       waitUntil(0.6);
       HostProcess leaving = fleet.host(0);
       say("planned stop of " + leaving.name() + ", which may lead groups");
-      load.plannedStop(leaving.settings().httpAddress());
+      load.recordPlannedStop(leaving.settings().httpAddress());
       int left = leaving.drain();
       leaving.stop();
       say("planned stop of " + leaving.name() + " is done; " + left + " requests were open");
@@ -182,7 +190,7 @@
         "  curl -N http://"
             + fleet.httpAddresses().get(1)
             + "/v1/completions -H 'Authorization: Bearer "
-            + Workloads.KEY
+            + Workloads.API_KEY
             + "' -d '{\"model\":\"lounge\",\"stream\":true,"
             + "\"prompt\":\"[[nonce=me tokens=20]]\"}'");
     say("  curl http://" + fleet.httpAddresses().get(1) + "/admin/v1/dump");
--- a/src/main/java/org/curranthaven/internal/cli/ExperimentCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/ExperimentCommand.java
@@ -8,8 +8,8 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.curranthaven.api.ResultCode;
-import org.curranthaven.internal.experiment.Bounds;
-import org.curranthaven.internal.experiment.Mechanisms;
+import org.curranthaven.internal.experiment.PolicyAblations;
+import org.curranthaven.internal.experiment.PolicyBounds;
 import org.curranthaven.internal.experiment.RoutingExperiment;
 import org.curranthaven.internal.experiment.Scenario;
 import org.curranthaven.internal.routing.Policy;
@@ -46,23 +46,23 @@
         Scenario.all().stream().filter(scenario -> scenario.name().contains(wanted)).toList();
     Map<String, Policy> policies = new LinkedHashMap<>();
     if (arguments.getBoolean("mechanisms")) {
-      policies.putAll(Mechanisms.variants());
+      policies.putAll(PolicyAblations.policiesByName());
     } else {
       RoutingExperiment.policies().forEach(policy -> policies.put(policy.policyName(), policy));
     }
     RoutingExperiment.Report report =
-        RoutingExperiment.run(scenarios, policies, arguments.getInt("seeds"));
+        RoutingExperiment.runAll(scenarios, policies, arguments.getInt("seeds"));
     report.byScenario().forEach(ExperimentCommand::print);
-    List<Bounds.Verdict> verdicts = Bounds.verdicts(report.all());
+    List<PolicyBounds.Verdict> verdicts = PolicyBounds.evaluate(report.acrossScenarios());
     verdicts.forEach(ExperimentCommand::print);
     if (arguments.getBoolean("json")) {
-      System.out.println(Json.text(Map.of("policies", report.all())));
+      System.out.println(Json.text(Map.of("policies", report.acrossScenarios())));
     }
-    boolean allHold = verdicts.stream().allMatch(Bounds.Verdict::holds);
+    boolean allHold = verdicts.stream().allMatch(PolicyBounds.Verdict::holds);
     return allHold ? 0 : ResultCode.TARGETS_NOT_MET.exitCode();
   }
 
-  private static void print(Bounds.Verdict verdict) {
+  private static void print(PolicyBounds.Verdict verdict) {
     System.out.printf(
         "%-34s %8.3f  bound %s %.2f  %s%n",
         verdict.name(),
--- a/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
@@ -8,7 +8,7 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.settings.Json;
-import org.curranthaven.internal.standin.Balancer;
+import org.curranthaven.internal.standin.LoadBalancer;
 import org.curranthaven.internal.standin.LoadGenerator;
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.Workloads;
@@ -48,29 +48,30 @@
       int exit =
           ChangeReporter.report(
               new AdminClient(hosts.getFirst())
-                  .change(HostOption.operator(), Workloads.configuration()),
+                  .change(HostOption.operator(), Workloads.configurationEdits()),
               false);
       if (exit != 0) {
         return exit;
       }
     }
-    try (Balancer balancer = new Balancer(hosts);
+    try (LoadBalancer balancer = new LoadBalancer(hosts);
         LoadGenerator load =
-            new LoadGenerator(Workloads.kinds(), Workloads.classes(), balancer, new RunLog())) {
+            new LoadGenerator(
+                Workloads.requestKinds(), Workloads.serviceClasses(), balancer, new RunLog())) {
       Thread.sleep(BALANCER_MILLIS);
-      load.run(
+      load.sendRequests(
           (long) arguments.getInt("seconds") * MILLIS_PER_SECOND,
           arguments.getDouble("rate"),
           arguments.getLong("seed"));
-      int unfinished = load.awaitEnd(END_MILLIS);
+      int unfinished = load.awaitCompletion(END_MILLIS);
       if (arguments.getBoolean("json")) {
         System.out.println(
-            Json.text(Map.of("classes", load.classes(), "promises", load.promises())));
+            Json.text(Map.of("classes", load.classes(), "promises", load.violations())));
       } else {
         DemoCommand.printClasses(load.classes());
-        DemoCommand.printPromises(load.promises());
+        DemoCommand.printPromises(load.violations());
       }
-      return load.promises().allKept() && unfinished == 0
+      return load.violations().noViolations() && unfinished == 0
           ? 0
           : ResultCode.PROMISE_BROKEN.exitCode();
     }
--- a/src/main/java/org/curranthaven/internal/experiment/RoutingExperiment.java
+++ b/src/main/java/org/curranthaven/internal/experiment/RoutingExperiment.java
@@ -7,15 +7,16 @@
 import org.curranthaven.internal.routing.ForecastOptions;
 import org.curranthaven.internal.routing.Policy;
 
-/** Compares policies over scenarios and seeds. */
+/** Compares routing policies over scenarios and seeds. */
 public final class RoutingExperiment {
   private RoutingExperiment() {}
 
   /**
-   * Figures of a policy, over all seeds; times in milliseconds.
+   * Figures of a policy over all seeds; times in milliseconds.
    *
-   * @param met share of requests answered within their class's first-reply and answer targets; a
-   *     shed request is a missed one
+   * @param met share of requests that met the first-reply and complete-response targets of their
+   *     class; a shed request counts as a miss
+   * @param decisionMicros mean time that a routing core takes to handle an event
    */
   public record Figures(
       long stallMillis,
@@ -30,23 +31,23 @@
       double decisionMicros,
       Map<String, Double> metByClass) {
 
-    static Figures of(RunResult result) {
+    static Figures of(SimulationResult result) {
       return new Figures(
           result.stallMillis,
           result.preemptions,
-          result.gaps.getValueAtPercentile(99),
-          result.gaps.getValueAtPercentile(99.9),
+          result.tokenGaps.getValueAtPercentile(99),
+          result.tokenGaps.getValueAtPercentile(99.9),
           result.firstReplyP99Millis("door"),
-          result.shed,
+          result.shedRequests,
           Math.round(result.tokensPerSecond()),
-          result.requests == 0 ? 0 : (double) result.met / result.requests,
+          result.requests == 0 ? 0 : (double) result.requestsOnTarget / result.requests,
           result.requests,
-          result.decisions == 0 ? 0 : result.decisionNanos / 1e3 / result.decisions,
-          result.metShares());
+          result.handledEvents == 0 ? 0 : result.eventHandlingNanos / 1e3 / result.handledEvents,
+          result.onTargetShares());
     }
   }
 
-  /** Returns the policies that are compared. */
+  /** Returns the policies to compare. */
   public static List<Policy> policies() {
     return List.of(
         new Policy.Forecast(ForecastOptions.standard()),
@@ -57,52 +58,59 @@
         new Policy.Forecast(ForecastOptions.oracleOptions()));
   }
 
-  /** Figures by scenario name, then by policy name; the scenario {@code all} has them together. */
+  /**
+   * Figures by scenario name, then by policy name; the scenario {@code all} combines all scenarios.
+   */
   public record Report(Map<String, Map<String, Figures>> byScenario) {
-    /** Returns the figures of all scenarios together, by policy name. */
-    public Map<String, Figures> all() {
+    /** Returns the figures over all scenarios, by policy name. */
+    public Map<String, Figures> acrossScenarios() {
       return byScenario.getOrDefault("all", Map.of());
     }
   }
 
-  private record Job(Scenario scenario, String label, Policy policy, long seed) {}
+  private record SimulationJob(Scenario scenario, String policyName, Policy policy, long seed) {}
 
-  private record Done(Job job, RunResult result) {}
+  private record CompletedJob(SimulationJob job, SimulationResult result) {}
 
-  /** Runs every policy on every scenario with seeds from 1. */
-  public static Report run(List<Scenario> scenarios, Map<String, Policy> policies, int seeds) {
-    List<Job> jobs = new ArrayList<>();
+  /** Runs every policy on every scenario with the seeds 1 to {@code seedCount}. */
+  public static Report runAll(
+      List<Scenario> scenarios, Map<String, Policy> policies, int seedCount) {
+    List<SimulationJob> jobs = new ArrayList<>();
     for (Scenario scenario : scenarios) {
       policies.forEach(
-          (label, policy) -> {
-            for (long seed = 1; seed <= seeds; seed++) {
-              jobs.add(new Job(scenario, label, policy, seed));
+          (policyName, policy) -> {
+            for (long seed = 1; seed <= seedCount; seed++) {
+              jobs.add(new SimulationJob(scenario, policyName, policy, seed));
             }
           });
     }
-    List<Done> done =
+    List<CompletedJob> completedJobs =
         jobs.parallelStream()
-            .map(job -> new Done(job, PolicyRun.run(job.scenario(), job.policy(), job.seed())))
+            .map(
+                job ->
+                    new CompletedJob(
+                        job, PolicySimulation.run(job.scenario(), job.policy(), job.seed())))
             .toList();
-    return report(done);
+    return aggregate(completedJobs);
   }
 
-  private static Report report(List<Done> done) {
-    Map<String, Map<String, RunResult>> sums = new LinkedHashMap<>();
-    for (Done run : done) {
-      for (String scenario : List.of(run.job().scenario().name(), "all")) {
-        sums.computeIfAbsent(scenario, name -> new LinkedHashMap<>())
-            .computeIfAbsent(run.job().label(), name -> new RunResult())
-            .add(run.result());
+  private static Report aggregate(List<CompletedJob> completedJobs) {
+    Map<String, Map<String, SimulationResult>> resultsByScenario = new LinkedHashMap<>();
+    for (CompletedJob completed : completedJobs) {
+      for (String scenario : List.of(completed.job().scenario().name(), "all")) {
+        resultsByScenario
+            .computeIfAbsent(scenario, name -> new LinkedHashMap<>())
+            .computeIfAbsent(completed.job().policyName(), name -> new SimulationResult())
+            .add(completed.result());
       }
     }
-    Map<String, Map<String, Figures>> figures = new LinkedHashMap<>();
-    sums.forEach(
+    Map<String, Map<String, Figures>> figuresByScenario = new LinkedHashMap<>();
+    resultsByScenario.forEach(
         (scenario, byPolicy) -> {
-          Map<String, Figures> row = new LinkedHashMap<>();
-          byPolicy.forEach((policy, result) -> row.put(policy, Figures.of(result)));
-          figures.put(scenario, row);
+          Map<String, Figures> figuresByPolicy = new LinkedHashMap<>();
+          byPolicy.forEach((policy, result) -> figuresByPolicy.put(policy, Figures.of(result)));
+          figuresByScenario.put(scenario, figuresByPolicy);
         });
-    return new Report(figures);
+    return new Report(figuresByScenario);
   }
 }
--- a/src/main/java/org/curranthaven/internal/experiment/Scenario.java
+++ b/src/main/java/org/curranthaven/internal/experiment/Scenario.java
@@ -5,25 +5,25 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import org.curranthaven.internal.standin.EngineOptions;
-import org.curranthaven.internal.standin.WorkKind;
+import org.curranthaven.internal.standin.RequestKind;
 
 /**
- * What happens in a run: the users' shapes of work, calm or crowded, with and without faults.
+ * The conditions of a simulated run: a workload, its load over time, and faults.
  *
- * @param kind what the scenario is about
- * @param user whose shape of work it has
+ * @param kind event or fault of the scenario
+ * @param workload kinds of requests and number of engines
  */
-public record Scenario(Kind kind, User user) {
-  /** Length of the time in which requests arrive, in milliseconds. */
-  public static final long ARRIVAL_MILLIS = 40_000;
+public record Scenario(Kind kind, Workload workload) {
+  /** How long requests arrive. */
+  public static final long ARRIVAL_DURATION_MILLIS = 40_000;
 
-  /** When the scenario's own event begins, in milliseconds. */
-  static final long EVENT_MILLIS = 15_000;
+  /** Start of the scenario's event. */
+  static final long EVENT_START_MILLIS = 15_000;
 
-  /** How long a rush or flood lasts, in milliseconds. */
-  static final long EVENT_LENGTH_MILLIS = 10_000;
+  /** Duration of a load peak or of frozen reports. */
+  static final long EVENT_DURATION_MILLIS = 10_000;
 
-  /** What a scenario is about. */
+  /** The event or fault of a scenario. */
   public enum Kind {
     CALM,
     BOARDING_RUSH,
@@ -36,102 +36,104 @@
     SLOW_ENGINE,
     WORKSPACE_FLOOD;
 
-    /** Returns the name as it stands in reports. */
+    /** Returns the name as written to reports. */
     public String reportName() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
   }
 
-  /** The two users. */
-  public enum User {
+  /** The two workloads. */
+  public enum Workload {
     GUILD,
     LOUNGE
   }
 
-  /** Returns every scenario. */
+  /** Returns every combination of kind and workload. */
   public static List<Scenario> all() {
     List<Scenario> all = new ArrayList<>();
     for (Kind kind : Kind.values()) {
-      for (User user : User.values()) {
+      for (Workload user : Workload.values()) {
         all.add(new Scenario(kind, user));
       }
     }
     return all;
   }
 
-  /** Returns the name as it stands in reports. */
+  /** Returns the name as written to reports, as workload/kind. */
   public String name() {
-    return user.name().toLowerCase(Locale.ROOT) + "/" + kind.reportName();
+    return workload.name().toLowerCase(Locale.ROOT) + "/" + kind.reportName();
   }
 
-  /** Returns the number of engines: the users' sizes of today. */
+  /** Returns the number of engines, which is that of the workload's present deployment. */
   int engineCount() {
-    return user == User.GUILD ? 10 : 8;
+    return workload == Workload.GUILD ? 10 : 8;
   }
 
-  /** Returns the constants of an engine. */
-  EngineOptions engine(int place) {
-    EngineOptions options = EngineOptions.standard().withBlocks(user == User.GUILD ? 1_600 : 1_000);
-    return kind == Kind.SLOW_ENGINE && place == 0 ? options.slowedBy(3) : options;
+  /** Returns the options of the engine at the index. */
+  EngineOptions engineOptions(int index) {
+    EngineOptions options =
+        EngineOptions.standard().withBlocks(workload == Workload.GUILD ? 1_600 : 1_000);
+    return kind == Kind.SLOW_ENGINE && index == 0 ? options.slowedBy(3) : options;
   }
 
-  /** Returns the kinds of requests of the user's model, with their shares. */
-  List<WorkKind> kinds() {
-    return user == User.GUILD
+  /** Returns the kinds of requests of the workload, with their relative frequencies. */
+  List<RequestKind> requestKinds() {
+    return workload == Workload.GUILD
         ? List.of(
-            new WorkKind("note", "story", false, true, 100, 60, 0.5, 3),
-            new WorkKind("draft", "story", false, true, 200, 500, 0.8, 4),
-            new WorkKind("tag", "story", false, true, 300, 20, 0.4, 3))
+            new RequestKind("note", "story", false, true, 100, 60, 0.5, 3),
+            new RequestKind("draft", "story", false, true, 200, 500, 0.8, 4),
+            new RequestKind("tag", "story", false, true, 300, 20, 0.4, 3))
         : List.of(
-            new WorkKind("door", "lounge", false, true, 60, 8, 0.3, 6),
-            new WorkKind("note", "lounge", false, true, 120, 50, 0.4, 2.5),
-            new WorkKind("summary", "lounge", false, true, 400, 350, 0.7, 1.5));
+            new RequestKind("door", "lounge", false, true, 60, 8, 0.3, 6),
+            new RequestKind("note", "lounge", false, true, 120, 50, 0.4, 2.5),
+            new RequestKind("summary", "lounge", false, true, 400, 350, 0.7, 1.5));
   }
 
-  /** Returns the mean rate of arrivals in calm, in requests a second. */
-  double calmRate() {
-    return user == User.GUILD ? 85 : 170;
+  /** Returns the mean arrival rate outside the event. */
+  double baseRequestsPerSecond() {
+    return workload == Workload.GUILD ? 85 : 170;
   }
 
   /**
-   * One request of a run.
+   * The arrival of a request.
    *
-   * @param atMillis when it arrives
-   * @param kind what it asks
-   * @param tokens length of its answer
-   * @param prefix number of the prompt's beginning, from a small set
-   * @param workspace who asks
+   * @param atMillis arrival time
+   * @param requestKind kind of the request
+   * @param outputTokens output length
+   * @param prefixId id of the prompt's prefix, from a small set
+   * @param workspace workspace that sends the request
    */
-  record Arrival(long atMillis, WorkKind kind, int tokens, long prefix, String workspace) {}
+  record Arrival(
+      long atMillis, RequestKind requestKind, int outputTokens, long prefixId, String workspace) {}
 
-  /** Draws the arrivals of a seed. */
+  /** Draws the arrivals; the same seed gives the same arrivals. */
   List<Arrival> arrivals(long seed) {
     SplittableRandom random = new SplittableRandom(seed * 7_919 + kind.name().hashCode());
     List<Arrival> arrivals = new ArrayList<>();
     double atMillis = 0;
     while (true) {
-      double rate = calmRate() * rateFactor((long) atMillis);
-      atMillis += -Math.log(1 - random.nextDouble()) * 1_000 / rate;
-      if (atMillis >= ARRIVAL_MILLIS) {
+      double requestsPerSecond = baseRequestsPerSecond() * rateFactor((long) atMillis);
+      atMillis += -Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
+      if (atMillis >= ARRIVAL_DURATION_MILLIS) {
         return arrivals;
       }
-      WorkKind drawn = draw((long) atMillis, random);
+      RequestKind requestKind = drawRequestKind((long) atMillis, random);
       arrivals.add(
           new Arrival(
               (long) atMillis,
-              drawn,
-              drawn.drawTokens(random),
+              requestKind,
+              requestKind.drawOutputTokens(random),
               1 + random.nextInt(40),
-              workspace((long) atMillis, random)));
+              drawWorkspace((long) atMillis, random)));
     }
   }
 
-  boolean inEvent(long atMillis) {
-    return atMillis >= EVENT_MILLIS && atMillis < EVENT_MILLIS + EVENT_LENGTH_MILLIS;
+  boolean isDuringEvent(long atMillis) {
+    return atMillis >= EVENT_START_MILLIS && atMillis < EVENT_START_MILLIS + EVENT_DURATION_MILLIS;
   }
 
   private double rateFactor(long atMillis) {
-    if (!inEvent(atMillis)) {
+    if (!isDuringEvent(atMillis)) {
       return kind == Kind.ALL_FILLING ? 1.3 : 1;
     }
     return switch (kind) {
@@ -143,16 +145,16 @@
     };
   }
 
-  private WorkKind draw(long atMillis, SplittableRandom random) {
-    List<WorkKind> kinds = kinds();
-    if (inEvent(atMillis) && kind == Kind.BOARDING_RUSH && random.nextDouble() < 0.6) {
+  private RequestKind drawRequestKind(long atMillis, SplittableRandom random) {
+    List<RequestKind> kinds = requestKinds();
+    if (isDuringEvent(atMillis) && kind == Kind.BOARDING_RUSH && random.nextDouble() < 0.6) {
       return kinds.getFirst();
     }
-    if (inEvent(atMillis) && kind == Kind.CHAPTER_FLOOD && random.nextDouble() < 0.4) {
-      return longest(kinds);
+    if (isDuringEvent(atMillis) && kind == Kind.CHAPTER_FLOOD && random.nextDouble() < 0.4) {
+      return kindWithLongestOutput(kinds);
     }
-    double point = random.nextDouble() * kinds.stream().mapToDouble(WorkKind::weight).sum();
-    for (WorkKind candidate : kinds) {
+    double point = random.nextDouble() * kinds.stream().mapToDouble(RequestKind::weight).sum();
+    for (RequestKind candidate : kinds) {
       point -= candidate.weight();
       if (point < 0) {
         return candidate;
@@ -161,15 +163,15 @@
     return kinds.getLast();
   }
 
-  private static WorkKind longest(List<WorkKind> kinds) {
+  private static RequestKind kindWithLongestOutput(List<RequestKind> kinds) {
     return kinds.stream()
-        .max(java.util.Comparator.comparingInt(WorkKind::medianTokens))
+        .max(java.util.Comparator.comparingInt(RequestKind::medianOutputTokens))
         .orElseThrow();
   }
 
-  private String workspace(long atMillis, SplittableRandom random) {
+  private String drawWorkspace(long atMillis, SplittableRandom random) {
     boolean flooding =
-        kind == Kind.WORKSPACE_FLOOD && inEvent(atMillis) && random.nextDouble() < 0.45;
+        kind == Kind.WORKSPACE_FLOOD && isDuringEvent(atMillis) && random.nextDouble() < 0.45;
     return flooding ? "w0" : "w" + random.nextInt(10);
   }
 }
--- a/src/main/java/org/curranthaven/internal/experiment/TraceReplay.java
+++ b/src/main/java/org/curranthaven/internal/experiment/TraceReplay.java
@@ -20,32 +20,34 @@
 import org.curranthaven.internal.settings.Json;
 
 /**
- * Runs the routing core on a recorded trace. The same trace gives the same decisions to the byte.
+ * Replays a recorded trace of events through the routing core. The same trace always gives exactly
+ * the same decisions.
  *
- * <p>The cores' decisions do not change what the trace holds next: it tells how the policy decides
- * on what was seen, not what callers would have seen.
+ * <p>The decisions do not change the later events of the trace. A replay therefore shows how the
+ * policy decides on the recorded events, not what callers would have observed.
  */
 public final class TraceReplay {
   private TraceReplay() {}
 
   /**
-   * What a replay decided.
+   * Result of a replay.
    *
    * @param decisions each decision as a JSON line, in order
-   * @param outcomes the figures to compare with stated ones
+   * @param outcomes figures to compare with the expected ones
    */
   public record Result(List<String> decisions, Outcomes outcomes) {}
 
   /**
-   * Outcomes of a trace.
+   * Figures of a replay.
    *
-   * @param arrived requests that arrived
-   * @param dispatched requests sent to a server
-   * @param shed requests given up
-   * @param sentToUnusable requests sent to a server after it had gone; a fault if not 0
-   * @param sentTwice requests sent more than once without having ended; a fault if not 0
-   * @param lateByClass requests of each class sent after their first-reply target
-   * @param decisionsSha256 hash of all decisions, for a replay that is equal to the byte
+   * @param arrived number of requests that arrived
+   * @param dispatched number of requests sent to a backend server
+   * @param shed number of requests rejected because of overload
+   * @param sentToUnusable number of requests sent to a backend server after its removal; a fault if
+   *     not 0
+   * @param sentTwice number of requests sent again before they had ended; a fault if not 0
+   * @param lateByClass number of requests of each class sent after their due time
+   * @param decisionsSha256 SHA-256 of all decisions, to detect any difference
    */
   public record Outcomes(
       int arrived,
@@ -56,71 +58,74 @@
       Map<String, Integer> lateByClass,
       String decisionsSha256) {}
 
-  /** Replays the lines of a trace. */
+  /** Replays a trace, given as its lines. */
   public static Result run(List<String> lines) throws JsonProcessingException {
     RoutingRecorder.Header header =
         Json.MAPPER.readValue(lines.getFirst(), RoutingRecorder.Header.class);
     if (!header.trace().equals(RoutingRecorder.Header.KIND)) {
-      throw new IllegalArgumentException("trace kind " + header.trace() + " is not known");
+      throw new IllegalArgumentException(
+          "unknown trace kind " + header.trace() + "; expected " + RoutingRecorder.Header.KIND);
     }
     RoutingCore core =
         new RoutingCore(
             header.host(),
             new Policy.Forecast(ForecastOptions.standard()),
             new SplittableRandom(header.seed()));
-    Tally tally = new Tally();
+    OutcomeCounter counter = new OutcomeCounter();
     for (String line : lines.subList(1, lines.size())) {
       RoutingRecorder.Line entry = Json.MAPPER.readValue(line, RoutingRecorder.Line.class);
-      tally.event(entry.event());
-      core.handle(entry.event(), entry.now()).forEach(decision -> tally.decision(decision));
+      counter.recordEvent(entry.event());
+      core.handle(entry.event(), entry.now()).forEach(decision -> counter.recordDecision(decision));
     }
-    return tally.result();
+    return counter.result();
   }
 
-  private static final class Tally {
+  /** Counts the outcomes of a replay from its events and decisions. */
+  private static final class OutcomeCounter {
     private final List<String> decisions = new ArrayList<>();
-    private final Map<Long, RequestAttributes> requests = new HashMap<>();
-    private final Set<Long> open = new HashSet<>();
-    private final Set<String> gone = new HashSet<>();
-    private final Map<String, Integer> late = new TreeMap<>();
+    private final Map<Long, RequestAttributes> requestsById = new HashMap<>();
+    private final Set<Long> openRequests = new HashSet<>();
+    private final Set<String> removedBackends = new HashSet<>();
+    private final Map<String, Integer> lateByClass = new TreeMap<>();
     private int arrived;
     private int dispatched;
     private int shed;
     private int sentToUnusable;
     private int sentTwice;
 
-    void event(RoutingEvent event) {
+    void recordEvent(RoutingEvent event) {
       switch (event) {
         case RoutingEvent.Arrived arrival -> {
           arrived++;
-          requests.put(arrival.request().id(), arrival.request());
+          requestsById.put(arrival.request().id(), arrival.request());
         }
-        case RoutingEvent.Finished finished -> open.remove(finished.requestId());
-        case RoutingEvent.BackendRemoved server -> gone.add(server.server());
-        case RoutingEvent.BackendReported reported -> gone.remove(reported.report().name());
+        case RoutingEvent.Finished finished -> openRequests.remove(finished.requestId());
+        case RoutingEvent.BackendRemoved removed -> removedBackends.add(removed.server());
+        case RoutingEvent.BackendReported reported ->
+            removedBackends.remove(reported.report().name());
         default -> {}
       }
     }
 
-    void decision(RoutingDecision decision) {
+    void recordDecision(RoutingDecision decision) {
       decisions.add(Json.text(decision));
       switch (decision) {
-        case RoutingDecision.Dispatch dispatch -> dispatched(dispatch);
+        case RoutingDecision.Dispatch dispatch -> recordDispatch(dispatch);
         case RoutingDecision.Shed ignored -> shed++;
       }
     }
 
-    private void dispatched(RoutingDecision.Dispatch dispatch) {
+    private void recordDispatch(RoutingDecision.Dispatch dispatch) {
       dispatched++;
-      if (gone.contains(dispatch.server())) {
+      if (removedBackends.contains(dispatch.server())) {
         sentToUnusable++;
       }
-      if (!open.add(dispatch.requestId())) {
+      if (!openRequests.add(dispatch.requestId())) {
         sentTwice++;
       }
-      RequestAttributes request = requests.get(dispatch.requestId());
+      RequestAttributes request = requestsById.get(dispatch.requestId());
       if (request != null && dispatch.reason().slackMillis() < 0) {
-        late.merge(request.className(), 1, Integer::sum);
+        lateByClass.merge(request.className(), 1, Integer::sum);
       }
     }
 
@@ -128,7 +133,7 @@
       String hash = Hashes.sha256Hex(String.join("\n", decisions));
       return new Result(
           decisions,
-          new Outcomes(arrived, dispatched, shed, sentToUnusable, sentTwice, late, hash));
+          new Outcomes(arrived, dispatched, shed, sentToUnusable, sentTwice, lateByClass, hash));
     }
   }
 }
--- a/src/main/java/org/curranthaven/internal/experiment/package-info.java
+++ b/src/main/java/org/curranthaven/internal/experiment/package-info.java
@@ -1,4 +1,4 @@
-/** Routing policies compared on the same arrivals, on given time. */
+/** Comparison of routing policies on the same arrivals in simulated time, and trace replay. */
 @NullMarked
 package org.curranthaven.internal.experiment;
 
--- a/src/main/java/org/curranthaven/internal/standin/ClassTally.java
+++ b/src/main/java/org/curranthaven/internal/standin/ClassStatistics.java
@@ -5,25 +5,25 @@
 import org.HdrHistogram.Histogram;
 import org.curranthaven.api.Targets;
 
-/** What callers of one class saw. Thread-safe. */
-public final class ClassTally {
+/** Statistics of one class of requests, as observed by the callers. Thread-safe. */
+public final class ClassStatistics {
   private static final long MAX_MILLIS = 3_600_000;
 
   private final Targets targets;
-  private final Histogram firstReply = new Histogram(MAX_MILLIS, 3);
-  private final Histogram gaps = new Histogram(MAX_MILLIS, 3);
+  private final Histogram firstReplies = new Histogram(MAX_MILLIS, 3);
+  private final Histogram tokenGaps = new Histogram(MAX_MILLIS, 3);
   private final Map<String, Integer> failures = new TreeMap<>();
   private long sent;
   private long completed;
   private long onTime;
   private long stallMillis;
 
-  /** Creates the tally of a class. */
-  public ClassTally(Targets targets) {
+  /** Creates empty statistics of a class with the given targets. */
+  public ClassStatistics(Targets targets) {
     this.targets = targets;
   }
 
-  /** What callers of one class saw, as it stands in reports; times in milliseconds. */
+  /** The statistics as written to reports; times in milliseconds. */
   public record Summary(
       long sent,
       long completed,
@@ -37,41 +37,41 @@
       long gapTargetMillis,
       Map<String, Integer> failures) {}
 
-  synchronized void sent() {
+  synchronized void recordSent() {
     sent++;
   }
 
-  synchronized void firstReply(long millis) {
-    firstReply.recordValue(Math.clamp(millis, 0, MAX_MILLIS));
+  synchronized void recordFirstReply(long millis) {
+    firstReplies.recordValue(Math.clamp(millis, 0, MAX_MILLIS));
     if (millis <= targets.firstReplyMillis()) {
       onTime++;
     }
   }
 
-  synchronized void gap(long millis) {
-    gaps.recordValue(Math.clamp(millis, 0, MAX_MILLIS));
+  synchronized void recordTokenGap(long millis) {
+    tokenGaps.recordValue(Math.clamp(millis, 0, MAX_MILLIS));
     stallMillis += Math.max(0, millis - targets.gapMillis());
   }
 
-  synchronized void completed() {
+  synchronized void recordCompletion() {
     completed++;
   }
 
-  synchronized void failed(String reason) {
+  synchronized void recordFailure(String reason) {
     failures.merge(reason, 1, Integer::sum);
   }
 
-  /** Returns the figures so far. */
+  /** Returns a summary of the requests so far. */
   public synchronized Summary summary() {
     return new Summary(
         sent,
         completed,
         onTime,
         stallMillis,
-        firstReply.getValueAtPercentile(50),
-        firstReply.getValueAtPercentile(99),
-        gaps.getValueAtPercentile(99),
-        gaps.getValueAtPercentile(99.9),
+        firstReplies.getValueAtPercentile(50),
+        firstReplies.getValueAtPercentile(99),
+        tokenGaps.getValueAtPercentile(99),
+        tokenGaps.getValueAtPercentile(99.9),
         targets.firstReplyMillis(),
         targets.gapMillis(),
         new TreeMap<>(failures));
--- a/src/main/java/org/curranthaven/internal/standin/EngineEvent.java
+++ b/src/main/java/org/curranthaven/internal/standin/EngineEvent.java
@@ -1,13 +1,16 @@
 package org.curranthaven.internal.standin;
 
-/** What an {@link EngineModel} did. */
+/** An event of an {@link EngineModel}. */
 public sealed interface EngineEvent {
-  /** Returns the generation concerned. */
+  /** Returns the id of the generation. */
   String generation();
 
-  /** A token came out at {@code atMicros}; {@code last} tells that the generation is complete. */
+  /** A token was produced; {@code last} means that the generation is complete. */
   record Token(String generation, int index, boolean last, long atMicros) implements EngineEvent {}
 
-  /** Memory ran out and the generation lost its place; it starts again later from its prompt. */
+  /**
+   * The generation was removed from the batch because memory ran out; its prompt and tokens are
+   * computed again later.
+   */
   record Preempted(String generation, long atMicros) implements EngineEvent {}
 }
--- a/src/main/java/org/curranthaven/internal/standin/EngineModel.java
+++ b/src/main/java/org/curranthaven/internal/standin/EngineModel.java
@@ -10,56 +10,58 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A model engine on given time: continuous batching in steps, memory blocks that fill as tokens
- * come, preemption when they are full, priorities, a prefix cache, and cancelling. It stands in for
- * real engines in tests, experiments and the demo. Not thread-safe.
+ * Simulates a model engine in the time that the caller gives: continuous batching in steps, memory
+ * blocks that fill as tokens are produced, preemption when no block is free, priorities, a prefix
+ * cache, and cancellation. Used in place of real engines in tests, experiments and the demo. Not
+ * thread-safe.
  */
 public final class EngineModel {
-  /** Tokens in one memory block. */
+  /** Number of tokens that one memory block holds. */
   public static final int TOKENS_PER_BLOCK = 16;
 
   private final EngineOptions options;
   private final Map<String, Sequence> sequences = new HashMap<>();
   private final List<Sequence> running = new ArrayList<>();
   private final List<Sequence> waiting = new ArrayList<>();
-  private final LinkedHashMap<Long, Boolean> prefixes;
+  private final LinkedHashMap<Long, Boolean> prefixCache;
   private int blocksUsed;
-  private long nextOrder;
+  private long nextArrivalOrder;
   private long stepEndMicros;
-  private long preemptions;
+  private long preemptionCount;
 
+  /** A generation with its progress and memory. */
   private static final class Sequence {
     final String generation;
     final int promptTokens;
     final int outputTokens;
     final int priority;
     final long prefixHash;
-    final long order;
-    int produced;
+    final long arrivalOrder;
+    int producedTokens;
     int blocks;
-    int prefillLeft;
+    int prefillTokensLeft;
     boolean inBatch;
 
-    Sequence(EngineRequest request, long order) {
+    Sequence(EngineRequest request, long arrivalOrder) {
       this.generation = request.generation();
       this.promptTokens = request.promptTokens();
       this.outputTokens = request.outputTokens();
       this.priority = request.priority();
       this.prefixHash = request.prefixHash();
-      this.produced = request.alreadyProduced();
-      this.order = order;
+      this.producedTokens = request.alreadyProducedTokens();
+      this.arrivalOrder = arrivalOrder;
     }
 
-    int tokens() {
-      return promptTokens + produced;
+    int totalTokens() {
+      return promptTokens + producedTokens;
     }
   }
 
   /**
-   * A generation to run.
+   * A request for a generation.
    *
-   * @param outputTokens its true length, which the engine's clients do not know
-   * @param alreadyProduced tokens that another engine produced before
+   * @param outputTokens actual output length, which the engine's clients do not know
+   * @param alreadyProducedTokens output tokens that another engine produced before
    */
   public record EngineRequest(
       String generation,
@@ -67,12 +69,12 @@
       int outputTokens,
       int priority,
       long prefixHash,
-      int alreadyProduced) {}
+      int alreadyProducedTokens) {}
 
   /** Creates an idle engine. */
   public EngineModel(EngineOptions options) {
     this.options = options;
-    this.prefixes =
+    this.prefixCache =
         new LinkedHashMap<>(16, 0.75f, true) {
           private static final long serialVersionUID = 1;
 
@@ -83,12 +85,12 @@
         };
   }
 
-  /** Takes a generation in. */
+  /** Adds a generation to the waiting ones. */
   public void submit(EngineRequest request, long nowMicros) {
     if (running.isEmpty() && waiting.isEmpty()) {
       stepEndMicros = Math.max(stepEndMicros, nowMicros);
     }
-    Sequence sequence = new Sequence(request, nextOrder++);
+    Sequence sequence = new Sequence(request, nextArrivalOrder++);
     sequences.put(sequence.generation, sequence);
     waiting.add(sequence);
   }
@@ -107,115 +109,121 @@
   }
 
   /** Returns whether the generation is running or waiting. */
-  public boolean knows(String generation) {
+  public boolean hasGeneration(String generation) {
     return sequences.containsKey(generation);
   }
 
-  /** Returns memory blocks in use. */
+  /** Returns the number of memory blocks in use. */
   public int blocksUsed() {
     return blocksUsed;
   }
 
-  /** Returns memory blocks in all. */
+  /** Returns the total number of memory blocks. */
   public int blocksTotal() {
     return options.blocksTotal();
   }
 
   /** Returns the number of sequences that hold memory. */
-  public int running() {
+  public int runningCount() {
     return running.size();
   }
 
-  /** Returns the number of sequences that wait for memory or a place in the batch. */
-  public int waiting() {
+  /** Returns the number of sequences that wait for memory or for a slot in the batch. */
+  public int waitingCount() {
     return waiting.size();
   }
 
   /** Returns the number of preemptions so far. */
-  public long preemptions() {
-    return preemptions;
+  public long preemptionCount() {
+    return preemptionCount;
   }
 
-  /** Returns the prefixes in the cache. */
+  /** Returns the hashes of the prefixes in the cache. */
   public List<Long> cachedPrefixes() {
-    return List.copyOf(prefixes.keySet());
+    return List.copyOf(prefixCache.keySet());
   }
 
-  /** Returns when the step under way ends; {@link Long#MAX_VALUE} when the engine is idle. */
+  /** Returns when the current step ends, or {@link Long#MAX_VALUE} if the engine is idle. */
   public long nextEventMicros() {
     return running.isEmpty() && waiting.isEmpty() ? Long.MAX_VALUE : stepEndMicros;
   }
 
-  /** Runs every step that ends up to {@code nowMicros}; returns what happened, in order. */
+  /** Runs every step that is due by {@code nowMicros} and returns the events in order. */
   public List<EngineEvent> advance(long nowMicros) {
     List<EngineEvent> events = new ArrayList<>();
     while (!(running.isEmpty() && waiting.isEmpty()) && stepEndMicros <= nowMicros) {
-      step(events);
+      runStep(events);
     }
     return events;
   }
 
-  private void step(List<EngineEvent> events) {
-    admit();
-    int prefilled = prefill();
-    int decoded = decode(events);
-    long length =
+  private void runStep(List<EngineEvent> events) {
+    admitWaiting();
+    int prefilledTokens = prefill();
+    int decodedTokens = decode(events);
+    long stepMicros =
         options.stepBaseMicros()
-            + decoded * options.stepPerSequenceMicros()
-            + prefilled * options.prefillMicrosPerToken();
-    stepEndMicros += length;
+            + decodedTokens * options.stepPerSequenceMicros()
+            + prefilledTokens * options.prefillMicrosPerToken();
+    stepEndMicros += stepMicros;
   }
 
-  private void admit() {
+  /** Moves waiting sequences into the batch until the next one does not fit. */
+  private void admitWaiting() {
     if (options.honoursPriority()) {
       waiting.sort(
-          Comparator.<Sequence>comparingInt(s -> s.priority).thenComparingLong(s -> s.order));
+          Comparator.<Sequence>comparingInt(s -> s.priority)
+              .thenComparingLong(s -> s.arrivalOrder));
     }
     Iterator<Sequence> candidates = waiting.iterator();
     while (candidates.hasNext() && running.size() < options.maxBatch()) {
       Sequence sequence = candidates.next();
-      int needed = blocksFor(sequence.tokens() + 1);
-      if (blocksUsed + needed > options.blocksTotal()) {
+      int blocksNeeded = blocksFor(sequence.totalTokens() + 1);
+      if (blocksUsed + blocksNeeded > options.blocksTotal()) {
         return;
       }
       candidates.remove();
-      sequence.blocks = needed;
-      blocksUsed += needed;
-      sequence.prefillLeft = prefillTokens(sequence);
+      sequence.blocks = blocksNeeded;
+      blocksUsed += blocksNeeded;
+      sequence.prefillTokensLeft = prefillTokens(sequence);
       sequence.inBatch = true;
       running.add(sequence);
     }
   }
 
+  /** Returns the number of tokens to compute before decoding, less those found in the cache. */
   private int prefillTokens(Sequence sequence) {
-    boolean hit = sequence.prefixHash != 0 && prefixes.get(sequence.prefixHash) != null;
-    int saved = hit ? Math.min(options.cachedPrefixTokens(), sequence.promptTokens - 1) : 0;
+    boolean cacheHit = sequence.prefixHash != 0 && prefixCache.get(sequence.prefixHash) != null;
+    int cachedTokens =
+        cacheHit ? Math.min(options.cachedPrefixTokens(), sequence.promptTokens - 1) : 0;
     if (sequence.prefixHash != 0) {
-      prefixes.put(sequence.prefixHash, true);
+      prefixCache.put(sequence.prefixHash, true);
     }
-    return Math.max(1, sequence.tokens() - saved);
+    return Math.max(1, sequence.totalTokens() - cachedTokens);
   }
 
+  /** Computes prompt tokens within the step's limit and returns how many. */
   private int prefill() {
-    int budget = options.prefillTokensPerStep();
+    int tokensLeft = options.prefillTokensPerStep();
     for (Sequence sequence : running) {
-      int part = Math.min(budget, sequence.prefillLeft);
-      sequence.prefillLeft -= part;
-      budget -= part;
+      int computed = Math.min(tokensLeft, sequence.prefillTokensLeft);
+      sequence.prefillTokensLeft -= computed;
+      tokensLeft -= computed;
     }
-    return options.prefillTokensPerStep() - budget;
+    return options.prefillTokensPerStep() - tokensLeft;
   }
 
+  /** Produces a token for each sequence whose prompt is computed; returns the number of tokens. */
   private int decode(List<EngineEvent> events) {
-    List<Sequence> ready = running.stream().filter(s -> s.prefillLeft == 0).toList();
+    List<Sequence> ready = running.stream().filter(s -> s.prefillTokensLeft == 0).toList();
     int decoded = 0;
     for (Sequence sequence : ready) {
-      if (!sequence.inBatch || !growIfNeeded(sequence, events)) {
+      if (!sequence.inBatch || !allocateBlocksForNextToken(sequence, events)) {
         continue;
       }
       decoded++;
-      int index = sequence.produced++;
-      boolean last = sequence.produced >= sequence.outputTokens;
+      int index = sequence.producedTokens++;
+      boolean last = sequence.producedTokens >= sequence.outputTokens;
       events.add(new EngineEvent.Token(sequence.generation, index, last, stepEndMicros));
       if (last) {
         cancel(sequence.generation);
@@ -224,15 +232,18 @@
     return decoded;
   }
 
-  /** Takes a block for the next token where one is due; returns false if the sequence lost its. */
-  private boolean growIfNeeded(Sequence sequence, List<EngineEvent> events) {
-    while (blocksFor(sequence.tokens() + 1) > sequence.blocks) {
+  /**
+   * Allocates a block if the next token needs one, preempting other sequences if none is free.
+   * Returns whether the sequence can produce its next token.
+   */
+  private boolean allocateBlocksForNextToken(Sequence sequence, List<EngineEvent> events) {
+    while (blocksFor(sequence.totalTokens() + 1) > sequence.blocks) {
       if (blocksUsed < options.blocksTotal()) {
         blocksUsed++;
         sequence.blocks++;
         continue;
       }
-      Sequence victim = victim();
+      Sequence victim = selectPreemptionVictim();
       if (victim == null || running.size() == 1) {
         return false;
       }
@@ -244,12 +255,12 @@
     return true;
   }
 
-  /** Returns the sequence of the least urgent priority that came last. */
-  private @Nullable Sequence victim() {
+  /** Returns, among the running sequences of the least urgent priority, the latest arrival. */
+  private @Nullable Sequence selectPreemptionVictim() {
     return running.stream()
         .max(
             Comparator.<Sequence>comparingInt(s -> options.honoursPriority() ? s.priority : 0)
-                .thenComparingLong(s -> s.order))
+                .thenComparingLong(s -> s.arrivalOrder))
         .orElse(null);
   }
 
@@ -259,7 +270,7 @@
     blocksUsed -= victim.blocks;
     victim.blocks = 0;
     waiting.addFirst(victim);
-    preemptions++;
+    preemptionCount++;
     events.add(new EngineEvent.Preempted(victim.generation, stepEndMicros));
   }
 
--- a/src/main/java/org/curranthaven/internal/standin/EngineOptions.java
+++ b/src/main/java/org/curranthaven/internal/standin/EngineOptions.java
@@ -1,17 +1,18 @@
 package org.curranthaven.internal.standin;
 
 /**
- * Constants of the engine model. Times are in microseconds of given time.
+ * Parameters of an {@link EngineModel}; times in microseconds of simulated time.
  *
- * @param blocksTotal memory blocks of {@link EngineModel#TOKENS_PER_BLOCK} tokens
- * @param maxBatch most sequences that hold memory at once
- * @param stepBaseMicros time of a step with nothing to do
- * @param stepPerSequenceMicros added time for each sequence that decodes in the step
- * @param prefillMicrosPerToken added time for each prompt token computed in the step
- * @param prefillTokensPerStep most prompt tokens computed in one step
- * @param cachedPrefixes prefixes kept in the prefix cache
- * @param cachedPrefixTokens prompt tokens that a prefix hit saves
- * @param honoursPriority whether lower priorities are admitted first and preempted last
+ * @param blocksTotal number of memory blocks of {@link EngineModel#TOKENS_PER_BLOCK} tokens
+ * @param maxBatch largest number of sequences in the batch
+ * @param stepBaseMicros duration of an empty step
+ * @param stepPerSequenceMicros time added for each sequence that decodes in a step
+ * @param prefillMicrosPerToken time added for each prompt token computed in a step
+ * @param prefillTokensPerStep largest number of prompt tokens computed in one step
+ * @param cachedPrefixes capacity of the prefix cache, in prefixes
+ * @param cachedPrefixTokens number of prompt tokens that a prefix cache hit saves
+ * @param honoursPriority whether sequences with lower priority values are admitted first and
+ *     preempted last
  */
 public record EngineOptions(
     int blocksTotal,
@@ -25,16 +26,25 @@
     boolean honoursPriority) {
   public EngineOptions {
     if (blocksTotal <= 0 || maxBatch <= 0 || stepBaseMicros <= 0 || prefillTokensPerStep <= 0) {
-      throw new IllegalArgumentException("an engine needs memory, a batch and steps");
+      throw new IllegalArgumentException(
+          "blocksTotal ("
+              + blocksTotal
+              + "), maxBatch ("
+              + maxBatch
+              + "), stepBaseMicros ("
+              + stepBaseMicros
+              + ") and prefillTokensPerStep ("
+              + prefillTokensPerStep
+              + ") must be positive");
     }
   }
 
-  /** Returns an engine whose steps take about 15 ms and whose memory holds 32,000 tokens. */
+  /** Returns the options of an engine with steps of about 15 ms and memory for 32,000 tokens. */
   public static EngineOptions standard() {
     return new EngineOptions(2_000, 64, 8_000, 150, 60, 512, 64, 128, true);
   }
 
-  /** Returns the same engine with other memory. */
+  /** Returns a copy with another number of memory blocks. */
   public EngineOptions withBlocks(int blocks) {
     return new EngineOptions(
         blocks,
@@ -48,7 +58,7 @@
         honoursPriority);
   }
 
-  /** Returns the same engine with steps {@code factor} times as long. */
+  /** Returns a copy whose steps take {@code factor} times as long. */
   public EngineOptions slowedBy(double factor) {
     return new EngineOptions(
         blocksTotal,
--- a/src/main/java/org/curranthaven/internal/standin/PromiseTally.java
+++ b/src/main/java/org/curranthaven/internal/standin/GuaranteeViolations.java
@@ -2,8 +2,13 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Breaches of the promises, counted from outside the system. Thread-safe. */
-public final class PromiseTally {
+/**
+ * Counts violations of the system's guarantees, as observed by callers and backend servers.
+ * Thread-safe.
+ *
+ * <p>The component names of {@link Counts} are written to reports.
+ */
+public final class GuaranteeViolations {
   final AtomicLong tokensLost = new AtomicLong();
   final AtomicLong tokensRepeated = new AtomicLong();
   final AtomicLong tokensOutOfOrder = new AtomicLong();
@@ -13,7 +18,18 @@
   final AtomicLong falseNotRun = new AtomicLong();
   final AtomicLong cutOffByPlannedStop = new AtomicLong();
 
-  /** The counts at one moment. */
+  /**
+   * The counts at one moment.
+   *
+   * @param tokensLost tokens missing from responses that were reported as complete
+   * @param tokensRepeated tokens delivered more than once
+   * @param tokensOutOfOrder tokens delivered before earlier ones
+   * @param generationsSpliced changes of the generation within one response
+   * @param answersCrossed tokens or responses that belong to another request
+   * @param doubleRuns requests with an idempotency key that ran more than once
+   * @param falseNotRun requests reported as not run that did run
+   * @param cutOffByPlannedStop responses cut off by the planned stop of a host
+   */
   public record Counts(
       long tokensLost,
       long tokensRepeated,
@@ -23,8 +39,8 @@
       long doubleRuns,
       long falseNotRun,
       long cutOffByPlannedStop) {
-    /** Returns whether no promise was broken. */
-    public boolean allKept() {
+    /** Returns whether every count is 0. */
+    public boolean noViolations() {
       return tokensLost == 0
           && tokensRepeated == 0
           && tokensOutOfOrder == 0
@@ -36,7 +52,7 @@
     }
   }
 
-  /** Returns the counts. */
+  /** Returns the current counts. */
   public Counts counts() {
     return new Counts(
         tokensLost.get(),
--- a/src/main/java/org/curranthaven/internal/standin/LoadGenerator.java
+++ b/src/main/java/org/curranthaven/internal/standin/LoadGenerator.java
@@ -30,30 +30,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Asks the system as callers do, and checks every answer. Arrivals and lengths come from a seeded
- * generator; requests that may not be repeated are sent again with the same key when an answer is
- * lost, and never otherwise. Thread-safe.
+ * Sends requests as callers do and checks every response. Arrival times and output lengths come
+ * from a seeded random generator. A request that is not repeatable carries an idempotency key and
+ * is retried with the same key when no response arrives; other requests are never retried.
+ * Thread-safe.
  */
 public final class LoadGenerator implements AutoCloseable {
-  /** Longest answer asked for, in tokens, so that a run ends soon after its last request. */
-  private static final int MAX_TOKENS = 1_000;
+  /** Longest output requested, in tokens, so that a run ends soon after its last request. */
+  private static final int MAX_OUTPUT_TOKENS = 1_000;
 
-  private static final int MAX_SENDS = 6;
-  private static final long RESEND_MILLIS = 200;
+  private static final int MAX_ATTEMPTS = 6;
+  private static final long RETRY_DELAY_MILLIS = 200;
   private static final int STATUS_OK = 200;
   private static final int CHARS_PER_TOKEN = 4;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(60);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(60);
 
-  private final List<WorkKind> kinds;
-  private final Balancer balancer;
+  private final List<RequestKind> requestKinds;
+  private final LoadBalancer balancer;
   private final RunLog runLog;
-  private final PromiseTally promises = new PromiseTally();
-  private final Map<String, ClassTally> classes = new TreeMap<>();
+  private final GuaranteeViolations violations = new GuaranteeViolations();
+  private final Map<String, ClassStatistics> classes = new TreeMap<>();
   private final Map<String, ServiceClass> serviceClasses = new HashMap<>();
-  private final Set<String> plannedStops = ConcurrentHashMap.newKeySet();
-  private final Map<String, Boolean> keyedNonces = new ConcurrentHashMap<>();
-  private final Set<String> toldNotRun = ConcurrentHashMap.newKeySet();
+  private final Set<String> hostsStoppedAsPlanned = ConcurrentHashMap.newKeySet();
+  private final Map<String, Boolean> noncesWithIdempotencyKey = new ConcurrentHashMap<>();
+  private final Set<String> noncesReportedNotRun = ConcurrentHashMap.newKeySet();
   private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
   private final HttpClient client =
       HttpClient.newBuilder()
@@ -61,163 +62,178 @@
           .connectTimeout(Duration.ofSeconds(2))
           .executor(Executors.newVirtualThreadPerTaskExecutor())
           .build();
-  private final AtomicInteger open = new AtomicInteger();
-  private final AtomicInteger sentCount = new AtomicInteger();
+  private final AtomicInteger openRequestCount = new AtomicInteger();
+  private final AtomicInteger sentRequestCount = new AtomicInteger();
 
-  /** Creates a load of the given kinds. */
+  /** Creates a generator of requests of the given kinds. */
   public LoadGenerator(
-      List<WorkKind> kinds, List<ServiceClass> classes, Balancer balancer, RunLog runLog) {
-    this.kinds = List.copyOf(kinds);
+      List<RequestKind> requestKinds,
+      List<ServiceClass> classes,
+      LoadBalancer balancer,
+      RunLog runLog) {
+    this.requestKinds = List.copyOf(requestKinds);
     this.balancer = balancer;
     this.runLog = runLog;
     for (ServiceClass serviceClass : classes) {
-      this.classes.put(serviceClass.name(), new ClassTally(serviceClass.targets()));
+      this.classes.put(serviceClass.name(), new ClassStatistics(serviceClass.targets()));
       serviceClasses.put(serviceClass.name(), serviceClass);
     }
   }
 
-  /** Sends requests for a time, at a mean rate; returns when the last one was sent. */
-  public void run(long millis, double requestsPerSecond, long seed) throws InterruptedException {
+  /**
+   * Sends requests with exponentially distributed intervals; returns once the last one is sent.
+   *
+   * @param millis how long to send requests
+   * @param requestsPerSecond mean rate
+   * @param seed seed of arrival times, request kinds and output lengths
+   */
+  public void sendRequests(long millis, double requestsPerSecond, long seed)
+      throws InterruptedException {
     SplittableRandom random = new SplittableRandom(seed);
-    double totalWeight = kinds.stream().mapToDouble(WorkKind::weight).sum();
-    long start = System.nanoTime();
+    double totalWeight = requestKinds.stream().mapToDouble(RequestKind::weight).sum();
+    long startNanos = System.nanoTime();
     double dueMillis = 0;
     while (true) {
       dueMillis += -Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
       if (dueMillis >= millis) {
         return;
       }
-      long aheadMillis = (long) dueMillis - (System.nanoTime() - start) / NANOS_PER_MILLI;
+      long aheadMillis = (long) dueMillis - (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
       if (aheadMillis > 0) {
         Thread.sleep(aheadMillis);
       }
-      WorkKind kind = draw(random, totalWeight);
-      SplittableRandom own = random.split();
-      open.incrementAndGet();
-      sentCount.incrementAndGet();
-      executor.execute(() -> send(kind, own));
+      RequestKind kind = drawRequestKind(random, totalWeight);
+      SplittableRandom requestRandom = random.split();
+      openRequestCount.incrementAndGet();
+      sentRequestCount.incrementAndGet();
+      executor.execute(() -> send(kind, requestRandom));
     }
   }
 
-  /** Waits until every request has ended; returns the number still open when the time is up. */
-  public int awaitEnd(long timeoutMillis) throws InterruptedException {
-    long deadline = System.nanoTime() + timeoutMillis * NANOS_PER_MILLI;
-    while (open.get() > 0 && System.nanoTime() < deadline) {
+  /** Waits until every request has ended; returns the number still open after the timeout. */
+  public int awaitCompletion(long timeoutMillis) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + timeoutMillis * NANOS_PER_MILLI;
+    while (openRequestCount.get() > 0 && System.nanoTime() < deadlineNanos) {
       Thread.sleep(10);
     }
-    return open.get();
+    return openRequestCount.get();
   }
 
   /** Returns the number of requests that have not ended. */
-  public int open() {
-    return open.get();
+  public int openRequestCount() {
+    return openRequestCount.get();
   }
 
   /** Returns the number of requests sent. */
-  public int sent() {
-    return sentCount.get();
+  public int sentRequestCount() {
+    return sentRequestCount.get();
   }
 
-  /** Notes that a host is being stopped as planned, by its HTTP address. */
-  public void plannedStop(String host) {
-    plannedStops.add(host);
+  /** Records that a host, given by its HTTP address, is being stopped as planned. */
+  public void recordPlannedStop(String host) {
+    hostsStoppedAsPlanned.add(host);
   }
 
-  /** Returns what each class saw. */
-  public Map<String, ClassTally.Summary> classes() {
-    Map<String, ClassTally.Summary> result = new TreeMap<>();
-    classes.forEach((name, tally) -> result.put(name, tally.summary()));
+  /** Returns the statistics of each service class, by class name. */
+  public Map<String, ClassStatistics.Summary> classes() {
+    Map<String, ClassStatistics.Summary> result = new TreeMap<>();
+    classes.forEach((name, statistics) -> result.put(name, statistics.summary()));
     return result;
   }
 
-  /** Returns the breaches of promises; to be called after the last request has ended. */
-  public PromiseTally.Counts promises() {
-    PromiseTally total = new PromiseTally();
-    keyedNonces.keySet().stream()
-        .filter(nonce -> runLog.runs(nonce) > 1)
-        .forEach(nonce -> total.doubleRuns.incrementAndGet());
-    toldNotRun.stream()
-        .filter(nonce -> runLog.runs(nonce) > 0)
-        .forEach(nonce -> total.falseNotRun.incrementAndGet());
-    PromiseTally.Counts seen = promises.counts();
-    return new PromiseTally.Counts(
-        seen.tokensLost(),
-        seen.tokensRepeated(),
-        seen.tokensOutOfOrder(),
-        seen.generationsSpliced(),
-        seen.answersCrossed(),
-        total.doubleRuns.get(),
-        seen.falseNotRun() + total.falseNotRun.get(),
-        seen.cutOffByPlannedStop());
+  /** Returns the violations of guarantees; to be called after the last request has ended. */
+  public GuaranteeViolations.Counts violations() {
+    GuaranteeViolations fromRunLog = new GuaranteeViolations();
+    noncesWithIdempotencyKey.keySet().stream()
+        .filter(nonce -> runLog.startCount(nonce) > 1)
+        .forEach(nonce -> fromRunLog.doubleRuns.incrementAndGet());
+    noncesReportedNotRun.stream()
+        .filter(nonce -> runLog.startCount(nonce) > 0)
+        .forEach(nonce -> fromRunLog.falseNotRun.incrementAndGet());
+    GuaranteeViolations.Counts observed = violations.counts();
+    return new GuaranteeViolations.Counts(
+        observed.tokensLost(),
+        observed.tokensRepeated(),
+        observed.tokensOutOfOrder(),
+        observed.generationsSpliced(),
+        observed.answersCrossed(),
+        fromRunLog.doubleRuns.get(),
+        observed.falseNotRun() + fromRunLog.falseNotRun.get(),
+        observed.cutOffByPlannedStop());
   }
 
-  private WorkKind draw(SplittableRandom random, double totalWeight) {
+  private RequestKind drawRequestKind(SplittableRandom random, double totalWeight) {
     double point = random.nextDouble() * totalWeight;
-    for (WorkKind kind : kinds) {
+    for (RequestKind kind : requestKinds) {
       point -= kind.weight();
       if (point < 0) {
         return kind;
       }
     }
-    return kinds.getLast();
+    return requestKinds.getLast();
   }
 
-  // ---- one request ------------------------------------------------------------------------------
+  // ---- sending ----------------------------------------------------------------------------------
 
-  private void send(WorkKind kind, SplittableRandom random) {
-    ClassTally tally = tallyOf(kind);
-    tally.sent();
+  private void send(RequestKind kind, SplittableRandom random) {
+    ClassStatistics statistics = statisticsOf(kind);
+    statistics.recordSent();
     try {
-      if (kind.plain()) {
-        sendPlain(kind, random);
+      if (kind.plainService()) {
+        sendToPlainService(kind, random);
       } else if (kind.streamed()) {
         sendStreamed(kind, random);
       } else {
-        sendWhole(kind, random);
+        sendUnstreamed(kind, random);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      open.decrementAndGet();
+      openRequestCount.decrementAndGet();
     }
   }
 
-  private ClassTally tallyOf(WorkKind kind) {
-    ClassTally tally = classes.get(kind.className());
-    if (tally == null) {
-      throw new IllegalArgumentException("no class " + kind.className());
+  private ClassStatistics statisticsOf(RequestKind kind) {
+    ClassStatistics statistics = classes.get(kind.className());
+    if (statistics == null) {
+      throw new IllegalArgumentException(
+          "the load has no service class named "
+              + kind.className()
+              + "; add it to the classes given to the load generator");
     }
-    return tally;
+    return statistics;
   }
 
-  private boolean isRepeatable(WorkKind kind) {
+  private boolean isRepeatable(RequestKind kind) {
     ServiceClass serviceClass = serviceClasses.get(kind.className());
     return serviceClass == null || serviceClass.repeatable();
   }
 
-  private static int lengthOf(WorkKind kind, SplittableRandom random) {
-    return Math.min(MAX_TOKENS, kind.drawTokens(random));
+  private static int drawOutputTokens(RequestKind kind, SplittableRandom random) {
+    return Math.min(MAX_OUTPUT_TOKENS, kind.drawOutputTokens(random));
   }
 
-  private static String nonce(SplittableRandom random) {
+  private static String drawNonce(SplittableRandom random) {
     return new UUID(random.nextLong(), random.nextLong()).toString();
   }
 
-  private static String key(SplittableRandom random) {
+  /** Returns a UUID of version 7, which contains the current time. */
+  private static String drawIdempotencyKey(SplittableRandom random) {
     long high = (System.currentTimeMillis() << 16) | 0x7000L | random.nextInt(0x1000);
     return new UUID(high, 0x8000_0000_0000_0000L | (random.nextLong() >>> 2)).toString();
   }
 
-  private HttpRequest.Builder request(String host, WorkKind kind, String path, String body) {
+  private HttpRequest.Builder requestBuilder(
+      String host, RequestKind kind, String path, String body) {
     return HttpRequest.newBuilder(URI.create("http://" + host + path))
-        .timeout(CALL_TIMEOUT)
-        .header("Authorization", "Bearer " + Workloads.KEY)
+        .timeout(REQUEST_TIMEOUT)
+        .header("Authorization", "Bearer " + Workloads.API_KEY)
         .header("Curranthaven-Class", kind.className())
         .header("Content-Type", "application/json")
         .POST(HttpRequest.BodyPublishers.ofString(body));
   }
 
-  private static String completionBody(WorkKind kind, PromptTag tag) {
+  private static String completionBody(RequestKind kind, PromptTag tag) {
     String filler = "x".repeat(kind.promptTokens() * CHARS_PER_TOKEN);
     ObjectNode body = Json.MAPPER.createObjectNode();
     body.put("model", kind.target());
@@ -226,33 +242,33 @@
     return Json.text(body);
   }
 
-  private void sendStreamed(WorkKind kind, SplittableRandom random) throws InterruptedException {
-    PromptTag tag = new PromptTag(nonce(random), lengthOf(kind, random));
-    String host = balancer.choose(random);
+  private void sendStreamed(RequestKind kind, SplittableRandom random) throws InterruptedException {
+    PromptTag tag = new PromptTag(drawNonce(random), drawOutputTokens(kind, random));
+    String host = balancer.chooseHost(random);
     HttpRequest request =
-        request(host, kind, "/v1/chat/completions", completionBody(kind, tag)).build();
-    long start = System.nanoTime();
+        requestBuilder(host, kind, "/v1/chat/completions", completionBody(kind, tag)).build();
+    long startNanos = System.nanoTime();
     try {
       HttpResponse<InputStream> response =
           client.send(request, HttpResponse.BodyHandlers.ofInputStream());
       if (response.statusCode() == STATUS_OK) {
-        readStream(kind, tag, host, response.body(), start);
+        readStream(kind, tag, host, response.body(), startNanos);
       } else {
-        failed(
+        recordFailure(
             kind, tag.nonce(), new String(response.body().readAllBytes(), StandardCharsets.UTF_8));
       }
     } catch (IOException e) {
-      interrupted(kind, host);
+      recordConnectionLoss(kind, host);
     }
   }
 
   private void readStream(
-      WorkKind kind, PromptTag tag, String host, InputStream body, long startNanos)
+      RequestKind kind, PromptTag tag, String host, InputStream body, long startNanos)
       throws IOException {
-    ClassTally tally = tallyOf(kind);
-    AnswerCheck check = new AnswerCheck(promises, tag.nonce());
-    long last = 0;
-    boolean done = false;
+    ClassStatistics statistics = statisticsOf(kind);
+    ResponseChecker checker = new ResponseChecker(violations, tag.nonce());
+    long lastTokenNanos = 0;
+    boolean complete = false;
     try (BufferedReader reader =
         new BufferedReader(new InputStreamReader(body, StandardCharsets.UTF_8))) {
       for (String line = reader.readLine(); line != null; line = reader.readLine()) {
@@ -261,45 +277,47 @@
         }
         String data = line.substring("data: ".length());
         if (data.equals("[DONE]")) {
-          done = true;
+          complete = true;
           break;
         }
         JsonNode chunk = Json.LENIENT.readTree(data);
         if (chunk.has("error")) {
-          failed(kind, tag.nonce(), data);
+          recordFailure(kind, tag.nonce(), data);
           return;
         }
-        check.text(chunk.at("/choices/0/delta/content").asText());
-        long now = System.nanoTime();
-        if (last == 0) {
-          tally.firstReply((now - startNanos) / NANOS_PER_MILLI);
+        checker.checkText(chunk.at("/choices/0/delta/content").asText());
+        long nowNanos = System.nanoTime();
+        if (lastTokenNanos == 0) {
+          statistics.recordFirstReply((nowNanos - startNanos) / NANOS_PER_MILLI);
         } else {
-          tally.gap((now - last) / NANOS_PER_MILLI);
+          statistics.recordTokenGap((nowNanos - lastTokenNanos) / NANOS_PER_MILLI);
         }
-        last = now;
+        lastTokenNanos = nowNanos;
       }
     }
-    if (done) {
-      check.complete(tag.tokens());
-      tally.completed();
+    if (complete) {
+      checker.checkCompleteness(tag.tokens());
+      statistics.recordCompletion();
     } else {
-      interrupted(kind, host);
+      recordConnectionLoss(kind, host);
     }
   }
 
-  private void sendWhole(WorkKind kind, SplittableRandom random) throws InterruptedException {
-    PromptTag tag = new PromptTag(nonce(random), lengthOf(kind, random));
+  private void sendUnstreamed(RequestKind kind, SplittableRandom random)
+      throws InterruptedException {
+    PromptTag tag = new PromptTag(drawNonce(random), drawOutputTokens(kind, random));
     String body = completionBody(kind, tag);
-    JsonNode answer = sendUntilAnswered(kind, "/v1/chat/completions", body, tag.nonce(), random);
-    if (answer != null) {
-      AnswerCheck check = new AnswerCheck(promises, tag.nonce());
-      check.text(answer.at("/choices/0/message/content").asText());
-      check.complete(tag.tokens());
+    JsonNode response = sendWithRetries(kind, "/v1/chat/completions", body, tag.nonce(), random);
+    if (response != null) {
+      ResponseChecker checker = new ResponseChecker(violations, tag.nonce());
+      checker.checkText(response.at("/choices/0/message/content").asText());
+      checker.checkCompleteness(tag.tokens());
     }
   }
 
-  private void sendPlain(WorkKind kind, SplittableRandom random) throws InterruptedException {
-    String nonce = nonce(random);
+  private void sendToPlainService(RequestKind kind, SplittableRandom random)
+      throws InterruptedException {
+    String nonce = drawNonce(random);
     String body =
         Json.text(
             Json.MAPPER
@@ -307,67 +325,70 @@
                 .put("nonce", nonce)
                 .put("workMillis", 5 + random.nextInt(20)));
     String path = "/services/" + kind.target() + "/" + kind.className();
-    JsonNode answer = sendUntilAnswered(kind, path, body, nonce, random);
-    if (answer != null && !answer.path("nonce").asText().equals(nonce)) {
-      promises.answersCrossed.incrementAndGet();
+    JsonNode response = sendWithRetries(kind, path, body, nonce, random);
+    if (response != null && !response.path("nonce").asText().equals(nonce)) {
+      violations.answersCrossed.incrementAndGet();
     }
   }
 
-  /** Sends a call, again with the same key after a lost answer; returns the answer or null. */
-  private @Nullable JsonNode sendUntilAnswered(
-      WorkKind kind, String path, String body, String nonce, SplittableRandom random)
+  /**
+   * Sends a request; if it is not repeatable, retries it with the same idempotency key when no
+   * response arrives. Returns the response body, or null after a failure.
+   */
+  private @Nullable JsonNode sendWithRetries(
+      RequestKind kind, String path, String body, String nonce, SplittableRandom random)
       throws InterruptedException {
-    boolean keyed = !isRepeatable(kind);
-    String key = key(random);
-    if (keyed) {
-      keyedNonces.put(nonce, true);
+    boolean needsKey = !isRepeatable(kind);
+    String idempotencyKey = drawIdempotencyKey(random);
+    if (needsKey) {
+      noncesWithIdempotencyKey.put(nonce, true);
     }
-    long start = System.nanoTime();
-    for (int sends = 0; sends < MAX_SENDS; sends++) {
-      String host = balancer.choose(random);
-      HttpRequest.Builder request = request(host, kind, path, body);
-      if (keyed) {
-        request.header("Idempotency-Key", key);
+    long startNanos = System.nanoTime();
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      String host = balancer.chooseHost(random);
+      HttpRequest.Builder request = requestBuilder(host, kind, path, body);
+      if (needsKey) {
+        request.header("Idempotency-Key", idempotencyKey);
       }
       try {
         HttpResponse<String> response =
             client.send(request.build(), HttpResponse.BodyHandlers.ofString());
         if (response.statusCode() == STATUS_OK) {
-          tallyOf(kind).firstReply((System.nanoTime() - start) / NANOS_PER_MILLI);
-          tallyOf(kind).completed();
+          statisticsOf(kind).recordFirstReply((System.nanoTime() - startNanos) / NANOS_PER_MILLI);
+          statisticsOf(kind).recordCompletion();
           return Json.LENIENT.readTree(response.body());
         }
-        failed(kind, nonce, response.body());
+        recordFailure(kind, nonce, response.body());
         return null;
       } catch (IOException e) {
-        if (!keyed) {
-          interrupted(kind, host);
+        if (!needsKey) {
+          recordConnectionLoss(kind, host);
           return null;
         }
-        Thread.sleep(RESEND_MILLIS);
+        Thread.sleep(RETRY_DELAY_MILLIS);
       }
     }
-    tallyOf(kind).failed("no answer");
+    statisticsOf(kind).recordFailure("no answer");
     return null;
   }
 
-  private void failed(WorkKind kind, String nonce, String body) {
+  private void recordFailure(RequestKind kind, String nonce, String body) {
     try {
       JsonNode error = Json.LENIENT.readTree(body);
-      tallyOf(kind).failed(error.path("code").asText("no code"));
+      statisticsOf(kind).recordFailure(error.path("code").asText("no code"));
       if (error.path("ran").asText().equals("no")) {
-        toldNotRun.add(nonce);
+        noncesReportedNotRun.add(nonce);
       }
     } catch (JsonProcessingException e) {
-      tallyOf(kind).failed("not JSON");
+      statisticsOf(kind).recordFailure("not JSON");
     }
   }
 
-  private void interrupted(WorkKind kind, String host) {
-    if (plannedStops.contains(host)) {
-      promises.cutOffByPlannedStop.incrementAndGet();
+  private void recordConnectionLoss(RequestKind kind, String host) {
+    if (hostsStoppedAsPlanned.contains(host)) {
+      violations.cutOffByPlannedStop.incrementAndGet();
     }
-    tallyOf(kind).failed("connection lost");
+    statisticsOf(kind).recordFailure("connection lost");
   }
 
   @Override
--- a/src/main/java/org/curranthaven/internal/standin/LocalFleet.java
+++ b/src/main/java/org/curranthaven/internal/standin/LocalFleet.java
@@ -17,8 +17,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Several hosts in this process on loopback, with data folders in a temporary folder. The first
- * hosts are control hosts.
+ * Several hosts in this process on the loopback interface, with data folders in a temporary folder.
+ * The first hosts are control hosts. Not thread-safe.
  *
  * <pre>{@code
  * try (LocalFleet fleet = LocalFleet.start(5, 3)) {
@@ -30,39 +30,39 @@
 public final class LocalFleet implements AutoCloseable {
   private static final String[] DATA_CENTRES = {"a", "b", "c"};
   private static final int LEDGER_GROUPS = 2;
-  private static final int VOTERS = 3;
-  private static final long DRAIN_MILLIS = 60_000;
+  private static final int VOTER_COUNT = 3;
+  private static final long DRAIN_TIMEOUT_MILLIS = 60_000;
   private static final int MAX_BODY_BYTES = 1_048_576;
-  private static final long POLL_MILLIS = 20;
+  private static final long POLL_INTERVAL_MILLIS = 20;
 
-  /** Ports for listeners: above the well-known ones, below those of outgoing connections. */
-  private static final int LOW_PORT = 10_000;
+  /** Listener ports lie above the well-known ports and below those of outgoing connections. */
+  private static final int MIN_PORT = 10_000;
 
-  private static final int HIGH_PORT = 30_000;
+  private static final int MAX_PORT_EXCLUSIVE = 30_000;
 
-  private final Path folder;
+  private final Path baseFolder;
   private final List<HostSettings> settings = new ArrayList<>();
   private final List<HostProcess> hosts = new ArrayList<>();
 
   private LocalFleet(Path folder) {
-    this.folder = folder;
+    this.baseFolder = folder;
   }
 
-  /** Starts hosts, of which the first {@code controlCount} are control hosts. */
+  /** Starts {@code hostCount} hosts, of which the first {@code controlCount} are control hosts. */
   public static LocalFleet start(int hostCount, int controlCount) throws IOException {
     LocalFleet fleet = new LocalFleet(Files.createTempDirectory("curranthaven-"));
-    fleet.describeHosts(hostCount, controlCount);
+    fleet.createSettings(hostCount, controlCount);
     for (int i = 0; i < hostCount; i++) {
       fleet.hosts.add(fleet.startHost(i));
     }
     return fleet;
   }
 
-  private void describeHosts(int hostCount, int controlCount) throws IOException {
+  private void createSettings(int hostCount, int controlCount) throws IOException {
     List<String> addresses = freeAddresses(hostCount * 2);
     List<String> controlAddresses = addresses.subList(0, controlCount);
     for (int i = 0; i < hostCount; i++) {
-      boolean control = i < controlCount;
+      boolean isControlHost = i < controlCount;
       String name = "host-" + (i + 1);
       settings.add(
           new HostSettings(
@@ -70,12 +70,12 @@
               DATA_CENTRES[i % DATA_CENTRES.length],
               addresses.get(hostCount + i),
               addresses.get(i),
-              control,
-              control ? Files.createDirectories(folder.resolve(name)) : null,
+              isControlHost,
+              isControlHost ? Files.createDirectories(baseFolder.resolve(name)) : null,
               controlAddresses,
               LEDGER_GROUPS,
-              VOTERS,
-              DRAIN_MILLIS,
+              VOTER_COUNT,
+              DRAIN_TIMEOUT_MILLIS,
               MAX_BODY_BYTES,
               false));
     }
@@ -89,15 +89,16 @@
   }
 
   /**
-   * Returns loopback addresses with ports that are free now. The system gives none of them to an
-   * outgoing connection, so that a host that was stopped can listen on its own again.
+   * Returns loopback addresses with ports that are free now. The operating system assigns none of
+   * these ports to outgoing connections, so that a stopped host can listen on its port again.
    */
   public static List<String> freeAddresses(int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
     List<String> addresses = new ArrayList<>();
     try {
       while (addresses.size() < count) {
-        ServerSocket socket = boundOrNull(ThreadLocalRandom.current().nextInt(LOW_PORT, HIGH_PORT));
+        ServerSocket socket =
+            bindOrNull(ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT_EXCLUSIVE));
         if (socket != null) {
           sockets.add(socket);
           addresses.add("127.0.0.1:" + socket.getLocalPort());
@@ -111,15 +112,15 @@
     }
   }
 
-  private static @Nullable ServerSocket boundOrNull(int port) {
+  private static @Nullable ServerSocket bindOrNull(int port) {
     try {
       return new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
     } catch (IOException e) {
-      return null; // Taken; the caller tries another.
+      return null; // The port is in use; the caller tries another one.
     }
   }
 
-  /** Returns a host by its place, from 0. */
+  /** Returns the host at the index, from 0. */
   public HostProcess host(int index) {
     return hosts.get(index);
   }
@@ -134,34 +135,34 @@
     return settings.stream().map(HostSettings::httpAddress).toList();
   }
 
-  /** Starts a stopped host again on the same settings and data folder. */
+  /** Restarts a stopped host with the same settings and data folder. */
   public void restart(int index) throws IOException {
     hosts.set(index, startHost(index));
   }
 
-  /** Empties the data folder of a stopped host. */
-  public void wipe(int index) throws IOException {
-    Path data = settings.get(index).dataFolder();
-    if (data != null) {
-      deleteTree(data);
-      Files.createDirectories(data);
+  /** Deletes the contents of the data folder of a stopped host. */
+  public void deleteData(int index) throws IOException {
+    Path dataFolder = settings.get(index).dataFolder();
+    if (dataFolder != null) {
+      deleteTree(dataFolder);
+      Files.createDirectories(dataFolder);
     }
   }
 
-  /** Waits until every host is ready; returns false if the time is up. */
+  /** Waits until every host is ready; returns false on timeout. */
   public boolean awaitReady(long timeoutMillis) throws InterruptedException {
     return await(timeoutMillis, () -> hosts.stream().allMatch(HostProcess::isReady));
   }
 
-  /** Waits until a condition holds; returns false if the time is up. */
+  /** Waits until the condition holds; returns false on timeout. */
   public static boolean await(long timeoutMillis, java.util.function.BooleanSupplier condition)
       throws InterruptedException {
-    long deadline = System.nanoTime() + timeoutMillis * 1_000_000;
+    long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > deadline) {
+      if (System.nanoTime() > deadlineNanos) {
         return false;
       }
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
     return true;
   }
@@ -170,9 +171,9 @@
   public void close() {
     hosts.forEach(HostProcess::stop);
     try {
-      deleteTree(folder);
+      deleteTree(baseFolder);
     } catch (IOException e) {
-      // The system's temporary folder is cleaned by the system.
+      // The operating system cleans up its temporary folder.
     }
   }
 
--- a/src/main/java/org/curranthaven/internal/standin/RunLog.java
+++ b/src/main/java/org/curranthaven/internal/standin/RunLog.java
@@ -3,17 +3,20 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** What the stand-ins ran, by the nonce in each request; kept outside the system. Thread-safe. */
+/**
+ * Counts how often the stand-ins started each request, by its nonce, independently of the system
+ * under test. Thread-safe.
+ */
 public final class RunLog {
-  private final Map<String, Integer> runs = new ConcurrentHashMap<>();
+  private final Map<String, Integer> startsByNonce = new ConcurrentHashMap<>();
 
-  /** Notes that a request with the nonce began to run. */
-  public void started(String nonce) {
-    runs.merge(nonce, 1, Integer::sum);
+  /** Records that a request with the nonce started to run. */
+  public void recordStart(String nonce) {
+    startsByNonce.merge(nonce, 1, Integer::sum);
   }
 
-  /** Returns how often a request with the nonce began to run. */
-  public int runs(String nonce) {
-    return runs.getOrDefault(nonce, 0);
+  /** Returns how often a request with the nonce started to run. */
+  public int startCount(String nonce) {
+    return startsByNonce.getOrDefault(nonce, 0);
   }
 }
--- a/src/main/java/org/curranthaven/internal/standin/StandinEngine.java
+++ b/src/main/java/org/curranthaven/internal/standin/StandinEngine.java
@@ -23,17 +23,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A stand-in for a model engine: an {@link EngineModel} on this machine's time behind the engines'
- * HTTP protocol. The length of an answer and a nonce stand in the prompt, as {@code [[nonce=X
- * tokens=N]]}; each token's text names the nonce, the generation and its index, so that whoever
- * reads the answer can tell where each token came from. Thread-safe.
+ * A stand-in for a model engine: an {@link EngineModel} in real time that serves the engines' HTTP
+ * protocol. The prompt holds a nonce and the output length, as {@code [[nonce=X tokens=N]]}. The
+ * text of each token holds the nonce, the generation and the token's index, so that the reader of a
+ * response can tell where each token came from. Thread-safe.
  */
 public final class StandinEngine implements AutoCloseable {
-  private static final long TICK_MILLIS = 2;
+  private static final long ADVANCE_INTERVAL_MILLIS = 2;
   private static final int BACKLOG = 1_024;
-  private static final int MAX_GENERATIONS = 20_000;
+  private static final int MAX_REMEMBERED_GENERATIONS = 20_000;
   private static final int STATUS_OK = 200;
-  private static final int STATUS_BAD = 400;
+  private static final int STATUS_BAD_REQUEST = 400;
   private static final int STATUS_NOT_FOUND = 404;
   private static final int STATUS_UNAVAILABLE = 503;
   private static final int NANOS_PER_MICRO = 1_000;
@@ -44,8 +44,8 @@
   private final EngineModel model;
   private final HttpServer server;
   private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
-  private final Thread ticker;
-  private final Announcer announcer;
+  private final Thread advanceThread;
+  private final AnnouncementSender announcer;
   private final long incarnation = System.currentTimeMillis();
   private final Map<String, Generation> generations =
       new LinkedHashMap<>() {
@@ -53,31 +53,33 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Generation> eldest) {
-          return size() > MAX_GENERATIONS && eldest.getValue().complete;
+          return size() > MAX_REMEMBERED_GENERATIONS && eldest.getValue().complete;
         }
       };
-  private final Set<String> cancelled = new HashSet<>();
-  private final Map<Long, Long> fencing = new HashMap<>();
+  private final Set<String> cancelledGenerations = new HashSet<>();
+  private final Map<Long, Long> highestFencingNumbers = new HashMap<>();
   private BackendAnnouncement.State state = BackendAnnouncement.State.READY;
   private @Nullable Load frozenLoad;
   private boolean stopped;
 
+  /** The load figures that announcements report. */
   private record Load(int blocksFree, int running, int waiting) {}
 
+  /** A generation with the tokens that are ready to be sent. */
   private static final class Generation {
     final String id;
     final PromptTag tag;
     final int promptTokens;
-    int produced;
+    int producedTokens;
     boolean complete;
-    int connection;
-    boolean silenced;
+    int latestConnection;
+    boolean stalled;
 
     Generation(String id, PromptTag tag, int promptTokens, int produced) {
       this.id = id;
       this.tag = tag;
       this.promptTokens = promptTokens;
-      this.produced = produced;
+      this.producedTokens = produced;
     }
   }
 
@@ -91,11 +93,12 @@
     server.setExecutor(executor);
     server.createContext("/", this::handle);
     server.start();
-    this.ticker = Thread.ofPlatform().daemon(true).name(options.name()).start(this::tick);
-    this.announcer = new Announcer(options.hosts(), this::announcement);
+    this.advanceThread =
+        Thread.ofPlatform().daemon(true).name(options.name()).start(this::advanceModel);
+    this.announcer = new AnnouncementSender(options.hosts(), this::announcement);
   }
 
-  /** Starts an engine. */
+  /** Starts an engine, which listens for requests and sends announcements. */
   public static StandinEngine start(StandinOptions options, RunLog runLog) throws IOException {
     return new StandinEngine(options, runLog);
   }
@@ -111,36 +114,42 @@
   }
 
   /** Returns the number of preemptions so far. */
-  public synchronized long preemptions() {
-    return model.preemptions();
+  public synchronized long preemptionCount() {
+    return model.preemptionCount();
   }
 
   /** Returns the number of generations that are running or waiting. */
-  public synchronized int open() {
-    return model.running() + model.waiting();
+  public synchronized int openGenerationCount() {
+    return model.runningCount() + model.waitingCount();
   }
 
-  /** Announces that the engine leaves or is reclaimed. */
+  /** Sets the engine's state, for example leaving or reclaimed, and announces it at once. */
   public void announceState(BackendAnnouncement.State newState) {
     synchronized (this) {
       state = newState;
     }
-    announcer.announce();
+    announcer.sendAnnouncement();
   }
 
-  /** Stops reporting new load figures, or starts again. */
-  public synchronized void freezeReports(boolean frozen) {
+  /** Sets whether announcements keep repeating the load figures of this moment. */
+  public synchronized void setLoadReportsFrozen(boolean frozen) {
     frozenLoad =
         frozen
-            ? new Load(model.blocksTotal() - model.blocksUsed(), model.running(), model.waiting())
+            ? new Load(
+                model.blocksTotal() - model.blocksUsed(),
+                model.runningCount(),
+                model.waitingCount())
             : null;
   }
 
-  /** Makes one open connection silent for good; returns whether there was one. */
-  public synchronized boolean silenceOneConnection() {
+  /**
+   * Stops sending tokens of one open stream while its connection stays open, until the generation
+   * is resumed. Returns whether there was such a stream.
+   */
+  public synchronized boolean stallOneConnection() {
     for (Generation generation : generations.values()) {
-      if (generation.produced > 0 && !generation.complete && !generation.silenced) {
-        generation.silenced = true;
+      if (generation.producedTokens > 0 && !generation.complete && !generation.stalled) {
+        generation.stalled = true;
         return true;
       }
     }
@@ -153,7 +162,7 @@
       stopped = true;
       notifyAll();
     }
-    ticker.interrupt();
+    advanceThread.interrupt();
     announcer.close();
     server.stop(0);
     executor.shutdownNow();
@@ -162,7 +171,9 @@
   private synchronized BackendAnnouncement announcement(long sequence) {
     Load load = frozenLoad;
     if (load == null) {
-      load = new Load(model.blocksTotal() - model.blocksUsed(), model.running(), model.waiting());
+      load =
+          new Load(
+              model.blocksTotal() - model.blocksUsed(), model.runningCount(), model.waitingCount());
     }
     return new BackendAnnouncement(
         options.name(),
@@ -188,28 +199,29 @@
     return System.nanoTime() / NANOS_PER_MICRO;
   }
 
-  private void tick() {
+  /** Advances the model to the current time at a short interval. */
+  private void advanceModel() {
     try {
       while (true) {
         synchronized (this) {
           for (EngineEvent event : model.advance(nowMicros())) {
             if (event instanceof EngineEvent.Token token) {
-              produced(token);
+              recordToken(token);
             }
           }
           notifyAll();
         }
-        Thread.sleep(TICK_MILLIS);
+        Thread.sleep(ADVANCE_INTERVAL_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void produced(EngineEvent.Token token) {
+  private void recordToken(EngineEvent.Token token) {
     Generation generation = generations.get(token.generation());
     if (generation != null) {
-      generation.produced = token.index() + 1;
+      generation.producedTokens = token.index() + 1;
       generation.complete = token.last();
     }
   }
@@ -220,17 +232,22 @@
     try (http) {
       JsonNode body = Json.LENIENT.readTree(http.getRequestBody().readAllBytes());
       switch (http.getRequestURI().getPath()) {
-        case "/v1/completions", "/v1/chat/completions" -> complete(http, body);
-        case "/v1/cancel" -> cancel(http, body);
-        case "/v1/orders" -> order(http, body);
-        default -> answer(http, STATUS_NOT_FOUND, "no such path");
+        case "/v1/completions", "/v1/chat/completions" -> handleCompletion(http, body);
+        case "/v1/cancel" -> handleCancel(http, body);
+        case "/v1/orders" -> handleOrder(http, body);
+        default ->
+            respond(
+                http,
+                STATUS_NOT_FOUND,
+                "unknown path; use /v1/completions, /v1/chat/completions, /v1/cancel or /v1/orders");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void complete(HttpExchange http, JsonNode body) throws IOException, InterruptedException {
+  private void handleCompletion(HttpExchange http, JsonNode body)
+      throws IOException, InterruptedException {
     JsonNode resume = body.path("resume");
     String id =
         resume.isObject()
@@ -241,45 +258,51 @@
     int connection;
     synchronized (this) {
       if (stopped || (state != BackendAnnouncement.State.READY && !resume.isObject())) {
-        answer(http, STATUS_UNAVAILABLE, "the engine is leaving");
+        respond(
+            http,
+            STATUS_UNAVAILABLE,
+            "the engine is leaving or stopped and starts no generation; send the request to another one");
         return;
       }
       generation = generations.get(id);
       if (generation == null && resume.isObject()) {
-        generation = takeOver(id, offset, body);
+        generation = resumeFromOffset(id, offset, body);
       } else if (generation == null) {
-        generation = begin(id, body);
+        generation = startGeneration(id, body);
       }
       if (generation == null) {
-        answer(http, STATUS_NOT_FOUND, "generation unknown, or no [[nonce=… tokens=…]] in prompt");
+        respond(
+            http,
+            STATUS_NOT_FOUND,
+            "unknown or cancelled generation, or no [[nonce=X tokens=N]] in the prompt");
         return;
       }
-      generation.silenced = false;
-      connection = ++generation.connection;
+      generation.stalled = false;
+      connection = ++generation.latestConnection;
     }
-    stream(http, body, generation, connection, offset);
+    streamTokens(http, body, generation, connection, offset);
   }
 
-  private @Nullable Generation begin(String id, JsonNode body) {
-    PromptTag tag = PromptTag.find(body);
-    if (tag == null || cancelled.contains(id)) {
+  private @Nullable Generation startGeneration(String id, JsonNode body) {
+    PromptTag tag = PromptTag.findIn(body);
+    if (tag == null || cancelledGenerations.contains(id)) {
       return null;
     }
-    runLog.started(tag.nonce());
-    return submit(id, tag, body, 0);
+    runLog.recordStart(tag.nonce());
+    return submitToModel(id, tag, body, 0);
   }
 
-  private @Nullable Generation takeOver(String id, int offset, JsonNode body) {
-    PromptTag tag = PromptTag.find(body);
-    boolean able = options.resume() == BackendAnnouncement.Resume.TAKEOVER;
-    return able && tag != null && offset > 0 ? submit(id, tag, body, offset) : null;
+  private @Nullable Generation resumeFromOffset(String id, int offset, JsonNode body) {
+    PromptTag tag = PromptTag.findIn(body);
+    boolean canResume = options.resume() == BackendAnnouncement.Resume.TAKEOVER;
+    return canResume && tag != null && offset > 0 ? submitToModel(id, tag, body, offset) : null;
   }
 
-  private Generation submit(String id, PromptTag tag, JsonNode body, int produced) {
-    String prompt = PromptTag.prompt(body);
+  private Generation submitToModel(String id, PromptTag tag, JsonNode body, int produced) {
+    String prompt = PromptTag.promptOf(body);
     int promptTokens = prompt.length() / CHARS_PER_TOKEN + 1;
-    int limit = body.path("max_tokens").asInt(Integer.MAX_VALUE);
-    int outputTokens = Math.min(tag.tokens(), limit);
+    int maxTokens = body.path("max_tokens").asInt(Integer.MAX_VALUE);
+    int outputTokens = Math.min(tag.tokens(), maxTokens);
     model.submit(
         new EngineModel.EngineRequest(
             id,
@@ -294,59 +317,62 @@
     return generation;
   }
 
-  private void stream(
+  private void streamTokens(
       HttpExchange http, JsonNode body, Generation generation, int connection, int offset)
       throws IOException, InterruptedException {
     http.getResponseHeaders().set("Content-Type", "text/event-stream");
     http.sendResponseHeaders(STATUS_OK, 0);
     boolean chat = http.getRequestURI().getPath().contains("chat");
     OutputStream out = http.getResponseBody();
-    int next = offset;
+    int nextIndex = offset;
     while (true) {
-      List<String> ready = awaitTokens(generation, connection, next, chat, body);
-      if (ready.isEmpty()) {
+      List<String> events = awaitTokens(generation, connection, nextIndex, chat, body);
+      if (events.isEmpty()) {
         return;
       }
-      for (String event : ready) {
+      for (String event : events) {
         out.write(event.getBytes(StandardCharsets.UTF_8));
       }
-      next += ready.size();
+      nextIndex += events.size();
       out.flush();
-      if (isFinished(generation, next)) {
+      if (isFullySent(generation, nextIndex)) {
         out.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
         return;
       }
     }
   }
 
-  private synchronized boolean isFinished(Generation generation, int sent) {
-    return generation.complete && sent >= generation.produced;
+  private synchronized boolean isFullySent(Generation generation, int sent) {
+    return generation.complete && sent >= generation.producedTokens;
   }
 
-  /** Waits for tokens from {@code next} on; an empty list means that the connection is to end. */
+  /**
+   * Waits for tokens from {@code nextIndex} on and returns their events; an empty list means that
+   * the response must end.
+   */
   private synchronized List<String> awaitTokens(
-      Generation generation, int connection, int next, boolean chat, JsonNode body)
+      Generation generation, int connection, int nextIndex, boolean chat, JsonNode body)
       throws InterruptedException {
     while (true) {
-      boolean superseded = stopped || generation.connection != connection;
-      boolean dropped = !generation.complete && !model.knows(generation.id);
-      if (superseded || dropped) {
+      boolean superseded = stopped || generation.latestConnection != connection;
+      boolean cancelled = !generation.complete && !model.hasGeneration(generation.id);
+      if (superseded || cancelled) {
         return List.of();
       }
-      if (generation.produced > next && !generation.silenced) {
+      if (generation.producedTokens > nextIndex && !generation.stalled) {
         break;
       }
       wait();
     }
     List<String> events = new ArrayList<>();
-    for (int index = next; index < generation.produced; index++) {
-      boolean last = generation.complete && index == generation.produced - 1;
-      events.add("data: " + chunk(generation, index, last, chat, body) + "\n\n");
+    for (int index = nextIndex; index < generation.producedTokens; index++) {
+      boolean last = generation.complete && index == generation.producedTokens - 1;
+      events.add("data: " + chunkJson(generation, index, last, chat, body) + "\n\n");
     }
     return events;
   }
 
-  private static String chunk(
+  private static String chunkJson(
       Generation generation, int index, boolean last, boolean chat, JsonNode body) {
     ObjectNode chunk = Json.MAPPER.createObjectNode();
     chunk.put("id", generation.id);
@@ -356,7 +382,7 @@
     ObjectNode choice = chunk.putArray("choices").addObject();
     choice.put("index", 0);
     choice.put("finish_reason", last ? "stop" : null);
-    String text = generation.tag.text(generation.id, index);
+    String text = generation.tag.tokenText(generation.id, index);
     if (chat) {
       choice.putObject("delta").put("content", text);
     } else {
@@ -368,32 +394,35 @@
     return Json.text(chunk);
   }
 
-  private void cancel(HttpExchange http, JsonNode body) throws IOException {
+  private void handleCancel(HttpExchange http, JsonNode body) throws IOException {
     String id = body.path("generation_id").asText();
     synchronized (this) {
-      cancelled.add(id);
+      cancelledGenerations.add(id);
       model.cancel(id);
       generations.remove(id);
       notifyAll();
     }
-    answer(http, STATUS_OK, "cancelled");
+    respond(http, STATUS_OK, "cancelled");
   }
 
-  private void order(HttpExchange http, JsonNode body) throws IOException {
-    long number = body.path("fencing_number").asLong();
+  private void handleOrder(HttpExchange http, JsonNode body) throws IOException {
+    long fencingNumber = body.path("fencing_number").asLong();
     synchronized (this) {
-      long highest = fencing.getOrDefault(0L, 0L);
-      if (options.checksFencing() && number < highest) {
-        answer(http, STATUS_BAD, "fencing number " + number + " is older than " + highest);
+      long highest = highestFencingNumbers.getOrDefault(0L, 0L);
+      if (options.checksFencing() && fencingNumber < highest) {
+        respond(
+            http,
+            STATUS_BAD_REQUEST,
+            "order rejected: fencing number " + fencingNumber + " is lower than " + highest);
         return;
       }
-      fencing.put(0L, Math.max(highest, number));
+      highestFencingNumbers.put(0L, Math.max(highest, fencingNumber));
     }
-    answer(http, STATUS_OK, "done");
+    respond(http, STATUS_OK, "done");
   }
 
-  private static void answer(HttpExchange http, int status, String text) throws IOException {
-    byte[] body = Json.write(Json.MAPPER.createObjectNode().put("message", text)).toByteArray();
+  private static void respond(HttpExchange http, int status, String message) throws IOException {
+    byte[] body = Json.write(Json.MAPPER.createObjectNode().put("message", message)).toByteArray();
     http.getResponseHeaders().set("Content-Type", "application/json");
     http.sendResponseHeaders(status, body.length);
     http.getResponseBody().write(body);
--- a/src/main/java/org/curranthaven/internal/standin/StandinService.java
+++ b/src/main/java/org/curranthaven/internal/standin/StandinService.java
@@ -14,8 +14,8 @@
 import org.curranthaven.internal.settings.Json;
 
 /**
- * A stand-in for a plain service. A call's JSON body holds a {@code nonce} and may hold {@code
- * workMillis}; the answer repeats the nonce. Thread-safe.
+ * A stand-in for a plain service. The JSON body of a request holds a {@code nonce} and optionally
+ * {@code workMillis}, the processing time; the response repeats the nonce. Thread-safe.
  */
 public final class StandinService implements AutoCloseable {
   private static final int BACKLOG = 1_024;
@@ -26,11 +26,11 @@
   private final RunLog runLog;
   private final HttpServer server;
   private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
-  private final Announcer announcer;
+  private final AnnouncementSender announcer;
   private final long incarnation = System.currentTimeMillis();
   private final AtomicInteger running = new AtomicInteger();
   private volatile BackendAnnouncement.State state = BackendAnnouncement.State.READY;
-  private volatile int silentCalls;
+  private volatile int responsesToWithhold;
 
   private StandinService(StandinOptions options, RunLog runLog) throws IOException {
     this.options = options;
@@ -41,10 +41,10 @@
     server.setExecutor(executor);
     server.createContext("/", this::handle);
     server.start();
-    this.announcer = new Announcer(options.hosts(), this::announcement);
+    this.announcer = new AnnouncementSender(options.hosts(), this::announcement);
   }
 
-  /** Starts a service. */
+  /** Starts a service, which listens for requests and sends announcements. */
   public static StandinService start(StandinOptions options, RunLog runLog) throws IOException {
     return new StandinService(options, runLog);
   }
@@ -54,15 +54,15 @@
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  /** Announces that the service leaves or is ready. */
+  /** Sets the service's state, for example leaving or ready, and announces it at once. */
   public void announceState(BackendAnnouncement.State newState) {
     state = newState;
-    announcer.announce();
+    announcer.sendAnnouncement();
   }
 
-  /** Runs the next {@code calls} calls but never answers them. */
-  public void silenceNextCalls(int calls) {
-    silentCalls = calls;
+  /** Runs the next {@code count} requests but never responds to them. */
+  public void withholdNextResponses(int count) {
+    responsesToWithhold = count;
   }
 
   @Override
@@ -98,18 +98,18 @@
     try (http) {
       JsonNode body = Json.LENIENT.readTree(http.getRequestBody().readAllBytes());
       String nonce = body.path("nonce").asText();
-      runLog.started(nonce);
+      runLog.recordStart(nonce);
       Thread.sleep(body.path("workMillis").asLong(0));
-      if (takeSilentCall()) {
+      if (takeWithheldResponse()) {
         Thread.sleep(Long.MAX_VALUE);
       }
-      byte[] answer =
+      byte[] responseBody =
           Json.write(
                   Json.MAPPER.createObjectNode().put("nonce", nonce).put("service", options.name()))
               .toByteArray();
       http.getResponseHeaders().set("Content-Type", "application/json");
-      http.sendResponseHeaders(STATUS_OK, answer.length);
-      http.getResponseBody().write(answer);
+      http.sendResponseHeaders(STATUS_OK, responseBody.length);
+      http.getResponseBody().write(responseBody);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
@@ -117,11 +117,12 @@
     }
   }
 
-  private synchronized boolean takeSilentCall() {
-    if (silentCalls == 0) {
+  /** Returns whether this request's response is to be withheld, and counts it if so. */
+  private synchronized boolean takeWithheldResponse() {
+    if (responsesToWithhold == 0) {
       return false;
     }
-    silentCalls--;
+    responsesToWithhold--;
     return true;
   }
 }
--- a/src/main/java/org/curranthaven/internal/standin/Workloads.java
+++ b/src/main/java/org/curranthaven/internal/standin/Workloads.java
@@ -10,27 +10,27 @@
 import org.curranthaven.internal.configuration.Edit;
 import org.curranthaven.internal.gateway.Hashes;
 
-/** The two users' shapes of work: classes with their targets, and kinds of requests. */
+/** The load's two workloads: service classes with their targets, and kinds of requests. */
 public final class Workloads {
-  /** Model of the archive. */
-  public static final String STORY = "story";
+  /** Name of the archive's model. */
+  public static final String STORY_MODEL = "story";
 
-  /** Model of the lounges. */
-  public static final String LOUNGE = "lounge";
+  /** Name of the lounges' model. */
+  public static final String LOUNGE_MODEL = "lounge";
 
-  /** Plain service of the lounges' desks. */
-  public static final String DESK = "desk";
+  /** Name of the plain service of the lounges' desks. */
+  public static final String DESK_SERVICE = "desk";
 
-  /** Plain service of the archive. */
-  public static final String ARCHIVE = "archive";
+  /** Name of the plain service of the archive. */
+  public static final String ARCHIVE_SERVICE = "archive";
 
-  /** Bearer key of the load's workspace. */
-  public static final String KEY = "demo-key";
+  /** API key of the load's workspace, sent as a bearer token. */
+  public static final String API_KEY = "demo-key";
 
   private Workloads() {}
 
-  /** Returns the classes. */
-  public static List<ServiceClass> classes() {
+  /** Returns the service classes. */
+  public static List<ServiceClass> serviceClasses() {
     return List.of(
         new ServiceClass("door", new Targets(400, 100, 5_000), true),
         new ServiceClass("note", new Targets(1_000, 100, 20_000), true),
@@ -42,28 +42,28 @@
         new ServiceClass("page", new Targets(500, 500, 5_000), true));
   }
 
-  /** Returns the kinds of requests of both users. */
-  public static List<WorkKind> kinds() {
+  /** Returns the kinds of requests of both workloads. */
+  public static List<RequestKind> requestKinds() {
     return List.of(
-        new WorkKind("door", LOUNGE, false, true, 60, 8, 0.3, 8),
-        new WorkKind("note", LOUNGE, false, true, 120, 50, 0.4, 3),
-        new WorkKind("summary", LOUNGE, false, true, 400, 300, 0.5, 1),
-        new WorkKind("draft", STORY, false, true, 200, 400, 0.6, 1.5),
-        new WorkKind("tag", STORY, false, false, 300, 20, 0.4, 2),
-        new WorkKind("hold", DESK, true, false, 0, 0, 0, 5),
-        new WorkKind("charge", DESK, true, false, 0, 0, 0, 2),
-        new WorkKind("page", ARCHIVE, true, false, 0, 0, 0, 5));
+        new RequestKind("door", LOUNGE_MODEL, false, true, 60, 8, 0.3, 8),
+        new RequestKind("note", LOUNGE_MODEL, false, true, 120, 50, 0.4, 3),
+        new RequestKind("summary", LOUNGE_MODEL, false, true, 400, 300, 0.5, 1),
+        new RequestKind("draft", STORY_MODEL, false, true, 200, 400, 0.6, 1.5),
+        new RequestKind("tag", STORY_MODEL, false, false, 300, 20, 0.4, 2),
+        new RequestKind("hold", DESK_SERVICE, true, false, 0, 0, 0, 5),
+        new RequestKind("charge", DESK_SERVICE, true, false, 0, 0, 0, 2),
+        new RequestKind("page", ARCHIVE_SERVICE, true, false, 0, 0, 0, 5));
   }
 
-  /** Returns the edits that configure everything the load needs. */
-  public static List<Edit> configuration() {
+  /** Returns the configuration edits that the load needs. */
+  public static List<Edit> configurationEdits() {
     List<Edit> edits = new ArrayList<>();
-    classes().forEach(serviceClass -> edits.add(new Edit.PutClass(serviceClass)));
-    edits.add(new Edit.PutModel(new Model(STORY, 8_192)));
-    edits.add(new Edit.PutModel(new Model(LOUNGE, 4_096)));
-    edits.add(new Edit.PutService(new PlainService(DESK, "hold")));
-    edits.add(new Edit.PutService(new PlainService(ARCHIVE, "page")));
-    edits.add(new Edit.PutWorkspace(new Workspace("demo", Hashes.sha256Hex(KEY), "note", 0)));
+    serviceClasses().forEach(serviceClass -> edits.add(new Edit.PutClass(serviceClass)));
+    edits.add(new Edit.PutModel(new Model(STORY_MODEL, 8_192)));
+    edits.add(new Edit.PutModel(new Model(LOUNGE_MODEL, 4_096)));
+    edits.add(new Edit.PutService(new PlainService(DESK_SERVICE, "hold")));
+    edits.add(new Edit.PutService(new PlainService(ARCHIVE_SERVICE, "page")));
+    edits.add(new Edit.PutWorkspace(new Workspace("demo", Hashes.sha256Hex(API_KEY), "note", 0)));
     return edits;
   }
 }
--- a/src/main/java/org/curranthaven/internal/standin/package-info.java
+++ b/src/main/java/org/curranthaven/internal/standin/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-in engine, stand-in plain service and load. */
+/** Stand-ins for engines, plain services and a load balancer, and a load generator. */
 @NullMarked
 package org.curranthaven.internal.standin;
 
--- a/src/test/java/org/curranthaven/internal/experiment/RoutingExperimentTest.java
+++ b/src/test/java/org/curranthaven/internal/experiment/RoutingExperimentTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The stated bounds, on given time and fixed seeds, over three crowded scenarios. */
+/**
+ * Checks the bounds of the policy used by hosts in three scenarios, on fixed seeds in simulated
+ * time.
+ */
 class RoutingExperimentTest {
   private static Map<String, RoutingExperiment.Figures> figures = Map.of();
 
@@ -18,19 +21,19 @@
     Map<String, Policy> policies = new LinkedHashMap<>();
     RoutingExperiment.policies().forEach(policy -> policies.put(policy.policyName(), policy));
     figures =
-        RoutingExperiment.run(
+        RoutingExperiment.runAll(
                 List.of(
-                    new Scenario(Scenario.Kind.CHAPTER_FLOOD, Scenario.User.GUILD),
-                    new Scenario(Scenario.Kind.BOARDING_RUSH, Scenario.User.LOUNGE),
-                    new Scenario(Scenario.Kind.ENGINE_LOST, Scenario.User.LOUNGE)),
+                    new Scenario(Scenario.Kind.CHAPTER_FLOOD, Scenario.Workload.GUILD),
+                    new Scenario(Scenario.Kind.BOARDING_RUSH, Scenario.Workload.LOUNGE),
+                    new Scenario(Scenario.Kind.ENGINE_LOST, Scenario.Workload.LOUNGE)),
                 policies,
                 2)
-            .all();
+            .acrossScenarios();
   }
 
-  private static RoutingExperiment.Figures of(String policy) {
+  private static RoutingExperiment.Figures figuresOf(String policyName) {
     return figures.entrySet().stream()
-        .filter(entry -> entry.getKey().equals(policy))
+        .filter(entry -> entry.getKey().equals(policyName))
         .map(Map.Entry::getValue)
         .findFirst()
         .orElseThrow();
@@ -38,30 +41,30 @@
 
   @Test
   void stall_time_is_at_most_a_quarter_of_least_loads() {
-    assertThat((double) of("curranthaven").stallMillis())
-        .isLessThanOrEqualTo(0.25 * of("least-load").stallMillis());
+    assertThat((double) figuresOf("curranthaven").stallMillis())
+        .isLessThanOrEqualTo(0.25 * figuresOf("least-load").stallMillis());
   }
 
   @Test
   void preemptions_are_at_most_a_tenth_of_least_loads() {
-    assertThat((double) of("curranthaven").preemptions())
-        .isLessThanOrEqualTo(0.1 * of("least-load").preemptions());
+    assertThat((double) figuresOf("curranthaven").preemptions())
+        .isLessThanOrEqualTo(0.1 * figuresOf("least-load").preemptions());
   }
 
   @Test
   void the_p999_gap_is_at_most_half_of_least_loads() {
-    assertThat((double) of("curranthaven").gapP999Millis())
-        .isLessThanOrEqualTo(0.5 * of("least-load").gapP999Millis());
+    assertThat((double) figuresOf("curranthaven").gapP999Millis())
+        .isLessThanOrEqualTo(0.5 * figuresOf("least-load").gapP999Millis());
   }
 
   @Test
-  void the_door_is_answered_within_its_target() {
-    assertThat(of("curranthaven").doorFirstReplyP99Millis()).isLessThanOrEqualTo(400);
+  void door_requests_get_their_first_reply_within_the_target() {
+    assertThat(figuresOf("curranthaven").doorFirstReplyP99Millis()).isLessThanOrEqualTo(400);
   }
 
   @Test
   void throughput_is_at_least_098_of_least_loads() {
-    assertThat(of("curranthaven").tokensPerSecond())
-        .isGreaterThanOrEqualTo(0.98 * of("least-load").tokensPerSecond());
+    assertThat(figuresOf("curranthaven").tokensPerSecond())
+        .isGreaterThanOrEqualTo(0.98 * figuresOf("least-load").tokensPerSecond());
   }
 }
--- a/src/test/java/org/curranthaven/internal/experiment/TraceReplayTest.java
+++ b/src/test/java/org/curranthaven/internal/experiment/TraceReplayTest.java
@@ -10,31 +10,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Traces recorded from the running system, against their stated outcomes. */
+/** Replays traces recorded from the running system and compares their expected outcomes. */
 class TraceReplayTest {
-  private static final Path FOLDER = Path.of("src/test/resources/traces");
+  private static final Path TRACE_FOLDER = Path.of("src/test/resources/traces");
 
   private static List<String> trace(String name) throws IOException {
-    return Files.readAllLines(FOLDER.resolve(name + ".jsonl"));
+    return Files.readAllLines(TRACE_FOLDER.resolve(name + ".jsonl"));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"both-users-calm", "both-users-engine-lost"})
-  void a_trace_has_its_stated_outcomes(String name) throws IOException {
-    TraceReplay.Outcomes stated =
+  void a_trace_has_its_expected_outcomes(String name) throws IOException {
+    TraceReplay.Outcomes expected =
         Json.MAPPER.readValue(
-            Files.readString(FOLDER.resolve(name + ".expect.json")), TraceReplay.Outcomes.class);
+            Files.readString(TRACE_FOLDER.resolve(name + ".expect.json")),
+            TraceReplay.Outcomes.class);
 
     TraceReplay.Outcomes outcomes = TraceReplay.run(trace(name)).outcomes();
 
-    assertThat(outcomes).isEqualTo(stated);
+    assertThat(outcomes).isEqualTo(expected);
     assertThat(outcomes.sentToUnusable()).isZero();
     assertThat(outcomes.sentTwice()).isZero();
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"both-users-calm", "both-users-engine-lost"})
-  void a_replay_is_equal_to_the_byte(String name) throws IOException {
+  void two_replays_of_a_trace_give_the_same_decisions(String name) throws IOException {
     assertThat(TraceReplay.run(trace(name)).decisions())
         .isEqualTo(TraceReplay.run(trace(name)).decisions());
   }
--- a/src/test/java/org/curranthaven/internal/host/FleetClient.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetClient.java
@@ -89,7 +89,7 @@
 
   HttpRequest.Builder call(int host, String path, String className, String body) {
     return HttpRequest.newBuilder(URI.create(url(host, path)))
-        .header("Authorization", "Bearer " + Workloads.KEY)
+        .header("Authorization", "Bearer " + Workloads.API_KEY)
         .header("Curranthaven-Class", className)
         .POST(HttpRequest.BodyPublishers.ofString(body));
   }
--- a/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
@@ -8,12 +8,12 @@
 import java.util.UUID;
 import org.curranthaven.api.Model;
 import org.curranthaven.internal.configuration.Edit;
-import org.curranthaven.internal.standin.Balancer;
+import org.curranthaven.internal.standin.LoadBalancer;
 import org.curranthaven.internal.standin.LoadGenerator;
 import org.curranthaven.internal.standin.LocalFleet;
+import org.curranthaven.internal.standin.RequestKind;
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.StandinService;
-import org.curranthaven.internal.standin.WorkKind;
 import org.curranthaven.internal.standin.Workloads;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -30,9 +30,9 @@
   void startFleet() throws IOException, InterruptedException {
     fleet = LocalFleet.start(4, 3);
     client = new FleetClient(fleet);
-    desk = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
+    desk = StandinService.start(client.standin("desk-1", Workloads.DESK_SERVICE), runLog);
     FleetClient.await(
-        () -> client.change(3, "setup", 0, Workloads.configuration()).statusCode() == 200);
+        () -> client.change(3, "setup", 0, Workloads.configurationEdits()).statusCode() == 200);
     assertThat(fleet.awaitReady(FleetClient.PATIENCE_MILLIS)).isTrue();
     FleetClient.await(() -> voters(3) == 3);
   }
@@ -87,8 +87,8 @@
                 == 200);
     int other = lost == 0 ? 1 : 0;
     FleetClient.await(() -> client.hold(other, key, nonce).statusCode() == 200);
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
-    assertThat(fleet.host(3).configuration().models()).containsKeys("new", Workloads.STORY);
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
+    assertThat(fleet.host(3).configuration().models()).containsKeys("new", Workloads.STORY_MODEL);
   }
 
   @Test
@@ -98,7 +98,7 @@
     String nonce = UUID.randomUUID().toString();
     FleetClient.await(() -> client.hold(3, key, nonce).statusCode() == 200);
     fleet.host(1).stop();
-    fleet.wipe(1);
+    fleet.deleteData(1);
     fleet.restart(1);
     FleetClient.await(
         () ->
@@ -118,31 +118,32 @@
                     .statusCode()
                 == 200);
     FleetClient.await(() -> client.hold(1, key, nonce).statusCode() == 200);
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
   void a_rolling_restart_under_load_runs_nothing_twice_and_cuts_off_nothing()
       throws IOException, InterruptedException {
-    List<WorkKind> kinds =
+    List<RequestKind> kinds =
         List.of(
-            new WorkKind("hold", Workloads.DESK, true, false, 0, 0, 0, 1),
-            new WorkKind("charge", Workloads.DESK, true, false, 0, 0, 0, 1));
-    try (Balancer balancer = new Balancer(fleet.httpAddresses());
-        LoadGenerator load = new LoadGenerator(kinds, Workloads.classes(), balancer, runLog)) {
-      FleetClient.await(() -> balancer.readyCount() == 4);
+            new RequestKind("hold", Workloads.DESK_SERVICE, true, false, 0, 0, 0, 1),
+            new RequestKind("charge", Workloads.DESK_SERVICE, true, false, 0, 0, 0, 1));
+    try (LoadBalancer balancer = new LoadBalancer(fleet.httpAddresses());
+        LoadGenerator load =
+            new LoadGenerator(kinds, Workloads.serviceClasses(), balancer, runLog)) {
+      FleetClient.await(() -> balancer.readyHostCount() == 4);
       Thread sender =
           Thread.ofPlatform()
               .start(
                   () -> {
                     try {
-                      load.run(FleetClient.PATIENCE_MILLIS, 40, 3);
+                      load.sendRequests(FleetClient.PATIENCE_MILLIS, 40, 3);
                     } catch (InterruptedException e) {
                       Thread.currentThread().interrupt();
                     }
                   });
       for (int host = 0; host < 4; host++) {
-        load.plannedStop(fleet.httpAddresses().get(host));
+        load.recordPlannedStop(fleet.httpAddresses().get(host));
         assertThat(fleet.host(host).drain()).isZero();
         fleet.host(host).stop();
         fleet.restart(host);
@@ -150,9 +151,9 @@
       }
       sender.interrupt();
       sender.join();
-      assertThat(load.awaitEnd(FleetClient.PATIENCE_MILLIS)).isZero();
+      assertThat(load.awaitCompletion(FleetClient.PATIENCE_MILLIS)).isZero();
 
-      assertThat(load.promises().allKept()).as(load.promises().toString()).isTrue();
+      assertThat(load.violations().noViolations()).as(load.violations().toString()).isTrue();
       assertThat(load.classes().values())
           .filteredOn(summary -> summary.sent() > 0)
           .hasSize(2)
--- a/src/test/java/org/curranthaven/internal/host/FleetTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetTest.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 import java.util.UUID;
 import org.curranthaven.internal.settings.Json;
-import org.curranthaven.internal.standin.AnswerCheck;
+import org.curranthaven.internal.standin.GuaranteeViolations;
 import org.curranthaven.internal.standin.LocalFleet;
-import org.curranthaven.internal.standin.PromiseTally;
+import org.curranthaven.internal.standin.ResponseChecker;
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.StandinEngine;
 import org.curranthaven.internal.standin.StandinService;
@@ -36,11 +36,11 @@
   void startFleet() throws IOException, InterruptedException {
     fleet = LocalFleet.start(3, 3);
     client = new FleetClient(fleet);
-    story = StandinEngine.start(client.standin("story-1", Workloads.STORY), runLog);
-    secondStory = StandinEngine.start(client.standin("story-2", Workloads.STORY), runLog);
-    desk = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
+    story = StandinEngine.start(client.standin("story-1", Workloads.STORY_MODEL), runLog);
+    secondStory = StandinEngine.start(client.standin("story-2", Workloads.STORY_MODEL), runLog);
+    desk = StandinService.start(client.standin("desk-1", Workloads.DESK_SERVICE), runLog);
     FleetClient.await(
-        () -> client.change(1, "setup", 0, Workloads.configuration()).statusCode() == 200);
+        () -> client.change(1, "setup", 0, Workloads.configurationEdits()).statusCode() == 200);
     assertThat(fleet.awaitReady(FleetClient.PATIENCE_MILLIS)).isTrue();
     FleetClient.await(() -> client.get(0, "/admin/v1/backends").size() == 3);
     FleetClient.await(() -> client.get(1, "/admin/v1/backends").size() == 3);
@@ -71,17 +71,17 @@
     HttpResponse<String> response =
         client.send(client.call(0, "/v1/completions", "draft", prompt(nonce, 50, true)));
 
-    PromiseTally tally = new PromiseTally();
-    AnswerCheck check = new AnswerCheck(tally, nonce);
+    GuaranteeViolations tally = new GuaranteeViolations();
+    ResponseChecker check = new ResponseChecker(tally, nonce);
     for (String line : response.body().lines().toList()) {
       if (line.startsWith("data: {")) {
-        check.text(Json.LENIENT.readTree(line.substring(6)).at("/choices/0/text").asText());
+        check.checkText(Json.LENIENT.readTree(line.substring(6)).at("/choices/0/text").asText());
       }
     }
-    check.complete(50);
+    check.checkCompleteness(50);
     assertThat(response.body()).endsWith("data: [DONE]\n\n");
-    assertThat(check.tokens()).isEqualTo(50);
-    assertThat(tally.counts().allKept()).isTrue();
+    assertThat(check.nextTokenIndex()).isEqualTo(50);
+    assertThat(tally.counts().noViolations()).isTrue();
   }
 
   @Test
@@ -104,8 +104,8 @@
             .start(
                 () -> {
                   while (!Thread.interrupted()
-                      && !story.silenceOneConnection()
-                      && !secondStory.silenceOneConnection()) {
+                      && !story.stallOneConnection()
+                      && !secondStory.stallOneConnection()) {
                     Thread.onSpinWait();
                   }
                 });
@@ -115,12 +115,12 @@
     silencer.interrupt();
 
     JsonNode answer = Json.LENIENT.readTree(response.body());
-    PromiseTally tally = new PromiseTally();
-    AnswerCheck check = new AnswerCheck(tally, nonce);
-    check.text(answer.at("/choices/0/text").asText());
-    check.complete(200);
-    assertThat(tally.counts().allKept()).isTrue();
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
+    GuaranteeViolations tally = new GuaranteeViolations();
+    ResponseChecker check = new ResponseChecker(tally, nonce);
+    check.checkText(answer.at("/choices/0/text").asText());
+    check.checkCompleteness(200);
+    assertThat(tally.counts().noViolations()).isTrue();
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
@@ -140,7 +140,7 @@
       assertThat(response.body()).contains(nonce);
     }
 
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
@@ -148,7 +148,7 @@
     String nonce = nonce();
     String key = FleetClient.key();
     String body = "{\"nonce\":\"" + nonce + "\"}";
-    desk.silenceNextCalls(1);
+    desk.withholdNextResponses(1);
 
     HttpResponse<String> first =
         client.send(
@@ -159,7 +159,7 @@
 
     assertThat(Json.LENIENT.readTree(first.body()).path("ran").asText()).isEqualTo("unknown");
     assertThat(Json.LENIENT.readTree(second.body()).path("ran").asText()).isEqualTo("unknown");
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
@@ -177,7 +177,7 @@
                 .header("Idempotency-Key", key));
 
     assertThat(Json.LENIENT.readTree(other.body()).path("code").asInt()).isEqualTo(1008);
-    assertThat(runLog.runs("a2")).isZero();
+    assertThat(runLog.startCount("a2")).isZero();
   }
 
   @Test
@@ -215,8 +215,8 @@
   @Test
   void a_change_sent_again_gets_its_first_answer_and_a_racing_one_a_conflict()
       throws IOException, InterruptedException {
-    HttpResponse<String> again = client.change(1, "setup", 0, Workloads.configuration());
-    HttpResponse<String> racing = client.change(1, "other", 0, Workloads.configuration());
+    HttpResponse<String> again = client.change(1, "setup", 0, Workloads.configurationEdits());
+    HttpResponse<String> racing = client.change(1, "other", 0, Workloads.configurationEdits());
 
     assertThat(again.statusCode()).isEqualTo(200);
     assertThat(Json.LENIENT.readTree(racing.body()).path("code").asInt()).isEqualTo(4003);
--- a/src/test/java/org/curranthaven/internal/standin/EngineModelTest.java
+++ b/src/test/java/org/curranthaven/internal/standin/EngineModelTest.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Drives the engine model in simulated time and checks its events and memory use. */
 class EngineModelTest {
   private static final long HOUR_MICROS = 3_600_000_000L;
 
@@ -12,12 +13,13 @@
     return new EngineModel(EngineOptions.standard().withBlocks(blocks));
   }
 
-  private static EngineModel.EngineRequest request(String id, int prompt, int output, int prio) {
-    return new EngineModel.EngineRequest(id, prompt, output, prio, 0, 0);
+  private static EngineModel.EngineRequest request(
+      String generation, int promptTokens, int outputTokens, int priority) {
+    return new EngineModel.EngineRequest(generation, promptTokens, outputTokens, priority, 0, 0);
   }
 
   @Test
-  void a_generation_yields_every_token_once_and_in_order() {
+  void a_generation_produces_every_token_once_and_in_order() {
     EngineModel engine = engine(100);
     engine.submit(request("g", 40, 30, 0), 0);
 
@@ -32,14 +34,14 @@
   }
 
   @Test
-  void full_memory_preempts_the_least_urgent_generation_and_both_finish() {
+  void full_memory_preempts_the_least_urgent_generation_and_both_complete() {
     EngineModel engine = engine(20);
     engine.submit(request("urgent", 100, 100, 0), 0);
     engine.submit(request("draft", 100, 100, 1), 0);
 
     List<EngineEvent> events = engine.advance(HOUR_MICROS);
 
-    assertThat(engine.preemptions()).isPositive();
+    assertThat(engine.preemptionCount()).isPositive();
     assertThat(events)
         .filteredOn(EngineEvent.Preempted.class::isInstance)
         .allMatch(event -> event.generation().equals("draft"));
@@ -60,13 +62,13 @@
   }
 
   @Test
-  void steps_take_longer_the_more_generations_decode() {
+  void steps_take_longer_when_more_generations_decode() {
     assertThat(lastTokenMicros(8)).isGreaterThan(lastTokenMicros(1));
   }
 
-  private static long lastTokenMicros(int generations) {
+  private static long lastTokenMicros(int generationCount) {
     EngineModel engine = engine(2_000);
-    for (int i = 0; i < generations; i++) {
+    for (int i = 0; i < generationCount; i++) {
       engine.submit(request("g" + i, 10, 50, 0), 0);
     }
     return ((EngineEvent.Token) engine.advance(HOUR_MICROS).getLast()).atMicros();
