--- a/src/main/java/org/curranthaven/internal/experiment/PolicySimulation.java
+++ b/src/main/java/org/curranthaven/internal/experiment/PolicySimulation.java
@@ -24,11 +24,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs one policy on one scenario: several hosts' routing cores choose among stand-in engines, on
- * reports that come with a lag, and hear of each other's open requests with a lag.
+ * Simulates one policy in one scenario. The routing cores of several hosts choose among stand-in
+ * engines; the reports of the engines and the hosts' updates about each other's requests are
+ * periodic, and reports arrive with a delay. Not thread-safe.
  */
 final class PolicySimulation {
-  /** Hosts that choose independently: the users' 8 entry hosts. */
+  /** Number of hosts that route independently; both workloads enter through 8 hosts. */
   static final int HOST_COUNT = 8;
 
   private static final long STEP_MILLIS = 2;
@@ -43,7 +44,10 @@
   private static final int MICROS_PER_MILLI = 1_000;
 
   private final Scenario scenario;
+
+  /** Whether hosts get reports and share updates often and without delay, as the oracle does. */
   private final boolean immediateState;
+
   private final SplittableRandom random;
   private final List<RoutingCore> cores = new ArrayList<>();
   private final long[] clockOffsetMillis = new long[HOST_COUNT];
@@ -62,8 +66,10 @@
   private long nextRequestId = 1;
   private int openRequests;
 
+  /** An action at a simulated time; actions of the same time run in the order of scheduling. */
   private record ScheduledAction(long atMillis, long order, Runnable action) {}
 
+  /** An engine with its availability and the load and cache contents it last reported. */
   private static final class SimulatedEngine {
     final String name;
     final EngineModel model;
@@ -78,6 +84,7 @@
     }
   }
 
+  /** A request with its progress; a retry on another engine gets a new id and generation. */
   private static final class SimulatedRequest {
     final Scenario.Arrival arrival;
     final ServiceClass serviceClass;
@@ -101,7 +108,8 @@
     this.scenario = scenario;
     this.random = new SplittableRandom(seed);
     this.immediateState = policy instanceof Policy.Forecast forecast && forecast.options().oracle();
-    Workloads.serviceClasses().forEach(c -> classByName.put(c.name(), c));
+    Workloads.serviceClasses()
+        .forEach(serviceClass -> classByName.put(serviceClass.name(), serviceClass));
     for (int i = 0; i < HOST_COUNT; i++) {
       clockOffsetMillis[i] = random.nextInt(1_000_000);
       cores.add(new RoutingCore("host-" + i, policy, random.split(), this::actualLength));
@@ -114,24 +122,27 @@
     }
   }
 
-  /** Runs the policy on the scenario's arrivals of the seed. */
+  /** Runs the policy on the scenario's arrivals for the seed. */
   static SimulationResult run(Scenario scenario, Policy policy, long seed) {
     return new PolicySimulation(scenario, policy, seed).run(scenario.arrivals(seed));
   }
 
   private OutputLengths actualLength(long requestId) {
-    SimulatedRequest call = requestsById.get(requestId);
+    SimulatedRequest request = requestsById.get(requestId);
     return new OutputLengths.Known(
-        call == null ? 1 : call.arrival.outputTokens() - call.producedTokens);
+        request == null ? 1 : request.arrival.outputTokens() - request.producedTokens);
   }
 
+  /**
+   * Advances simulated time in steps until every request has ended or the time limit is reached.
+   */
   private SimulationResult run(List<Scenario.Arrival> arrivals) {
-    ArrayDeque<Scenario.Arrival> left = new ArrayDeque<>(arrivals);
+    ArrayDeque<Scenario.Arrival> remainingArrivals = new ArrayDeque<>(arrivals);
     result.arrivalDurationMillis = Scenario.ARRIVAL_DURATION_MILLIS;
     scheduleFaults();
-    while (nowMillis < MAX_DURATION_MILLIS && (openRequests > 0 || !left.isEmpty())) {
-      while (!left.isEmpty() && left.getFirst().atMillis() <= nowMillis) {
-        handleArrival(left.removeFirst());
+    while (nowMillis < MAX_DURATION_MILLIS && (openRequests > 0 || !remainingArrivals.isEmpty())) {
+      while (!remainingArrivals.isEmpty() && remainingArrivals.getFirst().atMillis() <= nowMillis) {
+        handleArrival(remainingArrivals.removeFirst());
       }
       while (!scheduledActions.isEmpty() && scheduledActions.peek().atMillis() <= nowMillis) {
         scheduledActions.remove().action().run();
@@ -148,30 +159,31 @@
     return result;
   }
 
+  /** Delivers ticks, engine reports and share updates that are due now. */
   private void exchangeState() {
     if (nowMillis % TICK_INTERVAL_MILLIS == 0) {
       for (int host = 0; host < HOST_COUNT; host++) {
         handle(host, new RoutingEvent.Tick());
       }
     }
-    long reportPeriod = immediateState ? TICK_INTERVAL_MILLIS : REPORT_INTERVAL_MILLIS;
-    if (nowMillis % reportPeriod == 0) {
+    long reportIntervalMillis = immediateState ? TICK_INTERVAL_MILLIS : REPORT_INTERVAL_MILLIS;
+    if (nowMillis % reportIntervalMillis == 0) {
       engines.forEach(this::sendReport);
     }
-    long sharePeriod = immediateState ? TICK_INTERVAL_MILLIS : SHARE_UPDATE_INTERVAL_MILLIS;
-    if (nowMillis % sharePeriod == 0) {
+    long shareIntervalMillis = immediateState ? TICK_INTERVAL_MILLIS : SHARE_UPDATE_INTERVAL_MILLIS;
+    if (nowMillis % shareIntervalMillis == 0) {
       exchangeShareUpdates();
     }
   }
 
   private void exchangeShareUpdates() {
     for (int from = 0; from < HOST_COUNT; from++) {
-      RoutingEvent shares =
+      RoutingEvent shareUpdate =
           new RoutingEvent.SharesReported(
               "host-" + from, cores.get(from).nextShareUpdate(nowMillis + clockOffsetMillis[from]));
       for (int to = 0; to < HOST_COUNT; to++) {
         if (to != from) {
-          handle(to, shares);
+          handle(to, shareUpdate);
         }
       }
     }
@@ -184,18 +196,19 @@
   // ---- engines ----------------------------------------------------------------------------------
 
   private void scheduleFaults() {
-    SimulatedEngine first = engines.getFirst();
+    SimulatedEngine firstEngine = engines.getFirst();
     switch (scenario.kind()) {
       case ENGINE_LOST ->
           schedule(
-              Scenario.EVENT_START_MILLIS, () -> stopEngine(first, LOSS_DETECTION_DELAY_MILLIS));
+              Scenario.EVENT_START_MILLIS,
+              () -> stopEngine(firstEngine, LOSS_DETECTION_DELAY_MILLIS));
       case RECLAIM ->
           schedule(
               Scenario.EVENT_START_MILLIS,
               () -> {
-                first.ready = false;
-                removeFromHosts(first);
-                schedule(RECLAIM_NOTICE_MILLIS, () -> stopEngine(first, 0));
+                firstEngine.ready = false;
+                removeFromHosts(firstEngine);
+                schedule(RECLAIM_NOTICE_MILLIS, () -> stopEngine(firstEngine, 0));
               });
       default -> {}
     }
@@ -207,40 +220,43 @@
     }
   }
 
-  private void stopEngine(SimulatedEngine engine, long noticedAfterMillis) {
+  /** Stops an engine; the hosts detect the loss after the delay and retry its requests. */
+  private void stopEngine(SimulatedEngine engine, long detectionDelayMillis) {
     engine.alive = false;
     engine.ready = false;
     schedule(
-        noticedAfterMillis,
+        detectionDelayMillis,
         () -> {
           removeFromHosts(engine);
-          List<SimulatedRequest> lost =
+          List<SimulatedRequest> interrupted =
               requestByGeneration.values().stream()
-                  .filter(call -> call.engine.equals(engine.name))
-                  .sorted(Comparator.comparingLong(call -> call.id))
+                  .filter(request -> request.engine.equals(engine.name))
+                  .sorted(Comparator.comparingLong(request -> request.id))
                   .toList();
-          lost.forEach(call -> retryOnAnotherEngine(call, engine));
+          interrupted.forEach(request -> retryOnAnotherEngine(request, engine));
         });
   }
 
-  /** Another engine takes the generation over from the tokens so far. */
-  private void retryOnAnotherEngine(SimulatedRequest call, SimulatedEngine lost) {
-    requestByGeneration.remove(call.generation);
-    long before = call.id;
+  /** Submits a request again, to continue after its tokens so far on another engine. */
+  private void retryOnAnotherEngine(SimulatedRequest request, SimulatedEngine failedEngine) {
+    requestByGeneration.remove(request.generation);
+    long previousId = request.id;
     handle(
-        call.host,
-        new RoutingEvent.Finished(before, call.producedTokens, RoutingEvent.RequestOutcome.FAILED));
-    requestsById.remove(before);
-    call.excludedEngines.add(lost.name);
-    submitRequest(call);
+        request.host,
+        new RoutingEvent.Finished(
+            previousId, request.producedTokens, RoutingEvent.RequestOutcome.FAILED));
+    requestsById.remove(previousId);
+    request.excludedEngines.add(failedEngine.name);
+    submitRequest(request);
   }
 
+  /** Sends an engine's load to all hosts; while reports are frozen, the last one is repeated. */
   private void sendReport(SimulatedEngine engine) {
-    boolean frozen =
+    boolean reportsFrozen =
         scenario.kind() == Scenario.Kind.REPORTS_FROZEN && scenario.isDuringEvent(nowMillis);
-    BackendReport current = engine.frozenReport;
-    if (!frozen || current == null) {
-      current =
+    BackendReport report = engine.frozenReport;
+    if (!reportsFrozen || report == null) {
+      report =
           new BackendReport(
               engine.name,
               "a",
@@ -253,35 +269,36 @@
               nowMillis,
               Long.MIN_VALUE / 2);
     }
-    engine.frozenReport = frozen ? current : null;
-    BackendReport sent = current;
+    engine.frozenReport = reportsFrozen ? report : null;
+    BackendReport sentReport = report;
     schedule(
         immediateState || nowMillis == 0 ? 0 : REPORT_DELAY_MILLIS,
         () -> {
           if (engine.ready) {
             for (int host = 0; host < HOST_COUNT; host++) {
-              handle(host, new RoutingEvent.BackendReported(sent));
+              handle(host, new RoutingEvent.BackendReported(sentReport));
             }
           }
         });
     sendCacheEvents(engine);
   }
 
+  /** Sends the changes of an engine's prefix cache to the hosts; some events are lost. */
   private void sendCacheEvents(SimulatedEngine engine) {
-    Set<Long> cached = Set.copyOf(engine.model.cachedPrefixes());
-    double lossShare = scenario.kind() == Scenario.Kind.CACHE_GAPS ? 0.5 : 0.05;
+    Set<Long> cachedNow = Set.copyOf(engine.model.cachedPrefixes());
+    double eventLossProbability = scenario.kind() == Scenario.Kind.CACHE_GAPS ? 0.5 : 0.05;
     List<RoutingEvent> events = new ArrayList<>();
-    cached.stream()
+    cachedNow.stream()
         .sorted()
         .filter(prefix -> !engine.cachedPrefixes.contains(prefix))
         .forEach(prefix -> events.add(new RoutingEvent.PrefixCached(engine.name, prefix, true)));
     engine.cachedPrefixes.stream()
         .sorted()
-        .filter(prefix -> !cached.contains(prefix))
+        .filter(prefix -> !cachedNow.contains(prefix))
         .forEach(prefix -> events.add(new RoutingEvent.PrefixCached(engine.name, prefix, false)));
-    engine.cachedPrefixes = cached;
+    engine.cachedPrefixes = cachedNow;
     for (RoutingEvent event : events) {
-      if (random.nextDouble() >= lossShare) {
+      if (random.nextDouble() >= eventLossProbability) {
         schedule(
             CACHE_EVENT_DELAY_MILLIS,
             () -> {
@@ -297,48 +314,50 @@
     switch (event) {
       case EngineEvent.Preempted preempted -> result.preemptions++;
       case EngineEvent.Token token -> {
-        SimulatedRequest call = requestByGeneration.get(token.generation());
-        if (call != null) {
-          handleToken(call, token);
+        SimulatedRequest request = requestByGeneration.get(token.generation());
+        if (request != null) {
+          handleToken(request, token);
         }
       }
     }
   }
 
-  private void handleToken(SimulatedRequest call, EngineEvent.Token token) {
+  private void handleToken(SimulatedRequest request, EngineEvent.Token token) {
     long atMillis = token.atMicros() / MICROS_PER_MILLI;
     if (atMillis < Scenario.ARRIVAL_DURATION_MILLIS) {
       result.tokensDuringArrivals++;
     }
-    if (call.producedTokens == 0) {
-      long firstReply = atMillis - call.arrival.atMillis();
-      result.recordFirstReply(call.serviceClass.name(), firstReply);
-      call.firstReplyOnTime = firstReply <= call.serviceClass.targets().firstReplyMillis();
+    if (request.producedTokens == 0) {
+      long firstReplyMillis = atMillis - request.arrival.atMillis();
+      result.recordFirstReply(request.serviceClass.name(), firstReplyMillis);
+      request.firstReplyOnTime =
+          firstReplyMillis <= request.serviceClass.targets().firstReplyMillis();
     } else {
       result.recordTokenGap(
-          atMillis - call.lastTokenMillis, call.serviceClass.targets().gapMillis());
+          atMillis - request.lastTokenMillis, request.serviceClass.targets().gapMillis());
     }
-    call.producedTokens = token.index() + 1;
-    call.lastTokenMillis = atMillis;
+    request.producedTokens = token.index() + 1;
+    request.lastTokenMillis = atMillis;
     if (token.last()) {
-      completeRequest(call, atMillis);
+      completeRequest(request, atMillis);
     } else {
-      handle(call.host, new RoutingEvent.Progressed(call.id, call.producedTokens));
+      handle(request.host, new RoutingEvent.Progressed(request.id, request.producedTokens));
     }
   }
 
-  private void completeRequest(SimulatedRequest call, long atMillis) {
-    requestByGeneration.remove(call.generation);
+  private void completeRequest(SimulatedRequest request, long atMillis) {
+    requestByGeneration.remove(request.generation);
     handle(
-        call.host,
+        request.host,
         new RoutingEvent.Finished(
-            call.id, call.producedTokens, RoutingEvent.RequestOutcome.COMPLETED));
-    requestsById.remove(call.id);
+            request.id, request.producedTokens, RoutingEvent.RequestOutcome.COMPLETED));
+    requestsById.remove(request.id);
     openRequests--;
-    long answer = atMillis - call.arrival.atMillis();
-    if (call.firstReplyOnTime && answer <= call.serviceClass.targets().answerMillis()) {
+    long completionMillis = atMillis - request.arrival.atMillis();
+    if (request.firstReplyOnTime
+        && completionMillis <= request.serviceClass.targets().answerMillis()) {
       result.requestsOnTarget++;
-      result.onTargetByClass.merge(call.serviceClass.name(), 1L, Long::sum);
+      result.onTargetByClass.merge(request.serviceClass.name(), 1L, Long::sum);
     }
   }
 
@@ -347,37 +366,40 @@
   private void handleArrival(Scenario.Arrival arrival) {
     ServiceClass serviceClass = classByName.get(arrival.requestKind().className());
     if (serviceClass == null) {
-      throw new IllegalArgumentException("no class " + arrival.requestKind().className());
+      throw new IllegalArgumentException(
+          "the workloads have no service class named "
+              + arrival.requestKind().className()
+              + "; add it to Workloads.serviceClasses");
     }
     result.requests++;
     openRequests++;
     submitRequest(new SimulatedRequest(arrival, serviceClass, random.nextInt(HOST_COUNT)));
   }
 
-  private void submitRequest(SimulatedRequest call) {
-    call.id = nextRequestId++;
-    requestsById.put(call.id, call);
+  private void submitRequest(SimulatedRequest request) {
+    request.id = nextRequestId++;
+    requestsById.put(request.id, request);
     handle(
-        call.host,
+        request.host,
         new RoutingEvent.Arrived(
             new RequestAttributes(
-                call.id,
-                call.arrival.workspace(),
-                call.serviceClass.name(),
-                call.serviceClass.targets(),
-                call.arrival.requestKind().target(),
-                call.arrival.requestKind().promptTokens() + call.producedTokens,
+                request.id,
+                request.arrival.workspace(),
+                request.serviceClass.name(),
+                request.serviceClass.targets(),
+                request.arrival.requestKind().target(),
+                request.arrival.requestKind().promptTokens() + request.producedTokens,
                 8_192,
-                call.arrival.prefixId(),
-                call.producedTokens == 0 ? call.arrival.atMillis() : nowMillis,
-                call.excludedEngines)));
+                request.arrival.prefixId(),
+                request.producedTokens == 0 ? request.arrival.atMillis() : nowMillis,
+                request.excludedEngines)));
   }
 
   private void handle(int host, RoutingEvent event) {
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     List<RoutingDecision> decisions =
         cores.get(host).handle(toHostClock(event, host), nowMillis + clockOffsetMillis[host]);
-    result.eventHandlingNanos += System.nanoTime() - start;
+    result.eventHandlingNanos += System.nanoTime() - startNanos;
     result.handledEvents++;
     for (RoutingDecision decision : decisions) {
       switch (decision) {
@@ -387,70 +409,73 @@
     }
   }
 
-  /** Returns the event with its times on the host's own clock. */
+  /** Returns the event with its times converted to the host's clock. */
   private RoutingEvent toHostClock(RoutingEvent event, int host) {
-    long offset = clockOffsetMillis[host];
+    long offsetMillis = clockOffsetMillis[host];
     return switch (event) {
       case RoutingEvent.Arrived arrived -> {
         RequestAttributes request = arrived.request();
         yield new RoutingEvent.Arrived(
-            request.withArrivedAtMillis(request.arrivedAtMillis() + offset));
+            request.withArrivedAtMillis(request.arrivedAtMillis() + offsetMillis));
       }
       case RoutingEvent.BackendReported reported -> {
         BackendReport report = reported.report();
         yield new RoutingEvent.BackendReported(
-            report.withSentAtMillis(report.sentAtMillis() + offset));
+            report.withSentAtMillis(report.sentAtMillis() + offsetMillis));
       }
       default -> event;
     };
   }
 
   private void dispatch(RoutingDecision.Dispatch dispatch) {
-    SimulatedRequest call = requestsById.get(dispatch.requestId());
+    SimulatedRequest request = requestsById.get(dispatch.requestId());
     SimulatedEngine engine = engineByName.get(dispatch.server());
-    if (call == null || engine == null) {
+    if (request == null || engine == null) {
       return;
     }
     if (!engine.alive) {
-      // The connection is refused; the request goes elsewhere.
-      schedule(1, () -> retryOnAnotherEngine(call, engine));
+      // The connection is refused, so the request is retried on another engine.
+      schedule(1, () -> retryOnAnotherEngine(request, engine));
       return;
     }
-    call.generation = "g" + dispatch.requestId();
-    call.engine = engine.name;
-    requestByGeneration.put(call.generation, call);
+    request.generation = "g" + dispatch.requestId();
+    request.engine = engine.name;
+    requestByGeneration.put(request.generation, request);
     engine.model.submit(
         new EngineModel.EngineRequest(
-            call.generation,
-            call.arrival.requestKind().promptTokens(),
-            call.arrival.outputTokens(),
+            request.generation,
+            request.arrival.requestKind().promptTokens(),
+            request.arrival.outputTokens(),
             dispatch.priority(),
-            call.arrival.prefixId(),
-            call.producedTokens),
+            request.arrival.prefixId(),
+            request.producedTokens),
         nowMillis * MICROS_PER_MILLI);
   }
 
   private void shed(RoutingDecision.Shed shed) {
-    SimulatedRequest call = requestsById.remove(shed.requestId());
-    if (call != null) {
+    SimulatedRequest request = requestsById.remove(shed.requestId());
+    if (request != null) {
       result.shedRequests++;
       openRequests--;
-      if (call.producedTokens == 0) {
+      if (request.producedTokens == 0) {
         result.recordFirstReply(
-            call.serviceClass.name(), call.serviceClass.targets().answerMillis());
+            request.serviceClass.name(), request.serviceClass.targets().answerMillis());
       }
     }
   }
 
-  /** Counts what has not ended as missed, and a stream that hangs as stalled until now. */
+  /**
+   * Records the requests that have not ended: one without a token as if shed, a stream as stalled
+   * from its last token until now.
+   */
   private void recordUnfinishedRequests() {
-    for (SimulatedRequest call : requestsById.values()) {
-      if (call.producedTokens == 0) {
+    for (SimulatedRequest request : requestsById.values()) {
+      if (request.producedTokens == 0) {
         result.recordFirstReply(
-            call.serviceClass.name(), call.serviceClass.targets().answerMillis());
+            request.serviceClass.name(), request.serviceClass.targets().answerMillis());
       } else {
         result.recordTokenGap(
-            nowMillis - call.lastTokenMillis, call.serviceClass.targets().gapMillis());
+            nowMillis - request.lastTokenMillis, request.serviceClass.targets().gapMillis());
       }
     }
   }
--- a/src/main/java/org/curranthaven/internal/experiment/Scenario.java
+++ b/src/main/java/org/curranthaven/internal/experiment/Scenario.java
@@ -50,13 +50,13 @@
 
   /** Returns every combination of kind and workload. */
   public static List<Scenario> all() {
-    List<Scenario> all = new ArrayList<>();
+    List<Scenario> scenarios = new ArrayList<>();
     for (Kind kind : Kind.values()) {
-      for (Workload user : Workload.values()) {
-        all.add(new Scenario(kind, user));
+      for (Workload workload : Workload.values()) {
+        scenarios.add(new Scenario(kind, workload));
       }
     }
-    return all;
+    return scenarios;
   }
 
   /** Returns the name as written to reports, as workload/kind. */
--- a/src/main/java/org/curranthaven/internal/standin/LocalFleet.java
+++ b/src/main/java/org/curranthaven/internal/standin/LocalFleet.java
@@ -44,8 +44,8 @@
   private final List<HostSettings> settings = new ArrayList<>();
   private final List<HostProcess> hosts = new ArrayList<>();
 
-  private LocalFleet(Path folder) {
-    this.baseFolder = folder;
+  private LocalFleet(Path baseFolder) {
+    this.baseFolder = baseFolder;
   }
 
   /** Starts {@code hostCount} hosts, of which the first {@code controlCount} are control hosts. */
--- a/src/main/java/org/curranthaven/internal/standin/StandinEngine.java
+++ b/src/main/java/org/curranthaven/internal/standin/StandinEngine.java
@@ -45,7 +45,7 @@
   private final HttpServer server;
   private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
   private final Thread advanceThread;
-  private final AnnouncementSender announcer;
+  private final AnnouncementSender announcementSender;
   private final long incarnation = System.currentTimeMillis();
   private final Map<String, Generation> generations =
       new LinkedHashMap<>() {
@@ -65,7 +65,7 @@
   /** The load figures that announcements report. */
   private record Load(int blocksFree, int running, int waiting) {}
 
-  /** A generation with the tokens that are ready to be sent. */
+  /** A generation with its progress and the connection that its tokens are sent on. */
   private static final class Generation {
     final String id;
     final PromptTag tag;
@@ -75,11 +75,11 @@
     int latestConnection;
     boolean stalled;
 
-    Generation(String id, PromptTag tag, int promptTokens, int produced) {
+    Generation(String id, PromptTag tag, int promptTokens, int producedTokens) {
       this.id = id;
       this.tag = tag;
       this.promptTokens = promptTokens;
-      this.producedTokens = produced;
+      this.producedTokens = producedTokens;
     }
   }
 
@@ -95,7 +95,7 @@
     server.start();
     this.advanceThread =
         Thread.ofPlatform().daemon(true).name(options.name()).start(this::advanceModel);
-    this.announcer = new AnnouncementSender(options.hosts(), this::announcement);
+    this.announcementSender = new AnnouncementSender(options.hosts(), this::announcement);
   }
 
   /** Starts an engine, which listens for requests and sends announcements. */
@@ -128,7 +128,7 @@
     synchronized (this) {
       state = newState;
     }
-    announcer.sendAnnouncement();
+    announcementSender.sendAnnouncement();
   }
 
   /** Sets whether announcements keep repeating the load figures of this moment. */
@@ -163,7 +163,7 @@
       notifyAll();
     }
     advanceThread.interrupt();
-    announcer.close();
+    announcementSender.close();
     server.stop(0);
     executor.shutdownNow();
   }
@@ -239,7 +239,8 @@
             respond(
                 http,
                 STATUS_NOT_FOUND,
-                "unknown path; use /v1/completions, /v1/chat/completions, /v1/cancel or /v1/orders");
+                "unknown path; use /v1/completions, /v1/chat/completions, /v1/cancel or"
+                    + " /v1/orders");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -261,7 +262,7 @@
         respond(
             http,
             STATUS_UNAVAILABLE,
-            "the engine is leaving or stopped and starts no generation; send the request to another one");
+            "the engine is leaving or stopped; send the request to another engine");
         return;
       }
       generation = generations.get(id);
@@ -298,7 +299,8 @@
     return canResume && tag != null && offset > 0 ? submitToModel(id, tag, body, offset) : null;
   }
 
-  private Generation submitToModel(String id, PromptTag tag, JsonNode body, int produced) {
+  private Generation submitToModel(
+      String id, PromptTag tag, JsonNode body, int alreadyProducedTokens) {
     String prompt = PromptTag.promptOf(body);
     int promptTokens = prompt.length() / CHARS_PER_TOKEN + 1;
     int maxTokens = body.path("max_tokens").asInt(Integer.MAX_VALUE);
@@ -310,9 +312,9 @@
             outputTokens,
             body.path("priority").asInt(0),
             prompt.substring(0, Math.min(256, prompt.length())).hashCode(),
-            produced),
+            alreadyProducedTokens),
         nowMicros());
-    Generation generation = new Generation(id, tag, promptTokens, produced);
+    Generation generation = new Generation(id, tag, promptTokens, alreadyProducedTokens);
     generations.put(id, generation);
     return generation;
   }
@@ -342,8 +344,8 @@
     }
   }
 
-  private synchronized boolean isFullySent(Generation generation, int sent) {
-    return generation.complete && sent >= generation.producedTokens;
+  private synchronized boolean isFullySent(Generation generation, int sentTokens) {
+    return generation.complete && sentTokens >= generation.producedTokens;
   }
 
   /**
--- a/src/main/java/org/curranthaven/internal/standin/StandinService.java
+++ b/src/main/java/org/curranthaven/internal/standin/StandinService.java
@@ -26,7 +26,7 @@
   private final RunLog runLog;
   private final HttpServer server;
   private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
-  private final AnnouncementSender announcer;
+  private final AnnouncementSender announcementSender;
   private final long incarnation = System.currentTimeMillis();
   private final AtomicInteger running = new AtomicInteger();
   private volatile BackendAnnouncement.State state = BackendAnnouncement.State.READY;
@@ -41,7 +41,7 @@
     server.setExecutor(executor);
     server.createContext("/", this::handle);
     server.start();
-    this.announcer = new AnnouncementSender(options.hosts(), this::announcement);
+    this.announcementSender = new AnnouncementSender(options.hosts(), this::announcement);
   }
 
   /** Starts a service, which listens for requests and sends announcements. */
@@ -57,7 +57,7 @@
   /** Sets the service's state, for example leaving or ready, and announces it at once. */
   public void announceState(BackendAnnouncement.State newState) {
     state = newState;
-    announcer.sendAnnouncement();
+    announcementSender.sendAnnouncement();
   }
 
   /** Runs the next {@code count} requests but never responds to them. */
@@ -67,7 +67,7 @@
 
   @Override
   public void close() {
-    announcer.close();
+    announcementSender.close();
     server.stop(0);
     executor.shutdownNow();
   }
