--- a/src/main/java/org/curranthaven/internal/check/ActionSequences.java
+++ b/src/main/java/org/curranthaven/internal/check/ActionSequences.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import org.jspecify.annotations.Nullable;
 
-/** Draws action lists start seeds, and minimizes lists that violate an invariant. */
+/** Draws action lists from seeds, and minimizes lists that violate an invariant. */
 public final class ActionSequences {
   private static final int MAX_ADVANCE_MILLIS = 40;
   private static final int MIN_CHUNK_SIZE = 1;
--- a/src/main/java/org/curranthaven/internal/check/RaftGroupSimulation.java
+++ b/src/main/java/org/curranthaven/internal/check/RaftGroupSimulation.java
@@ -134,7 +134,7 @@
    * Runs the actions, then restores all links, restarts stopped replicas and waits until all
    * replicas agree.
    *
-   * @throws Violation if an invariant does not hold
+   * @throws InvariantViolation if an invariant does not hold
    */
   public static Summary run(
       long seed, int replicaCount, List<Action> actions, InjectedFault injectedFault) {
@@ -234,7 +234,8 @@
   }
 
   /**
-   * Empties a replica's disk and restarts the replica under a new identity.
+   * Empties a replica's disk and restarts the replica, under a new identity unless the injected
+   * fault keeps the old one.
    *
    * <p>Does nothing while a replica is stopped, or while one still counts the former identity of an
    * emptied disk as a voter.
@@ -380,7 +381,7 @@
         : new ArrayList<>(List.of(state.toStringUtf8().split(",")));
   }
 
-  /** Throws if more than one replica believes to hold the lease. */
+  /** Throws if more than one replica considers itself the lease holder. */
   private void checkSingleLease() {
     String holder = "";
     for (Replica replica : replicas) {
@@ -401,8 +402,8 @@
     cutLinks.clear();
     replicas.forEach(replica -> replica.crashOnNextWrite = false);
     replicas.forEach(this::restart);
-    long end = nowMillis + RECOVERY_TIMEOUT_MILLIS;
-    while (nowMillis < end && !haveAgreed()) {
+    long deadlineMillis = nowMillis + RECOVERY_TIMEOUT_MILLIS;
+    while (nowMillis < deadlineMillis && !haveAgreed()) {
       advance(RECOVERY_STEP_MILLIS);
       checkSingleLease();
       int messageCount = messagesInTransit.size();
@@ -418,8 +419,8 @@
     }
     if (!haveAgreed()) {
       throw new InvariantViolation(
-          "the group did not recover: replicas still disagree 60 s after all links were restored"
-              + " and all replicas restarted: "
+          "the group did not recover: no lease holder or no agreement 60 s after all links were"
+              + " restored and all replicas restarted: "
               + describeReplicas());
     }
     Set<String> lostCommands = new HashSet<>(acknowledgedCommands);
