--- a/src/main/java/org/curranthaven/internal/cli/BenchCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/BenchCommand.java
@@ -66,7 +66,7 @@
         READY_TIMEOUT_MILLIS,
         () -> {
           try {
-            return client.submitChange("bench", 0, "bench", Workloads.configuration())
+            return client.submitChange("bench", 0, "bench", Workloads.configurationEdits())
                 instanceof Outcome.Success<JsonNode>;
           } catch (IOException e) {
             return false;
--- a/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
@@ -7,9 +7,9 @@
 import org.curranthaven.api.Failure;
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.check.Action;
-import org.curranthaven.internal.check.Actions;
+import org.curranthaven.internal.check.ActionSequences;
 import org.curranthaven.internal.check.InjectedFault;
-import org.curranthaven.internal.check.Violation;
+import org.curranthaven.internal.check.InvariantViolation;
 import org.jspecify.annotations.Nullable;
 
 /** {@code check}: tests the replicated log with random sequences of events, one for each seed. */
@@ -63,8 +63,8 @@
     long deadline = System.nanoTime() + arguments.getInt("minutes") * NANOS_PER_MINUTE;
     long seed = firstSeed;
     for (; seed < firstSeed + seeds && System.nanoTime() < deadline; seed++) {
-      List<Action> actions = Actions.draw(seed, DEFAULT_ACTIONS);
-      Violation violation = Actions.violation(seed, replicas, actions, fault);
+      List<Action> actions = ActionSequences.draw(seed, DEFAULT_ACTIONS);
+      InvariantViolation violation = ActionSequences.findViolation(seed, replicas, actions, fault);
       if (violation != null) {
         return reportViolation(seed, replicas, actions, fault, violation);
       }
@@ -76,13 +76,17 @@
   }
 
   private static int reportViolation(
-      long seed, int replicas, List<Action> actions, InjectedFault fault, Violation violation) {
-    List<Action> shortestActions = Actions.shorten(seed, replicas, actions, fault);
+      long seed,
+      int replicas,
+      List<Action> actions,
+      InjectedFault fault,
+      InvariantViolation violation) {
+    List<Action> shortestActions = ActionSequences.minimize(seed, replicas, actions, fault);
     System.out.println("seed " + seed + ": " + violation.getMessage());
     System.out.println("shortest trace found, " + shortestActions.size() + " actions:");
     shortestActions.forEach(action -> System.out.println("  " + action));
-    @Nullable Violation shortestViolation =
-        Actions.violation(seed, replicas, shortestActions, fault);
+    @Nullable InvariantViolation shortestViolation =
+        ActionSequences.findViolation(seed, replicas, shortestActions, fault);
     return Main.reportFailure(
         Failure.of(
             ResultCode.PROMISE_BROKEN,
--- a/src/main/java/org/curranthaven/internal/cli/DemoRun.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoRun.java
@@ -9,12 +9,12 @@
 import org.curranthaven.api.Outcome;
 import org.curranthaven.internal.host.HostProcess;
 import org.curranthaven.internal.membership.BackendAnnouncement;
-import org.curranthaven.internal.standin.Balancer;
-import org.curranthaven.internal.standin.ClassTally;
+import org.curranthaven.internal.standin.ClassStatistics;
 import org.curranthaven.internal.standin.EngineOptions;
+import org.curranthaven.internal.standin.GuaranteeViolations;
+import org.curranthaven.internal.standin.LoadBalancer;
 import org.curranthaven.internal.standin.LoadGenerator;
 import org.curranthaven.internal.standin.LocalFleet;
-import org.curranthaven.internal.standin.PromiseTally;
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.StandinEngine;
 import org.curranthaven.internal.standin.StandinOptions;
@@ -63,8 +63,8 @@
    * @param unfinished requests that did not finish in time
    */
   record Report(
-      Map<String, ClassTally.Summary> classes,
-      PromiseTally.Counts promises,
+      Map<String, ClassStatistics.Summary> classes,
+      GuaranteeViolations.Counts promises,
       long preemptions,
       int unfinished) {}
 
@@ -75,7 +75,7 @@
 
   Report run() throws IOException, InterruptedException {
     try (LocalFleet fleet = LocalFleet.start(HOSTS, CONTROL_HOSTS);
-        Balancer balancer = new Balancer(fleet.httpAddresses())) {
+        LoadBalancer balancer = new LoadBalancer(fleet.httpAddresses())) {
       startStandins(fleet.httpAddresses());
       configure(fleet);
       printProgress(
@@ -94,15 +94,17 @@
   private void startStandins(List<String> hosts) throws IOException {
     for (int i = 1; i <= 3; i++) {
       engines.add(
-          StandinEngine.start(standinOptions("story-" + i, Workloads.STORY, hosts), runLog));
+          StandinEngine.start(standinOptions("story-" + i, Workloads.STORY_MODEL, hosts), runLog));
       engines.add(
-          StandinEngine.start(standinOptions("lounge-" + i, Workloads.LOUNGE, hosts), runLog));
+          StandinEngine.start(
+              standinOptions("lounge-" + i, Workloads.LOUNGE_MODEL, hosts), runLog));
     }
     for (int i = 1; i <= 2; i++) {
       services.add(
-          StandinService.start(standinOptions("desk-" + i, Workloads.DESK, hosts), runLog));
+          StandinService.start(standinOptions("desk-" + i, Workloads.DESK_SERVICE, hosts), runLog));
       services.add(
-          StandinService.start(standinOptions("archive-" + i, Workloads.ARCHIVE, hosts), runLog));
+          StandinService.start(
+              standinOptions("archive-" + i, Workloads.ARCHIVE_SERVICE, hosts), runLog));
     }
   }
 
@@ -126,7 +128,7 @@
             () -> !fleet.host(HOSTS - 1).network().connectedHosts().isEmpty());
     Outcome<JsonNode> outcome =
         connected
-            ? admin.submitChange("demo-setup", 0, "demo", Workloads.configuration())
+            ? admin.submitChange("demo-setup", 0, "demo", Workloads.configurationEdits())
             : Outcome.failed(
                 org.curranthaven.api.ResultCode.HOST_UNREACHABLE,
                 "no host connected to "
@@ -145,28 +147,32 @@
     }
   }
 
-  private Report runLoad(LocalFleet fleet, Balancer balancer) throws InterruptedException {
-    LocalFleet.await(READY_TIMEOUT_MILLIS, () -> balancer.readyCount() == HOSTS);
+  private Report runLoad(LocalFleet fleet, LoadBalancer balancer) throws InterruptedException {
+    LocalFleet.await(READY_TIMEOUT_MILLIS, () -> balancer.readyHostCount() == HOSTS);
     try (LoadGenerator load =
-        new LoadGenerator(Workloads.kinds(), Workloads.classes(), balancer, runLog)) {
+        new LoadGenerator(Workloads.requestKinds(), Workloads.serviceClasses(), balancer, runLog)) {
       Thread faultThread = Thread.ofPlatform().daemon(true).start(() -> injectFaults(fleet, load));
-      load.run(
+      load.sendRequests(
           (long) options.seconds() * MILLIS_PER_SECOND,
           options.requestsPerSecond(),
           options.seed());
       faultThread.join();
       printProgress(
-          "sent all " + load.sent() + " requests, of which " + load.open() + " are still open");
-      int unfinished = load.awaitEnd(COMPLETION_TIMEOUT_MILLIS);
-      long preemptions = engines.stream().mapToLong(StandinEngine::preemptions).sum();
-      return new Report(load.classes(), load.promises(), preemptions, unfinished);
+          "sent all "
+              + load.sentRequestCount()
+              + " requests, of which "
+              + load.openRequestCount()
+              + " are still open");
+      int unfinished = load.awaitCompletion(COMPLETION_TIMEOUT_MILLIS);
+      long preemptions = engines.stream().mapToLong(StandinEngine::preemptionCount).sum();
+      return new Report(load.classes(), load.violations(), preemptions, unfinished);
     }
   }
 
   private void injectFaults(LocalFleet fleet, LoadGenerator load) {
     try {
       sleepUntil(0.15);
-      boolean madeUnresponsive = engines.stream().anyMatch(StandinEngine::silenceOneConnection);
+      boolean madeUnresponsive = engines.stream().anyMatch(StandinEngine::stallOneConnection);
       printProgress(
           madeUnresponsive
               ? "fault: one open stream becomes unresponsive for good"
@@ -188,7 +194,7 @@
       sleepUntil(0.6);
       HostProcess leaving = fleet.host(0);
       printProgress("planned stop of " + leaving.name() + ", which may lead consensus groups");
-      load.plannedStop(leaving.settings().httpAddress());
+      load.recordPlannedStop(leaving.settings().httpAddress());
       int openRequests = leaving.drain();
       leaving.stop();
       printProgress(
@@ -223,7 +229,7 @@
         "  curl -N http://"
             + fleet.httpAddresses().get(1)
             + "/v1/completions -H 'Authorization: Bearer "
-            + Workloads.KEY
+            + Workloads.API_KEY
             + "' -d '{\"model\":\"lounge\",\"stream\":true,"
             + "\"prompt\":\"[[nonce=me tokens=20]]\"}'");
     printProgress("  curl http://" + fleet.httpAddresses().get(1) + "/admin/v1/dump");
--- a/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/LoadCommand.java
@@ -8,7 +8,7 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.settings.Json;
-import org.curranthaven.internal.standin.Balancer;
+import org.curranthaven.internal.standin.LoadBalancer;
 import org.curranthaven.internal.standin.LoadGenerator;
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.Workloads;
@@ -57,29 +57,30 @@
       int exitCode =
           ChangeReporter.report(
               new AdminClient(hosts.getFirst())
-                  .submitChange(AdminOptions.operatorName(), Workloads.configuration()),
+                  .submitChange(AdminOptions.operatorName(), Workloads.configurationEdits()),
               false);
       if (exitCode != 0) {
         return exitCode;
       }
     }
-    try (Balancer balancer = new Balancer(hosts);
+    try (LoadBalancer balancer = new LoadBalancer(hosts);
         LoadGenerator load =
-            new LoadGenerator(Workloads.kinds(), Workloads.classes(), balancer, new RunLog())) {
+            new LoadGenerator(
+                Workloads.requestKinds(), Workloads.serviceClasses(), balancer, new RunLog())) {
       Thread.sleep(BALANCER_STARTUP_DELAY_MILLIS);
-      load.run(
+      load.sendRequests(
           (long) arguments.getInt("seconds") * MILLIS_PER_SECOND,
           arguments.getDouble("rate"),
           arguments.getLong("seed"));
-      int unfinished = load.awaitEnd(COMPLETION_TIMEOUT_MILLIS);
+      int unfinished = load.awaitCompletion(COMPLETION_TIMEOUT_MILLIS);
       if (arguments.getBoolean("json")) {
         System.out.println(
-            Json.text(Map.of("classes", load.classes(), "promises", load.promises())));
+            Json.text(Map.of("classes", load.classes(), "promises", load.violations())));
       } else {
         DemoCommand.printClasses(load.classes());
-        DemoCommand.printPromises(load.promises());
+        DemoCommand.printPromises(load.violations());
       }
-      return load.promises().allKept() && unfinished == 0
+      return load.violations().noViolations() && unfinished == 0
           ? 0
           : ResultCode.PROMISE_BROKEN.exitCode();
     }
--- a/src/test/java/org/curranthaven/internal/host/FleetClient.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetClient.java
@@ -91,7 +91,7 @@
   /** Returns a request of a caller with the given service class. */
   HttpRequest.Builder callerRequest(int host, String path, String className, String body) {
     return HttpRequest.newBuilder(URI.create(url(host, path)))
-        .header("Authorization", "Bearer " + Workloads.KEY)
+        .header("Authorization", "Bearer " + Workloads.API_KEY)
         .header("Curranthaven-Class", className)
         .POST(HttpRequest.BodyPublishers.ofString(body));
   }
--- a/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
@@ -8,12 +8,12 @@
 import java.util.UUID;
 import org.curranthaven.api.Model;
 import org.curranthaven.internal.configuration.Edit;
-import org.curranthaven.internal.standin.Balancer;
+import org.curranthaven.internal.standin.LoadBalancer;
 import org.curranthaven.internal.standin.LoadGenerator;
 import org.curranthaven.internal.standin.LocalFleet;
+import org.curranthaven.internal.standin.RequestKind;
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.StandinService;
-import org.curranthaven.internal.standin.WorkKind;
 import org.curranthaven.internal.standin.Workloads;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -33,9 +33,9 @@
   void startFleet() throws IOException, InterruptedException {
     fleet = LocalFleet.start(4, 3);
     client = new FleetClient(fleet);
-    service = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
+    service = StandinService.start(client.standin("desk-1", Workloads.DESK_SERVICE), runLog);
     FleetClient.await(
-        () -> client.change(3, "setup", 0, Workloads.configuration()).statusCode() == 200);
+        () -> client.change(3, "setup", 0, Workloads.configurationEdits()).statusCode() == 200);
     assertThat(fleet.awaitReady(FleetClient.CONDITION_TIMEOUT_MILLIS)).isTrue();
     FleetClient.await(() -> voters(3) == 3);
   }
@@ -91,8 +91,8 @@
                 == 200);
     int otherHost = lostHost == 0 ? 1 : 0;
     FleetClient.await(() -> client.sendHold(otherHost, idempotencyKey, nonce).statusCode() == 200);
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
-    assertThat(fleet.host(3).configuration().models()).containsKeys("new", Workloads.STORY);
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
+    assertThat(fleet.host(3).configuration().models()).containsKeys("new", Workloads.STORY_MODEL);
   }
 
   @Test
@@ -102,7 +102,7 @@
     String nonce = UUID.randomUUID().toString();
     FleetClient.await(() -> client.sendHold(3, idempotencyKey, nonce).statusCode() == 200);
     fleet.host(1).stop();
-    fleet.wipe(1);
+    fleet.deleteData(1);
     fleet.restart(1);
     FleetClient.await(
         () ->
@@ -122,31 +122,32 @@
                     .statusCode()
                 == 200);
     FleetClient.await(() -> client.sendHold(1, idempotencyKey, nonce).statusCode() == 200);
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
   void a_rolling_restart_under_load_runs_no_request_twice_and_interrupts_none()
       throws IOException, InterruptedException {
-    List<WorkKind> workKinds =
+    List<RequestKind> workKinds =
         List.of(
-            new WorkKind("hold", Workloads.DESK, true, false, 0, 0, 0, 1),
-            new WorkKind("charge", Workloads.DESK, true, false, 0, 0, 0, 1));
-    try (Balancer balancer = new Balancer(fleet.httpAddresses());
-        LoadGenerator load = new LoadGenerator(workKinds, Workloads.classes(), balancer, runLog)) {
-      FleetClient.await(() -> balancer.readyCount() == 4);
+            new RequestKind("hold", Workloads.DESK_SERVICE, true, false, 0, 0, 0, 1),
+            new RequestKind("charge", Workloads.DESK_SERVICE, true, false, 0, 0, 0, 1));
+    try (LoadBalancer balancer = new LoadBalancer(fleet.httpAddresses());
+        LoadGenerator load =
+            new LoadGenerator(workKinds, Workloads.serviceClasses(), balancer, runLog)) {
+      FleetClient.await(() -> balancer.readyHostCount() == 4);
       Thread loadThread =
           Thread.ofPlatform()
               .start(
                   () -> {
                     try {
-                      load.run(FleetClient.CONDITION_TIMEOUT_MILLIS, 40, 3);
+                      load.sendRequests(FleetClient.CONDITION_TIMEOUT_MILLIS, 40, 3);
                     } catch (InterruptedException e) {
                       Thread.currentThread().interrupt();
                     }
                   });
       for (int host = 0; host < 4; host++) {
-        load.plannedStop(fleet.httpAddresses().get(host));
+        load.recordPlannedStop(fleet.httpAddresses().get(host));
         assertThat(fleet.host(host).drain()).isZero();
         fleet.host(host).stop();
         fleet.restart(host);
@@ -154,9 +155,9 @@
       }
       loadThread.interrupt();
       loadThread.join();
-      assertThat(load.awaitEnd(FleetClient.CONDITION_TIMEOUT_MILLIS)).isZero();
+      assertThat(load.awaitCompletion(FleetClient.CONDITION_TIMEOUT_MILLIS)).isZero();
 
-      assertThat(load.promises().allKept()).as(load.promises().toString()).isTrue();
+      assertThat(load.violations().noViolations()).as(load.violations().toString()).isTrue();
       assertThat(load.classes().values())
           .filteredOn(summary -> summary.sent() > 0)
           .hasSize(2)
--- a/src/test/java/org/curranthaven/internal/host/FleetTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetTest.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 import java.util.UUID;
 import org.curranthaven.internal.settings.Json;
-import org.curranthaven.internal.standin.AnswerCheck;
+import org.curranthaven.internal.standin.GuaranteeViolations;
 import org.curranthaven.internal.standin.LocalFleet;
-import org.curranthaven.internal.standin.PromiseTally;
+import org.curranthaven.internal.standin.ResponseChecker;
 import org.curranthaven.internal.standin.RunLog;
 import org.curranthaven.internal.standin.StandinEngine;
 import org.curranthaven.internal.standin.StandinService;
@@ -39,11 +39,11 @@
   void startFleet() throws IOException, InterruptedException {
     fleet = LocalFleet.start(3, 3);
     client = new FleetClient(fleet);
-    firstEngine = StandinEngine.start(client.standin("story-1", Workloads.STORY), runLog);
-    secondEngine = StandinEngine.start(client.standin("story-2", Workloads.STORY), runLog);
-    service = StandinService.start(client.standin("desk-1", Workloads.DESK), runLog);
+    firstEngine = StandinEngine.start(client.standin("story-1", Workloads.STORY_MODEL), runLog);
+    secondEngine = StandinEngine.start(client.standin("story-2", Workloads.STORY_MODEL), runLog);
+    service = StandinService.start(client.standin("desk-1", Workloads.DESK_SERVICE), runLog);
     FleetClient.await(
-        () -> client.change(1, "setup", 0, Workloads.configuration()).statusCode() == 200);
+        () -> client.change(1, "setup", 0, Workloads.configurationEdits()).statusCode() == 200);
     assertThat(fleet.awaitReady(FleetClient.CONDITION_TIMEOUT_MILLIS)).isTrue();
     FleetClient.await(() -> client.get(0, "/admin/v1/backends").size() == 3);
     FleetClient.await(() -> client.get(1, "/admin/v1/backends").size() == 3);
@@ -74,17 +74,18 @@
     HttpResponse<String> response =
         client.send(client.callerRequest(0, "/v1/completions", "draft", prompt(nonce, 50, true)));
 
-    PromiseTally tally = new PromiseTally();
-    AnswerCheck responseCheck = new AnswerCheck(tally, nonce);
+    GuaranteeViolations tally = new GuaranteeViolations();
+    ResponseChecker responseCheck = new ResponseChecker(tally, nonce);
     for (String line : response.body().lines().toList()) {
       if (line.startsWith("data: {")) {
-        responseCheck.text(Json.LENIENT.readTree(line.substring(6)).at("/choices/0/text").asText());
+        responseCheck.checkText(
+            Json.LENIENT.readTree(line.substring(6)).at("/choices/0/text").asText());
       }
     }
-    responseCheck.complete(50);
+    responseCheck.checkCompleteness(50);
     assertThat(response.body()).endsWith("data: [DONE]\n\n");
-    assertThat(responseCheck.tokens()).isEqualTo(50);
-    assertThat(tally.counts().allKept()).isTrue();
+    assertThat(responseCheck.nextTokenIndex()).isEqualTo(50);
+    assertThat(tally.counts().noViolations()).isTrue();
   }
 
   @Test
@@ -108,8 +109,8 @@
             .start(
                 () -> {
                   while (!Thread.interrupted()
-                      && !firstEngine.silenceOneConnection()
-                      && !secondEngine.silenceOneConnection()) {
+                      && !firstEngine.stallOneConnection()
+                      && !secondEngine.stallOneConnection()) {
                     Thread.onSpinWait();
                   }
                 });
@@ -119,12 +120,12 @@
     connectionSilencer.interrupt();
 
     JsonNode response = Json.LENIENT.readTree(httpResponse.body());
-    PromiseTally tally = new PromiseTally();
-    AnswerCheck responseCheck = new AnswerCheck(tally, nonce);
-    responseCheck.text(response.at("/choices/0/text").asText());
-    responseCheck.complete(200);
-    assertThat(tally.counts().allKept()).isTrue();
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
+    GuaranteeViolations tally = new GuaranteeViolations();
+    ResponseChecker responseCheck = new ResponseChecker(tally, nonce);
+    responseCheck.checkText(response.at("/choices/0/text").asText());
+    responseCheck.checkCompleteness(200);
+    assertThat(tally.counts().noViolations()).isTrue();
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
@@ -144,7 +145,7 @@
       assertThat(response.body()).contains(nonce);
     }
 
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
@@ -153,7 +154,7 @@
     String nonce = nonce();
     String idempotencyKey = FleetClient.newIdempotencyKey();
     String body = "{\"nonce\":\"" + nonce + "\"}";
-    service.silenceNextCalls(1);
+    service.withholdNextResponses(1);
 
     HttpResponse<String> firstResponse =
         client.send(
@@ -170,7 +171,7 @@
         .isEqualTo("unknown");
     assertThat(Json.LENIENT.readTree(secondResponse.body()).path("ran").asText())
         .isEqualTo("unknown");
-    assertThat(runLog.runs(nonce)).isEqualTo(1);
+    assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
@@ -189,7 +190,7 @@
                 .header("Idempotency-Key", idempotencyKey));
 
     assertThat(Json.LENIENT.readTree(withOtherBody.body()).path("code").asInt()).isEqualTo(1008);
-    assertThat(runLog.runs("a2")).isZero();
+    assertThat(runLog.startCount("a2")).isZero();
   }
 
   @Test
@@ -230,8 +231,8 @@
   @Test
   void a_change_sent_again_gets_its_first_result_and_a_concurrent_one_a_conflict()
       throws IOException, InterruptedException {
-    HttpResponse<String> repeated = client.change(1, "setup", 0, Workloads.configuration());
-    HttpResponse<String> concurrent = client.change(1, "other", 0, Workloads.configuration());
+    HttpResponse<String> repeated = client.change(1, "setup", 0, Workloads.configurationEdits());
+    HttpResponse<String> concurrent = client.change(1, "other", 0, Workloads.configurationEdits());
 
     assertThat(repeated.statusCode()).isEqualTo(200);
     assertThat(Json.LENIENT.readTree(concurrent.body()).path("code").asInt()).isEqualTo(4003);
