--- a/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
@@ -24,7 +24,7 @@
 import org.curranthaven.internal.transport.wire.FreshnessRequest;
 import org.curranthaven.internal.transport.wire.HostRecord;
 import org.curranthaven.internal.transport.wire.PeerLease;
-import org.curranthaven.internal.transport.wire.RevisionAnswer;
+import org.curranthaven.internal.transport.wire.VoterFreshnessReply;
 
 /**
  * Grants freshness leases and sends the configuration to hosts, and completes an operator's change
@@ -215,8 +215,8 @@
     if (granted) {
       leasesGranted.merge(from.getName(), nowMillis + FreshnessCore.LEASE_MILLIS, Math::max);
     }
-    RevisionAnswer reply =
-        RevisionAnswer.newBuilder()
+    VoterFreshnessReply reply =
+        VoterFreshnessReply.newBuilder()
             .setRevision(revision)
             .setEchoedSentAtMillis(request.getSentAtMillis())
             .setGranted(granted)
--- a/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
@@ -19,7 +19,7 @@
 import org.curranthaven.internal.routing.RequestAttributes;
 import org.curranthaven.internal.settings.Json;
 import org.curranthaven.internal.supervision.Clock;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 
 /** HTTP API for callers: completions in the OpenAI format, and plain services. Thread-safe. */
 public final class CallerApi {
@@ -231,7 +231,7 @@
       throws IOException, InterruptedException {
     CompletionFormat format = completionFormat(request);
     ByteString requestHash = Hashes.sha256(utf8(exchange.path()), body);
-    Outcome<StoredAnswer> outcome =
+    Outcome<StoredResponse> outcome =
         runIdempotent(
             admitted,
             requestHash,
@@ -242,14 +242,14 @@
                   case Outcome.Failed<Completion> failed -> Outcome.failed(failed.failure());
                 });
     switch (outcome) {
-      case Outcome.Success<StoredAnswer> success -> {
+      case Outcome.Success<StoredResponse> success -> {
         if (request.stream() && success.value().getStatus() == STATUS_OK) {
           sendStoredAsStream(exchange, format, request, success.value());
         } else {
           exchange.sendStored(success.value());
         }
       }
-      case Outcome.Failed<StoredAnswer> failed -> fail(exchange, admitted, failed.failure());
+      case Outcome.Failed<StoredResponse> failed -> fail(exchange, admitted, failed.failure());
     }
   }
 
@@ -257,7 +257,7 @@
       HttpRequestContext exchange,
       CompletionFormat format,
       CompletionRequest request,
-      StoredAnswer response)
+      StoredResponse response)
       throws IOException {
     Completion completion = StoredCompletion.parse(response.getBody());
     StreamingSink sink = new StreamingSink(exchange, format);
@@ -271,8 +271,8 @@
     }
   }
 
-  private static StoredAnswer storedJson(Object value) {
-    return StoredAnswer.newBuilder()
+  private static StoredResponse storedJson(Object value) {
+    return StoredResponse.newBuilder()
         .setStatus(STATUS_OK)
         .setContentType(ErrorBodies.JSON)
         .setBody(Json.write(value))
@@ -348,7 +348,7 @@
                   + "' must not be repeated"));
       return;
     }
-    Outcome<StoredAnswer> outcome =
+    Outcome<StoredResponse> outcome =
         repeatable
             ? handler.run(admitted.key().key(), attributes, request)
             : runIdempotent(
@@ -356,12 +356,12 @@
                 Hashes.sha256(utf8(exchange.method()), utf8(exchange.rawPath()), body),
                 () -> handler.run(admitted.key().key(), attributes, request));
     switch (outcome) {
-      case Outcome.Success<StoredAnswer> success -> {
+      case Outcome.Success<StoredResponse> success -> {
         long elapsedMillis = services.clock().nowMillis() - admitted.arrivedAtMillis();
         services.metrics().firstReply(admitted.serviceClass(), elapsedMillis);
         exchange.sendStored(success.value());
       }
-      case Outcome.Failed<StoredAnswer> failed -> fail(exchange, admitted, failed.failure());
+      case Outcome.Failed<StoredResponse> failed -> fail(exchange, admitted, failed.failure());
     }
   }
 
@@ -382,7 +382,7 @@
 
   // ---- admission and idempotency ----------------------------------------------------------------
 
-  private Outcome<StoredAnswer> runIdempotent(
+  private Outcome<StoredResponse> runIdempotent(
       AdmittedRequest admitted,
       ByteString requestHash,
       IdempotentRequestHandler.Execution execution)
--- a/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
@@ -4,7 +4,7 @@
 import com.google.protobuf.ByteString;
 import org.curranthaven.api.Failure;
 import org.curranthaven.internal.settings.Json;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 
 /** Formats errors for callers as JSON, with the result code and whether the request ran. */
 public final class ErrorBodies {
@@ -35,8 +35,8 @@
   }
 
   /** Returns the error as a response that can be stored for a request. */
-  static StoredAnswer storedResponse(Failure failure) {
-    return StoredAnswer.newBuilder()
+  static StoredResponse storedResponse(Failure failure) {
+    return StoredResponse.newBuilder()
         .setStatus(failure.code().httpStatus())
         .setContentType(JSON)
         .setBody(ByteString.copyFrom(Json.write(json(failure)).toByteArray()))
--- a/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
+++ b/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
@@ -8,7 +8,7 @@
 import org.curranthaven.api.Outcome;
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.settings.Json;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 import org.jspecify.annotations.Nullable;
 
 /** One HTTP request and its response. */
@@ -88,7 +88,7 @@
   }
 
   /** Sends a stored response. */
-  public void sendStored(StoredAnswer response) throws IOException {
+  public void sendStored(StoredResponse response) throws IOException {
     send(response.getStatus(), response.getContentType(), response.getBody().toByteArray());
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotentRequestHandler.java
@@ -7,7 +7,7 @@
 import org.curranthaven.api.ResultCode;
 import org.curranthaven.internal.ledger.Ledger;
 import org.curranthaven.internal.supervision.Clock;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 
 /**
  * Runs a request that must not be repeated at most once: claims its key before it runs, stores its
@@ -31,7 +31,7 @@
 
   /** Execution of the request; a failure reports whether it ran. */
   interface Execution {
-    Outcome<StoredAnswer> run() throws InterruptedException;
+    Outcome<StoredResponse> run() throws InterruptedException;
   }
 
   /**
@@ -41,7 +41,7 @@
    * @param waitMillis longest time to wait for another request with the same key that is running
    * @param execution called if this attempt gets the claim
    */
-  Outcome<StoredAnswer> run(Ledger.ClaimRequest request, long waitMillis, Execution execution)
+  Outcome<StoredResponse> run(Ledger.ClaimRequest request, long waitMillis, Execution execution)
       throws InterruptedException {
     long deadlineMillis = clock.nowMillis() + waitMillis;
     while (true) {
@@ -79,7 +79,7 @@
   }
 
   /** Releases a claim that may have been granted, since this attempt will not run. */
-  private Outcome<StoredAnswer> handleClaimFailure(Ledger.ClaimRequest request, Failure failure) {
+  private Outcome<StoredResponse> handleClaimFailure(Ledger.ClaimRequest request, Failure failure) {
     if (failure.code() == ResultCode.CLAIM_UNKNOWN) {
       Thread.ofVirtual().start(() -> releaseClaim(request));
       return Outcome.failed(
@@ -99,19 +99,19 @@
     }
   }
 
-  private Outcome<StoredAnswer> execute(Ledger.ClaimRequest request, Execution execution)
+  private Outcome<StoredResponse> execute(Ledger.ClaimRequest request, Execution execution)
       throws InterruptedException {
-    Outcome<StoredAnswer> outcome;
+    Outcome<StoredResponse> outcome;
     try {
       outcome = execution.run();
     } catch (RuntimeException e) {
       outcome = Outcome.failed(ResultCode.INTERNAL, "the request failed unexpectedly: " + e);
     }
     switch (outcome) {
-      case Outcome.Success<StoredAnswer> success -> {
+      case Outcome.Success<StoredResponse> success -> {
         ledger.complete(request, toStorable(success.value()));
       }
-      case Outcome.Failed<StoredAnswer> failed -> {
+      case Outcome.Failed<StoredResponse> failed -> {
         if (failed.failure().ran() == Ran.NO) {
           ledger.release(request);
         } else {
@@ -122,7 +122,7 @@
     return outcome;
   }
 
-  private static StoredAnswer toStorable(StoredAnswer response) {
+  private static StoredResponse toStorable(StoredResponse response) {
     ByteString body = response.getBody();
     if (body.size() <= MAX_STORED_RESPONSE_BYTES) {
       return response;
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceClient.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceClient.java
@@ -11,7 +11,7 @@
 import java.net.http.HttpTimeoutException;
 import java.time.Duration;
 import java.util.concurrent.Executors;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 
 /** HTTP client for plain services. Thread-safe; blocking. */
 final class ServiceClient {
@@ -52,7 +52,7 @@
   /** Result of an attempt. */
   sealed interface AttemptResult {
     /** The service responded. */
-    record Responded(StoredAnswer response) implements AttemptResult {}
+    record Responded(StoredResponse response) implements AttemptResult {}
 
     /** No byte was sent, or the service rejected the request before running it. */
     record Rejected(String reason) implements AttemptResult {}
@@ -99,7 +99,7 @@
           "the service rejected the request with status " + response.statusCode());
     }
     return new AttemptResult.Responded(
-        StoredAnswer.newBuilder()
+        StoredResponse.newBuilder()
             .setStatus(response.statusCode())
             .setContentType(response.headers().firstValue("Content-Type").orElse(""))
             .setBody(ByteString.copyFrom(response.body()))
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
@@ -10,7 +10,7 @@
 import org.curranthaven.internal.routing.RequestAttributes;
 import org.curranthaven.internal.routing.RoutingEvent.RequestOutcome;
 import org.curranthaven.internal.supervision.Clock;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 
 /**
  * Handles one request to a plain service, with retries if the class and the results of earlier
@@ -33,7 +33,7 @@
   }
 
   /** Runs the request until it succeeds or fails. */
-  Outcome<StoredAnswer> run(
+  Outcome<StoredResponse> run(
       String externalRequestId, RequestAttributes attributes, ServiceClient.ServiceRequest request)
       throws InterruptedException {
     Router router = services.router();
--- a/src/main/java/org/curranthaven/internal/host/HostProcess.java
+++ b/src/main/java/org/curranthaven/internal/host/HostProcess.java
@@ -52,8 +52,8 @@
 import org.curranthaven.internal.transport.wire.FreshnessGrant;
 import org.curranthaven.internal.transport.wire.FreshnessRequest;
 import org.curranthaven.internal.transport.wire.HostRecord;
-import org.curranthaven.internal.transport.wire.RevisionAnswer;
 import org.curranthaven.internal.transport.wire.SoftState;
+import org.curranthaven.internal.transport.wire.VoterFreshnessReply;
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
@@ -502,7 +502,7 @@
     }
   }
 
-  private void handleRevisionReply(String identity, RevisionAnswer reply) {
+  private void handleRevisionReply(String identity, VoterFreshnessReply reply) {
     decisions.voterReplied(
         identity,
         reply.getRevision(),
--- a/src/main/java/org/curranthaven/internal/ledger/Ledger.java
+++ b/src/main/java/org/curranthaven/internal/ledger/Ledger.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.ByteString;
 import org.curranthaven.api.Outcome;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 
 /**
  * Idempotency ledger: claims requests that must not be executed twice and stores their responses.
@@ -19,7 +19,7 @@
   Outcome<Claim> claim(ClaimRequest request) throws InterruptedException;
 
   /** Stores the response of a claimed request; returns whether it is known to be stored. */
-  boolean complete(ClaimRequest request, StoredAnswer response) throws InterruptedException;
+  boolean complete(ClaimRequest request, StoredResponse response) throws InterruptedException;
 
   /** Releases the claim of a request that is known not to have been executed. */
   void release(ClaimRequest request) throws InterruptedException;
@@ -45,6 +45,6 @@
     record Running(String ownerHost, long ownerIncarnation) implements Claim {}
 
     /** The request was executed; {@code response} is its stored response. */
-    record Done(StoredAnswer response) implements Claim {}
+    record Done(StoredResponse response) implements Claim {}
   }
 }
--- a/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
+++ b/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
@@ -14,7 +14,7 @@
 import org.curranthaven.internal.transport.wire.CompleteCommand;
 import org.curranthaven.internal.transport.wire.LedgerCommand;
 import org.curranthaven.internal.transport.wire.ReleaseCommand;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 
 /** Ledger replicated by the consensus groups and sharded by workspace. Thread-safe. */
 public final class ReplicatedLedger implements Ledger {
@@ -126,7 +126,8 @@
   }
 
   @Override
-  public boolean complete(ClaimRequest request, StoredAnswer response) throws InterruptedException {
+  public boolean complete(ClaimRequest request, StoredResponse response)
+      throws InterruptedException {
     LedgerCommand.Builder command =
         LedgerCommand.newBuilder()
             .setComplete(
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -26,11 +26,11 @@
 import org.curranthaven.internal.transport.wire.DispatchRequests;
 import org.curranthaven.internal.transport.wire.Envelope;
 import org.curranthaven.internal.transport.wire.GatewayStatus;
-import org.curranthaven.internal.transport.wire.Move;
-import org.curranthaven.internal.transport.wire.OpenDispatch;
+import org.curranthaven.internal.transport.wire.MigrationOrder;
 import org.curranthaven.internal.transport.wire.Placement;
 import org.curranthaven.internal.transport.wire.PlacementRequest;
-import org.curranthaven.internal.transport.wire.Refusal;
+import org.curranthaven.internal.transport.wire.Rejection;
+import org.curranthaven.internal.transport.wire.RunningDispatch;
 import org.curranthaven.internal.transport.wire.SchedulerView;
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
@@ -242,7 +242,7 @@
       for (PlacementListener request : openRequests.values()) {
         if (!request.backend().isEmpty()) {
           status.addOpen(
-              OpenDispatch.newBuilder()
+              RunningDispatch.newBuilder()
                   .setAsk(request.placementRequest())
                   .setBackend(request.backend())
                   .setOutputTokens(request.outputTokens()));
@@ -359,14 +359,14 @@
         request.onPlaced(placement.getBackend(), placement.getUrgency(), placement.getBackup());
       }
     }
-    for (Refusal rejection : orders.getRefusalsList()) {
+    for (Rejection rejection : orders.getRefusalsList()) {
       unacknowledged.remove(rejection.getId());
       PlacementListener request = openRequests.remove(rejection.getId());
       if (request != null) {
         request.onRejected(rejection.getRetryAfterMillis(), rejection.getReason());
       }
     }
-    for (Move migration : orders.getMovesList()) {
+    for (MigrationOrder migration : orders.getMovesList()) {
       PlacementListener request = openRequests.get(migration.getId());
       if (request != null) {
         request.onMigrate(migration.getTarget(), migration.getBackup());
--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -28,11 +28,11 @@
 import org.curranthaven.internal.transport.wire.Envelope;
 import org.curranthaven.internal.transport.wire.GatewayStatus;
 import org.curranthaven.internal.transport.wire.HostRecord;
-import org.curranthaven.internal.transport.wire.Move;
-import org.curranthaven.internal.transport.wire.OpenDispatch;
+import org.curranthaven.internal.transport.wire.MigrationOrder;
 import org.curranthaven.internal.transport.wire.Placement;
 import org.curranthaven.internal.transport.wire.PlacementRequest;
-import org.curranthaven.internal.transport.wire.Refusal;
+import org.curranthaven.internal.transport.wire.Rejection;
+import org.curranthaven.internal.transport.wire.RunningDispatch;
 import org.curranthaven.internal.transport.wire.SchedulerView;
 import org.tinylog.Logger;
 
@@ -315,9 +315,10 @@
     }
     status.getGoneList().forEach(id -> core.removeBackend(id, nowMillis));
     core.removeGateway(from.getName(), nowMillis);
-    for (OpenDispatch open : status.getOpenList()) {
-      RequestId key = new RequestId(from.getName(), open.getAsk().getId());
-      core.restoreRunning(key, open.getAsk(), open.getBackend(), open.getOutputTokens(), nowMillis);
+    for (RunningDispatch running : status.getOpenList()) {
+      RequestId key = new RequestId(from.getName(), running.getAsk().getId());
+      core.restoreRunning(
+          key, running.getAsk(), running.getBackend(), running.getOutputTokens(), nowMillis);
     }
     sendDecisions();
   }
@@ -380,13 +381,13 @@
                     .setBackup(placement.backup()));
         case DispatchDecision.Reject rejection ->
             orders.addRefusals(
-                Refusal.newBuilder()
+                Rejection.newBuilder()
                     .setId(rejection.requestId().id())
                     .setRetryAfterMillis(rejection.retryAfterMillis())
                     .setReason(rejection.reason().name()));
         case DispatchDecision.Migrate migration ->
             orders.addMoves(
-                Move.newBuilder()
+                MigrationOrder.newBuilder()
                     .setId(migration.requestId().id())
                     .setTarget(migration.target())
                     .setBackup(migration.backup()));
--- a/src/main/java/org/curranthaven/internal/transport/wire/ClaimRecordOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/ClaimRecordOrBuilder.java
@@ -81,7 +81,7 @@
    * Stored response; not set until the request is complete.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 8;</code>
+   * <code>.curranthaven.StoredResponse answer = 8;</code>
    * @return Whether the answer field is set.
    */
   boolean hasAnswer();
@@ -90,16 +90,16 @@
    * Stored response; not set until the request is complete.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 8;</code>
+   * <code>.curranthaven.StoredResponse answer = 8;</code>
    * @return The answer.
    */
-  org.curranthaven.internal.transport.wire.StoredAnswer getAnswer();
+  org.curranthaven.internal.transport.wire.StoredResponse getAnswer();
   /**
    * <pre>
    * Stored response; not set until the request is complete.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 8;</code>
+   * <code>.curranthaven.StoredResponse answer = 8;</code>
    */
-  org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder getAnswerOrBuilder();
+  org.curranthaven.internal.transport.wire.StoredResponseOrBuilder getAnswerOrBuilder();
 }
--- a/src/main/java/org/curranthaven/internal/transport/wire/CompleteCommand.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/CompleteCommand.java
@@ -174,13 +174,13 @@
   }
 
   public static final int ANSWER_FIELD_NUMBER = 4;
-  private org.curranthaven.internal.transport.wire.StoredAnswer answer_;
+  private org.curranthaven.internal.transport.wire.StoredResponse answer_;
   /**
    * <pre>
    * Response to the caller.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 4;</code>
+   * <code>.curranthaven.StoredResponse answer = 4;</code>
    * @return Whether the answer field is set.
    */
   @java.lang.Override
@@ -192,23 +192,23 @@
    * Response to the caller.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 4;</code>
+   * <code>.curranthaven.StoredResponse answer = 4;</code>
    * @return The answer.
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.StoredAnswer getAnswer() {
-    return answer_ == null ? org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance() : answer_;
+  public org.curranthaven.internal.transport.wire.StoredResponse getAnswer() {
+    return answer_ == null ? org.curranthaven.internal.transport.wire.StoredResponse.getDefaultInstance() : answer_;
   }
   /**
    * <pre>
    * Response to the caller.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 4;</code>
+   * <code>.curranthaven.StoredResponse answer = 4;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder getAnswerOrBuilder() {
-    return answer_ == null ? org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance() : answer_;
+  public org.curranthaven.internal.transport.wire.StoredResponseOrBuilder getAnswerOrBuilder() {
+    return answer_ == null ? org.curranthaven.internal.transport.wire.StoredResponse.getDefaultInstance() : answer_;
   }
 
   private byte memoizedIsInitialized = -1;
@@ -820,15 +820,15 @@
       return this;
     }
 
-    private org.curranthaven.internal.transport.wire.StoredAnswer answer_;
+    private org.curranthaven.internal.transport.wire.StoredResponse answer_;
     private com.google.protobuf.SingleFieldBuilder<
-        org.curranthaven.internal.transport.wire.StoredAnswer, org.curranthaven.internal.transport.wire.StoredAnswer.Builder, org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder> answerBuilder_;
+        org.curranthaven.internal.transport.wire.StoredResponse, org.curranthaven.internal.transport.wire.StoredResponse.Builder, org.curranthaven.internal.transport.wire.StoredResponseOrBuilder> answerBuilder_;
     /**
      * <pre>
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      * @return Whether the answer field is set.
      */
     public boolean hasAnswer() {
@@ -839,12 +839,12 @@
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      * @return The answer.
      */
-    public org.curranthaven.internal.transport.wire.StoredAnswer getAnswer() {
+    public org.curranthaven.internal.transport.wire.StoredResponse getAnswer() {
       if (answerBuilder_ == null) {
-        return answer_ == null ? org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance() : answer_;
+        return answer_ == null ? org.curranthaven.internal.transport.wire.StoredResponse.getDefaultInstance() : answer_;
       } else {
         return answerBuilder_.getMessage();
       }
@@ -854,9 +854,9 @@
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      */
-    public Builder setAnswer(org.curranthaven.internal.transport.wire.StoredAnswer value) {
+    public Builder setAnswer(org.curranthaven.internal.transport.wire.StoredResponse value) {
       if (answerBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         answer_ = value;
@@ -872,10 +872,10 @@
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      */
     public Builder setAnswer(
-        org.curranthaven.internal.transport.wire.StoredAnswer.Builder builderForValue) {
+        org.curranthaven.internal.transport.wire.StoredResponse.Builder builderForValue) {
       if (answerBuilder_ == null) {
         answer_ = builderForValue.build();
       } else {
@@ -890,13 +890,13 @@
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      */
-    public Builder mergeAnswer(org.curranthaven.internal.transport.wire.StoredAnswer value) {
+    public Builder mergeAnswer(org.curranthaven.internal.transport.wire.StoredResponse value) {
       if (answerBuilder_ == null) {
         if (((bitField0_ & 0x00000008) != 0) &&
           answer_ != null &&
-          answer_ != org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance()) {
+          answer_ != org.curranthaven.internal.transport.wire.StoredResponse.getDefaultInstance()) {
           getAnswerBuilder().mergeFrom(value);
         } else {
           answer_ = value;
@@ -915,7 +915,7 @@
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      */
     public Builder clearAnswer() {
       bitField0_ = (bitField0_ & ~0x00000008);
@@ -932,9 +932,9 @@
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      */
-    public org.curranthaven.internal.transport.wire.StoredAnswer.Builder getAnswerBuilder() {
+    public org.curranthaven.internal.transport.wire.StoredResponse.Builder getAnswerBuilder() {
       bitField0_ |= 0x00000008;
       onChanged();
       return internalGetAnswerFieldBuilder().getBuilder();
@@ -944,14 +944,14 @@
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      */
-    public org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder getAnswerOrBuilder() {
+    public org.curranthaven.internal.transport.wire.StoredResponseOrBuilder getAnswerOrBuilder() {
       if (answerBuilder_ != null) {
         return answerBuilder_.getMessageOrBuilder();
       } else {
         return answer_ == null ?
-            org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance() : answer_;
+            org.curranthaven.internal.transport.wire.StoredResponse.getDefaultInstance() : answer_;
       }
     }
     /**
@@ -959,14 +959,14 @@
      * Response to the caller.
      * </pre>
      *
-     * <code>.curranthaven.StoredAnswer answer = 4;</code>
+     * <code>.curranthaven.StoredResponse answer = 4;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
-        org.curranthaven.internal.transport.wire.StoredAnswer, org.curranthaven.internal.transport.wire.StoredAnswer.Builder, org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder> 
+        org.curranthaven.internal.transport.wire.StoredResponse, org.curranthaven.internal.transport.wire.StoredResponse.Builder, org.curranthaven.internal.transport.wire.StoredResponseOrBuilder> 
         internalGetAnswerFieldBuilder() {
       if (answerBuilder_ == null) {
         answerBuilder_ = new com.google.protobuf.SingleFieldBuilder<
-            org.curranthaven.internal.transport.wire.StoredAnswer, org.curranthaven.internal.transport.wire.StoredAnswer.Builder, org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder>(
+            org.curranthaven.internal.transport.wire.StoredResponse, org.curranthaven.internal.transport.wire.StoredResponse.Builder, org.curranthaven.internal.transport.wire.StoredResponseOrBuilder>(
                 getAnswer(),
                 getParentForChildren(),
                 isClean());
--- a/src/main/java/org/curranthaven/internal/transport/wire/CompleteCommandOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/CompleteCommandOrBuilder.java
@@ -51,7 +51,7 @@
    * Response to the caller.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 4;</code>
+   * <code>.curranthaven.StoredResponse answer = 4;</code>
    * @return Whether the answer field is set.
    */
   boolean hasAnswer();
@@ -60,16 +60,16 @@
    * Response to the caller.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 4;</code>
+   * <code>.curranthaven.StoredResponse answer = 4;</code>
    * @return The answer.
    */
-  org.curranthaven.internal.transport.wire.StoredAnswer getAnswer();
+  org.curranthaven.internal.transport.wire.StoredResponse getAnswer();
   /**
    * <pre>
    * Response to the caller.
    * </pre>
    *
-   * <code>.curranthaven.StoredAnswer answer = 4;</code>
+   * <code>.curranthaven.StoredResponse answer = 4;</code>
    */
-  org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder getAnswerOrBuilder();
+  org.curranthaven.internal.transport.wire.StoredResponseOrBuilder getAnswerOrBuilder();
 }
--- a/src/main/java/org/curranthaven/internal/transport/wire/Curranthaven.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Curranthaven.java
@@ -157,10 +157,10 @@
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internal_static_curranthaven_ConfigurationDelta_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
-    internal_static_curranthaven_RevisionAnswer_descriptor;
+    internal_static_curranthaven_VoterFreshnessReply_descriptor;
   static final 
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
-      internal_static_curranthaven_RevisionAnswer_fieldAccessorTable;
+      internal_static_curranthaven_VoterFreshnessReply_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
     internal_static_curranthaven_SoftState_descriptor;
   static final 
@@ -207,10 +207,10 @@
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internal_static_curranthaven_ReleaseCommand_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
-    internal_static_curranthaven_StoredAnswer_descriptor;
+    internal_static_curranthaven_StoredResponse_descriptor;
   static final 
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
-      internal_static_curranthaven_StoredAnswer_fieldAccessorTable;
+      internal_static_curranthaven_StoredResponse_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
     internal_static_curranthaven_ClaimRecord_descriptor;
   static final 
@@ -247,10 +247,10 @@
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internal_static_curranthaven_GatewayStatus_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
-    internal_static_curranthaven_OpenDispatch_descriptor;
+    internal_static_curranthaven_RunningDispatch_descriptor;
   static final 
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
-      internal_static_curranthaven_OpenDispatch_fieldAccessorTable;
+      internal_static_curranthaven_RunningDispatch_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
     internal_static_curranthaven_PlacementRequest_descriptor;
   static final 
@@ -287,15 +287,15 @@
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internal_static_curranthaven_Placement_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
-    internal_static_curranthaven_Refusal_descriptor;
+    internal_static_curranthaven_Rejection_descriptor;
   static final 
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
-      internal_static_curranthaven_Refusal_fieldAccessorTable;
+      internal_static_curranthaven_Rejection_fieldAccessorTable;
   static final com.google.protobuf.Descriptors.Descriptor
-    internal_static_curranthaven_Move_descriptor;
+    internal_static_curranthaven_MigrationOrder_descriptor;
   static final 
     com.google.protobuf.GeneratedMessage.FieldAccessorTable
-      internal_static_curranthaven_Move_fieldAccessorTable;
+      internal_static_curranthaven_MigrationOrder_fieldAccessorTable;
 
   public static com.google.protobuf.Descriptors.FileDescriptor
       getDescriptor() {
@@ -305,7 +305,7 @@
       descriptor;
   static {
     java.lang.String[] descriptorData = {
-      "\n\022curranthaven.proto\022\014curranthaven\"\247\007\n\010E" +
+      "\n\022curranthaven.proto\022\014curranthaven\"\254\007\n\010E" +
       "nvelope\022\021\n\tfrom_host\030\001 \001(\t\022\025\n\rfrom_ident" +
       "ity\030\002 \001(\t\022$\n\005hello\030\003 \001(\0132\023.curranthaven." +
       "HelloH\000\022\"\n\004ping\030\004 \001(\0132\022.curranthaven.Pin" +
@@ -320,188 +320,189 @@
       "\n\nsoft_state\030\013 \001(\0132\027.curranthaven.SoftSt" +
       "ateH\000\0223\n\radmin_request\030\014 \001(\0132\032.currantha" +
       "ven.AdminRequestH\000\022/\n\013admin_reply\030\r \001(\0132" +
-      "\030.curranthaven.AdminReplyH\000\0227\n\017revision_" +
-      "answer\030\016 \001(\0132\034.curranthaven.RevisionAnsw" +
-      "erH\000\022/\n\013known_hosts\030\017 \001(\0132\030.curranthaven" +
-      ".KnownHostsH\000\0225\n\016scheduler_view\030\020 \001(\0132\033." +
-      "curranthaven.SchedulerViewH\000\0225\n\016gateway_" +
-      "status\030\021 \001(\0132\033.curranthaven.GatewayStatu" +
-      "sH\000\022;\n\021dispatch_requests\030\022 \001(\0132\036.currant" +
-      "haven.DispatchRequestsH\000\0227\n\017dispatch_ord" +
-      "ers\030\023 \001(\0132\034.curranthaven.DispatchOrdersH" +
-      "\000B\t\n\007payload\"?\n\005Hello\022&\n\004host\030\001 \001(\0132\030.cu" +
-      "rranthaven.HostRecord\022\016\n\006formed\030\002 \001(\010\"\025\n" +
-      "\004Ping\022\r\n\005nonce\030\001 \001(\004\"\025\n\004Pong\022\r\n\005nonce\030\001 " +
-      "\001(\004\"\265\001\n\nHostRecord\022\014\n\004name\030\001 \001(\t\022\023\n\013data" +
-      "_centre\030\002 \001(\t\022\024\n\014peer_address\030\003 \001(\t\022\024\n\014h" +
-      "ttp_address\030\004 \001(\t\022\020\n\010identity\030\005 \001(\t\022\023\n\013i" +
-      "ncarnation\030\006 \001(\004\022\017\n\007control\030\007 \001(\010\022\020\n\010dra" +
-      "ining\030\010 \001(\010\022\016\n\006formed\030\t \001(\010\">\n\016Consensus" +
-      "Batch\022,\n\010messages\030\001 \003(\0132\032.curranthaven.G" +
-      "roupMessage\"\266\003\n\014GroupMessage\022\020\n\010group_id" +
-      "\030\001 \001(\r\022\023\n\013to_identity\030\002 \001(\t\022\014\n\004term\030\003 \001(" +
-      "\004\0221\n\014vote_request\030\004 \001(\0132\031.curranthaven.V" +
-      "oteRequestH\000\022-\n\nvote_reply\030\005 \001(\0132\027.curra" +
-      "nthaven.VoteReplyH\000\0225\n\016append_request\030\006 " +
-      "\001(\0132\033.curranthaven.AppendRequestH\000\0221\n\014ap" +
-      "pend_reply\030\007 \001(\0132\031.curranthaven.AppendRe" +
-      "plyH\000\0225\n\016snapshot_piece\030\010 \001(\0132\033.curranth" +
-      "aven.SnapshotChunkH\000\0225\n\016snapshot_reply\030\t" +
-      " \001(\0132\033.curranthaven.SnapshotReplyH\000\022/\n\013t" +
-      "imeout_now\030\n \001(\0132\030.curranthaven.TimeoutN" +
-      "owH\000B\006\n\004body\"c\n\013VoteRequest\022\020\n\010pre_vote\030" +
-      "\001 \001(\010\022\022\n\nlast_index\030\002 \001(\004\022\021\n\tlast_term\030\003" +
-      " \001(\004\022\033\n\023leadership_transfer\030\004 \001(\010\".\n\tVot" +
-      "eReply\022\020\n\010pre_vote\030\001 \001(\010\022\017\n\007granted\030\002 \001(" +
-      "\010\"\225\001\n\rAppendRequest\022\026\n\016previous_index\030\001 " +
-      "\001(\004\022\025\n\rprevious_term\030\002 \001(\004\022\'\n\007entries\030\003 " +
-      "\003(\0132\026.curranthaven.LogEntry\022\024\n\014commit_in" +
-      "dex\030\004 \001(\004\022\026\n\016sent_at_millis\030\005 \001(\003\"g\n\013App" +
-      "endReply\022\020\n\010accepted\030\001 \001(\010\022\023\n\013match_inde" +
-      "x\030\002 \001(\004\022\022\n\nlast_index\030\003 \001(\004\022\035\n\025echoed_se" +
-      "nt_at_millis\030\004 \001(\003\"\212\001\n\rSnapshotChunk\022\022\n\n" +
-      "last_index\030\001 \001(\004\022\021\n\tlast_term\030\002 \001(\004\022\016\n\006v" +
-      "oters\030\003 \001(\014\022\016\n\006offset\030\004 \001(\004\022\014\n\004data\030\005 \001(" +
-      "\014\022\014\n\004last\030\006 \001(\010\022\026\n\016sent_at_millis\030\007 \001(\003\"" +
-      "j\n\rSnapshotReply\022\023\n\013next_offset\030\001 \001(\004\022\021\n" +
-      "\tinstalled\030\002 \001(\010\022\022\n\nlast_index\030\003 \001(\004\022\035\n\025" +
-      "echoed_sent_at_millis\030\004 \001(\003\"\014\n\nTimeoutNo" +
-      "w\"\\\n\010LogEntry\022\r\n\005index\030\001 \001(\004\022\014\n\004term\030\002 \001" +
-      "(\004\022%\n\004kind\030\003 \001(\0162\027.curranthaven.EntryKin" +
-      "d\022\014\n\004data\030\004 \001(\014\"V\n\010VoterSet\022#\n\006voters\030\001 " +
-      "\003(\0132\023.curranthaven.Voter\022%\n\010learners\030\002 \003" +
-      "(\0132\023.curranthaven.Voter\"=\n\005Voter\022\020\n\010iden" +
-      "tity\030\001 \001(\t\022\014\n\004host\030\002 \001(\t\022\024\n\014peer_address" +
-      "\030\003 \001(\t\",\n\tHardState\022\014\n\004term\030\001 \001(\004\022\021\n\tvot" +
-      "ed_for\030\002 \001(\t\"\204\001\n\tLogRecord\022\'\n\005entry\030\001 \001(" +
-      "\0132\026.curranthaven.LogEntryH\000\022-\n\nhard_stat" +
-      "e\030\002 \001(\0132\027.curranthaven.HardStateH\000\022\027\n\rtr" +
-      "uncate_from\030\003 \001(\004H\000B\006\n\004body\"l\n\014SnapshotF" +
-      "ile\022\022\n\nlast_index\030\001 \001(\004\022\021\n\tlast_term\030\002 \001" +
-      "(\004\022&\n\006voters\030\003 \001(\0132\026.curranthaven.VoterS" +
-      "et\022\r\n\005state\030\004 \001(\014\"G\n\016CommandRequest\022\022\n\nr" +
-      "equest_id\030\001 \001(\004\022\020\n\010group_id\030\002 \001(\r\022\017\n\007com" +
-      "mand\030\003 \001(\014\"t\n\014CommandReply\022\022\n\nrequest_id" +
-      "\030\001 \001(\004\022+\n\006status\030\002 \001(\0162\033.curranthaven.Co" +
-      "mmandStatus\022\016\n\006result\030\003 \001(\014\022\023\n\013leader_ho" +
-      "st\030\004 \001(\t\"\222\001\n\020FreshnessRequest\022&\n\004host\030\001 " +
-      "\001(\0132\030.curranthaven.HostRecord\022\020\n\010revisio" +
-      "n\030\002 \001(\004\022\026\n\016sent_at_millis\030\003 \001(\003\022,\n\013peer_" +
-      "leases\030\004 \003(\0132\027.curranthaven.PeerLease\"3\n" +
-      "\tPeerLease\022\014\n\004host\030\001 \001(\t\022\030\n\020remaining_mi" +
-      "llis\030\002 \001(\003\"\350\001\n\016FreshnessGrant\022\020\n\010revisio" +
-      "n\030\001 \001(\004\022\035\n\025echoed_sent_at_millis\030\002 \001(\003\022\024" +
-      "\n\014lease_millis\030\003 \001(\003\022\025\n\rconfiguration\030\004 " +
-      "\001(\014\022\'\n\005hosts\030\005 \003(\0132\030.curranthaven.HostRe" +
-      "cord\022\017\n\007granted\030\006 \001(\010\022\014\n\004term\030\007 \001(\004\0220\n\006d" +
-      "eltas\030\010 \003(\0132 .curranthaven.Configuration" +
-      "Delta\"5\n\022ConfigurationDelta\022\020\n\010revision\030" +
-      "\001 \001(\004\022\r\n\005edits\030\002 \001(\014\"\211\001\n\016RevisionAnswer\022" +
-      "\020\n\010revision\030\001 \001(\004\022\035\n\025echoed_sent_at_mill" +
-      "is\030\002 \001(\003\022\017\n\007granted\030\003 \001(\010\022\033\n\023witness_set" +
-      "_version\030\004 \001(\004\022\030\n\020witness_set_size\030\005 \001(\r" +
-      "\"\207\001\n\tSoftState\0228\n\rannouncements\030\001 \003(\0132!." +
-      "curranthaven.BackendAnnouncement\022+\n\006shar" +
-      "es\030\002 \003(\0132\033.curranthaven.DispatchShare\022\023\n" +
-      "\013full_shares\030\003 \001(\010\"7\n\023BackendAnnouncemen" +
-      "t\022\014\n\004json\030\001 \001(\014\022\022\n\nage_millis\030\002 \001(\003\"_\n\rD" +
-      "ispatchShare\022\017\n\007backend\030\001 \001(\t\022\017\n\007running" +
-      "\030\002 \001(\r\022\023\n\013mean_blocks\030\003 \003(\002\022\027\n\017variance_" +
-      "blocks\030\004 \003(\002\">\n\014AdminRequest\022\022\n\nrequest_" +
-      "id\030\001 \001(\004\022\014\n\004path\030\002 \001(\t\022\014\n\004json\030\003 \001(\014\">\n\n" +
-      "AdminReply\022\022\n\nrequest_id\030\001 \001(\004\022\016\n\006status" +
-      "\030\002 \001(\r\022\014\n\004json\030\003 \001(\014\"\274\001\n\rLedgerCommand\022\022" +
-      "\n\nnow_millis\030\001 \001(\003\022+\n\005claim\030\002 \001(\0132\032.curr" +
-      "anthaven.ClaimCommandH\000\0221\n\010complete\030\003 \001(" +
-      "\0132\035.curranthaven.CompleteCommandH\000\022/\n\007re" +
-      "lease\030\004 \001(\0132\034.curranthaven.ReleaseComman" +
-      "dH\000B\006\n\004body\"\231\001\n\014ClaimCommand\022\021\n\tworkspac" +
-      "e\030\001 \001(\t\022\013\n\003key\030\002 \001(\t\022\030\n\020issued_at_millis" +
-      "\030\003 \001(\003\022\021\n\tbody_hash\030\004 \001(\014\022\022\n\nowner_host\030" +
-      "\005 \001(\t\022\031\n\021owner_incarnation\030\006 \001(\004\022\r\n\005toke" +
-      "n\030\007 \001(\t\"l\n\017CompleteCommand\022\021\n\tworkspace\030" +
-      "\001 \001(\t\022\013\n\003key\030\002 \001(\t\022\r\n\005token\030\003 \001(\t\022*\n\006ans" +
-      "wer\030\004 \001(\0132\032.curranthaven.StoredAnswer\"?\n" +
-      "\016ReleaseCommand\022\021\n\tworkspace\030\001 \001(\t\022\013\n\003ke" +
-      "y\030\002 \001(\t\022\r\n\005token\030\003 \001(\t\"B\n\014StoredAnswer\022\016" +
-      "\n\006status\030\001 \001(\r\022\024\n\014content_type\030\002 \001(\t\022\014\n\004" +
-      "body\030\003 \001(\014\"\304\001\n\013ClaimRecord\022\021\n\tworkspace\030" +
-      "\001 \001(\t\022\013\n\003key\030\002 \001(\t\022\030\n\020issued_at_millis\030\003" +
-      " \001(\003\022\021\n\tbody_hash\030\004 \001(\014\022\022\n\nowner_host\030\005 " +
-      "\001(\t\022\031\n\021owner_incarnation\030\006 \001(\004\022\r\n\005token\030" +
-      "\007 \001(\t\022*\n\006answer\030\010 \001(\0132\032.curranthaven.Sto" +
-      "redAnswer\"e\n\013ClaimResult\022+\n\007verdict\030\001 \001(" +
-      "\0162\032.curranthaven.ClaimVerdict\022)\n\006record\030" +
-      "\002 \001(\0132\031.curranthaven.ClaimRecord\"P\n\016Ledg" +
-      "erSnapshot\022\022\n\nnow_millis\030\001 \001(\003\022*\n\007record" +
-      "s\030\002 \003(\0132\031.curranthaven.ClaimRecord\"\'\n\nKn" +
-      "ownHosts\022\031\n\021control_addresses\030\001 \003(\t\"\320\001\n\r" +
-      "SchedulerView\022\014\n\004term\030\001 \001(\004\022\017\n\007version\030\002" +
-      " \001(\004\022\024\n\014base_version\030\003 \001(\004\022-\n\010backends\030\004" +
-      " \003(\0132\033.curranthaven.BackendRecord\022\014\n\004gon" +
-      "e\030\005 \003(\t\022\030\n\020catalog_revision\030\006 \001(\004\022\017\n\007cat" +
-      "alog\030\007 \001(\014\022\020\n\010gateways\030\010 \001(\r\022\020\n\010resigned" +
-      "\030\t \001(\010\"\262\001\n\rBackendRecord\022\n\n\002id\030\001 \001(\t\022\017\n\007" +
-      "service\030\002 \001(\t\022\017\n\007address\030\003 \001(\t\022\023\n\013data_c" +
-      "entre\030\004 \001(\t\022\r\n\005slots\030\005 \001(\r\022\017\n\007leaving\030\006 " +
-      "\001(\010\022\020\n\010sequence\030\007 \001(\004\022\030\n\020cold_left_milli" +
-      "s\030\010 \001(\004\022\022\n\nfirst_seen\030\t \001(\004\"\275\001\n\rGatewayS" +
-      "tatus\022\014\n\004term\030\001 \001(\004\022\017\n\007version\030\002 \001(\004\022\030\n\020" +
-      "catalog_revision\030\003 \001(\004\022\014\n\004full\030\004 \001(\010\022(\n\004" +
-      "open\030\005 \003(\0132\032.curranthaven.OpenDispatch\022-" +
-      "\n\010backends\030\006 \003(\0132\033.curranthaven.BackendR" +
-      "ecord\022\014\n\004gone\030\007 \003(\t\"c\n\014OpenDispatch\022+\n\003a" +
-      "sk\030\001 \001(\0132\036.curranthaven.PlacementRequest" +
-      "\022\017\n\007backend\030\002 \001(\t\022\025\n\routput_tokens\030\003 \001(\r" +
-      "\"\364\002\n\020PlacementRequest\022\n\n\002id\030\001 \001(\004\022\017\n\007ser" +
-      "vice\030\002 \001(\t\022\r\n\005route\030\003 \001(\t\022\021\n\tworkspace\030\004" +
-      " \001(\t\022\020\n\010priority\030\005 \001(\r\022\025\n\rprompt_tokens\030" +
-      "\006 \001(\r\022\031\n\021max_output_tokens\030\007 \001(\r\022\034\n\024hint" +
-      "ed_output_tokens\030\010 \001(\r\022\032\n\022target_left_mi" +
-      "llis\030\t \001(\003\022\034\n\024deadline_left_millis\030\n \001(\003" +
-      "\022\020\n\010excluded\030\013 \003(\t\022\016\n\006repeat\030\014 \001(\010\022\'\n\005pa" +
-      "rts\030\r \003(\0132\030.curranthaven.PromptPart\022\023\n\013d" +
-      "ata_centre\030\016 \001(\t\022\016\n\006engine\030\017 \001(\010\022\025\n\rirre" +
-      "placeable\030\020 \001(\010\"(\n\nPromptPart\022\n\n\002id\030\001 \001(" +
-      "\t\022\016\n\006tokens\030\002 \001(\r\"\251\001\n\020DispatchRequests\022\014" +
-      "\n\004term\030\001 \001(\004\022,\n\004asks\030\002 \003(\0132\036.curranthave" +
-      "n.PlacementRequest\0220\n\010progress\030\003 \003(\0132\036.c" +
-      "urranthaven.DispatchProgress\022\'\n\004ends\030\004 \003" +
-      "(\0132\031.curranthaven.DispatchEnd\"5\n\020Dispatc" +
-      "hProgress\022\n\n\002id\030\001 \001(\004\022\025\n\routput_tokens\030\002" +
-      " \001(\r\"`\n\013DispatchEnd\022\n\n\002id\030\001 \001(\004\022.\n\007outco" +
-      "me\030\002 \001(\0162\035.curranthaven.DispatchOutcome\022" +
-      "\025\n\routput_tokens\030\003 \001(\r\"\250\001\n\016DispatchOrder" +
-      "s\022\014\n\004term\030\001 \001(\004\022+\n\nplacements\030\002 \003(\0132\027.cu" +
-      "rranthaven.Placement\022\'\n\010refusals\030\003 \003(\0132\025" +
-      ".curranthaven.Refusal\022!\n\005moves\030\004 \003(\0132\022.c" +
-      "urranthaven.Move\022\017\n\007waiting\030\005 \003(\004\"I\n\tPla" +
-      "cement\022\n\n\002id\030\001 \001(\004\022\017\n\007backend\030\002 \001(\t\022\017\n\007u" +
-      "rgency\030\003 \001(\r\022\016\n\006backup\030\004 \001(\t\"A\n\007Refusal\022" +
-      "\n\n\002id\030\001 \001(\004\022\032\n\022retry_after_millis\030\002 \001(\004\022" +
-      "\016\n\006reason\030\003 \001(\t\"2\n\004Move\022\n\n\002id\030\001 \001(\004\022\016\n\006t" +
-      "arget\030\002 \001(\t\022\016\n\006backup\030\003 \001(\t*O\n\tEntryKind" +
-      "\022\023\n\017ENTRY_KIND_NOOP\020\000\022\026\n\022ENTRY_KIND_COMM" +
-      "AND\020\001\022\025\n\021ENTRY_KIND_VOTERS\020\002*\246\001\n\rCommand" +
-      "Status\022\036\n\032COMMAND_STATUS_UNSPECIFIED\020\000\022\032" +
-      "\n\026COMMAND_STATUS_APPLIED\020\001\022\035\n\031COMMAND_ST" +
-      "ATUS_NOT_LEADER\020\002\022\032\n\026COMMAND_STATUS_UNKN" +
-      "OWN\020\003\022\036\n\032COMMAND_STATUS_UNAVAILABLE\020\004*\353\001" +
-      "\n\014ClaimVerdict\022\035\n\031CLAIM_VERDICT_UNSPECIF" +
-      "IED\020\000\022\031\n\025CLAIM_VERDICT_GRANTED\020\001\022\031\n\025CLAI" +
-      "M_VERDICT_RUNNING\020\002\022\026\n\022CLAIM_VERDICT_DON" +
-      "E\020\003\022\034\n\030CLAIM_VERDICT_KEY_REUSED\020\004\022\031\n\025CLA" +
-      "IM_VERDICT_TOO_OLD\020\005\022\035\n\031CLAIM_VERDICT_FR" +
-      "OM_FUTURE\020\006\022\026\n\022CLAIM_VERDICT_FULL\020\007*\216\002\n\017" +
-      "DispatchOutcome\022 \n\034DISPATCH_OUTCOME_UNSP" +
-      "ECIFIED\020\000\022\035\n\031DISPATCH_OUTCOME_ANSWERED\020\001" +
-      "\022\033\n\027DISPATCH_OUTCOME_FAILED\020\002\022\035\n\031DISPATC" +
-      "H_OUTCOME_REJECTED\020\003\022 \n\034DISPATCH_OUTCOME" +
-      "_UNREACHABLE\020\004\022\036\n\032DISPATCH_OUTCOME_CANCE" +
-      "LLED\020\005\022\032\n\026DISPATCH_OUTCOME_MOVED\020\006\022 \n\034DI" +
-      "SPATCH_OUTCOME_MOVE_FAILED\020\007B,\n(org.curr" +
-      "anthaven.internal.transport.wireP\001b\006prot" +
-      "o3"
+      "\030.curranthaven.AdminReplyH\000\022<\n\017revision_" +
+      "answer\030\016 \001(\0132!.curranthaven.VoterFreshne" +
+      "ssReplyH\000\022/\n\013known_hosts\030\017 \001(\0132\030.currant" +
+      "haven.KnownHostsH\000\0225\n\016scheduler_view\030\020 \001" +
+      "(\0132\033.curranthaven.SchedulerViewH\000\0225\n\016gat" +
+      "eway_status\030\021 \001(\0132\033.curranthaven.Gateway" +
+      "StatusH\000\022;\n\021dispatch_requests\030\022 \001(\0132\036.cu" +
+      "rranthaven.DispatchRequestsH\000\0227\n\017dispatc" +
+      "h_orders\030\023 \001(\0132\034.curranthaven.DispatchOr" +
+      "dersH\000B\t\n\007payload\"?\n\005Hello\022&\n\004host\030\001 \001(\013" +
+      "2\030.curranthaven.HostRecord\022\016\n\006formed\030\002 \001" +
+      "(\010\"\025\n\004Ping\022\r\n\005nonce\030\001 \001(\004\"\025\n\004Pong\022\r\n\005non" +
+      "ce\030\001 \001(\004\"\265\001\n\nHostRecord\022\014\n\004name\030\001 \001(\t\022\023\n" +
+      "\013data_centre\030\002 \001(\t\022\024\n\014peer_address\030\003 \001(\t" +
+      "\022\024\n\014http_address\030\004 \001(\t\022\020\n\010identity\030\005 \001(\t" +
+      "\022\023\n\013incarnation\030\006 \001(\004\022\017\n\007control\030\007 \001(\010\022\020" +
+      "\n\010draining\030\010 \001(\010\022\016\n\006formed\030\t \001(\010\">\n\016Cons" +
+      "ensusBatch\022,\n\010messages\030\001 \003(\0132\032.currantha" +
+      "ven.GroupMessage\"\266\003\n\014GroupMessage\022\020\n\010gro" +
+      "up_id\030\001 \001(\r\022\023\n\013to_identity\030\002 \001(\t\022\014\n\004term" +
+      "\030\003 \001(\004\0221\n\014vote_request\030\004 \001(\0132\031.currantha" +
+      "ven.VoteRequestH\000\022-\n\nvote_reply\030\005 \001(\0132\027." +
+      "curranthaven.VoteReplyH\000\0225\n\016append_reque" +
+      "st\030\006 \001(\0132\033.curranthaven.AppendRequestH\000\022" +
+      "1\n\014append_reply\030\007 \001(\0132\031.curranthaven.App" +
+      "endReplyH\000\0225\n\016snapshot_piece\030\010 \001(\0132\033.cur" +
+      "ranthaven.SnapshotChunkH\000\0225\n\016snapshot_re" +
+      "ply\030\t \001(\0132\033.curranthaven.SnapshotReplyH\000" +
+      "\022/\n\013timeout_now\030\n \001(\0132\030.curranthaven.Tim" +
+      "eoutNowH\000B\006\n\004body\"c\n\013VoteRequest\022\020\n\010pre_" +
+      "vote\030\001 \001(\010\022\022\n\nlast_index\030\002 \001(\004\022\021\n\tlast_t" +
+      "erm\030\003 \001(\004\022\033\n\023leadership_transfer\030\004 \001(\010\"." +
+      "\n\tVoteReply\022\020\n\010pre_vote\030\001 \001(\010\022\017\n\007granted" +
+      "\030\002 \001(\010\"\225\001\n\rAppendRequest\022\026\n\016previous_ind" +
+      "ex\030\001 \001(\004\022\025\n\rprevious_term\030\002 \001(\004\022\'\n\007entri" +
+      "es\030\003 \003(\0132\026.curranthaven.LogEntry\022\024\n\014comm" +
+      "it_index\030\004 \001(\004\022\026\n\016sent_at_millis\030\005 \001(\003\"g" +
+      "\n\013AppendReply\022\020\n\010accepted\030\001 \001(\010\022\023\n\013match" +
+      "_index\030\002 \001(\004\022\022\n\nlast_index\030\003 \001(\004\022\035\n\025echo" +
+      "ed_sent_at_millis\030\004 \001(\003\"\212\001\n\rSnapshotChun" +
+      "k\022\022\n\nlast_index\030\001 \001(\004\022\021\n\tlast_term\030\002 \001(\004" +
+      "\022\016\n\006voters\030\003 \001(\014\022\016\n\006offset\030\004 \001(\004\022\014\n\004data" +
+      "\030\005 \001(\014\022\014\n\004last\030\006 \001(\010\022\026\n\016sent_at_millis\030\007" +
+      " \001(\003\"j\n\rSnapshotReply\022\023\n\013next_offset\030\001 \001" +
+      "(\004\022\021\n\tinstalled\030\002 \001(\010\022\022\n\nlast_index\030\003 \001(" +
+      "\004\022\035\n\025echoed_sent_at_millis\030\004 \001(\003\"\014\n\nTime" +
+      "outNow\"\\\n\010LogEntry\022\r\n\005index\030\001 \001(\004\022\014\n\004ter" +
+      "m\030\002 \001(\004\022%\n\004kind\030\003 \001(\0162\027.curranthaven.Ent" +
+      "ryKind\022\014\n\004data\030\004 \001(\014\"V\n\010VoterSet\022#\n\006vote" +
+      "rs\030\001 \003(\0132\023.curranthaven.Voter\022%\n\010learner" +
+      "s\030\002 \003(\0132\023.curranthaven.Voter\"=\n\005Voter\022\020\n" +
+      "\010identity\030\001 \001(\t\022\014\n\004host\030\002 \001(\t\022\024\n\014peer_ad" +
+      "dress\030\003 \001(\t\",\n\tHardState\022\014\n\004term\030\001 \001(\004\022\021" +
+      "\n\tvoted_for\030\002 \001(\t\"\204\001\n\tLogRecord\022\'\n\005entry" +
+      "\030\001 \001(\0132\026.curranthaven.LogEntryH\000\022-\n\nhard" +
+      "_state\030\002 \001(\0132\027.curranthaven.HardStateH\000\022" +
+      "\027\n\rtruncate_from\030\003 \001(\004H\000B\006\n\004body\"l\n\014Snap" +
+      "shotFile\022\022\n\nlast_index\030\001 \001(\004\022\021\n\tlast_ter" +
+      "m\030\002 \001(\004\022&\n\006voters\030\003 \001(\0132\026.curranthaven.V" +
+      "oterSet\022\r\n\005state\030\004 \001(\014\"G\n\016CommandRequest" +
+      "\022\022\n\nrequest_id\030\001 \001(\004\022\020\n\010group_id\030\002 \001(\r\022\017" +
+      "\n\007command\030\003 \001(\014\"t\n\014CommandReply\022\022\n\nreque" +
+      "st_id\030\001 \001(\004\022+\n\006status\030\002 \001(\0162\033.curranthav" +
+      "en.CommandStatus\022\016\n\006result\030\003 \001(\014\022\023\n\013lead" +
+      "er_host\030\004 \001(\t\"\222\001\n\020FreshnessRequest\022&\n\004ho" +
+      "st\030\001 \001(\0132\030.curranthaven.HostRecord\022\020\n\010re" +
+      "vision\030\002 \001(\004\022\026\n\016sent_at_millis\030\003 \001(\003\022,\n\013" +
+      "peer_leases\030\004 \003(\0132\027.curranthaven.PeerLea" +
+      "se\"3\n\tPeerLease\022\014\n\004host\030\001 \001(\t\022\030\n\020remaini" +
+      "ng_millis\030\002 \001(\003\"\350\001\n\016FreshnessGrant\022\020\n\010re" +
+      "vision\030\001 \001(\004\022\035\n\025echoed_sent_at_millis\030\002 " +
+      "\001(\003\022\024\n\014lease_millis\030\003 \001(\003\022\025\n\rconfigurati" +
+      "on\030\004 \001(\014\022\'\n\005hosts\030\005 \003(\0132\030.curranthaven.H" +
+      "ostRecord\022\017\n\007granted\030\006 \001(\010\022\014\n\004term\030\007 \001(\004" +
+      "\0220\n\006deltas\030\010 \003(\0132 .curranthaven.Configur" +
+      "ationDelta\"5\n\022ConfigurationDelta\022\020\n\010revi" +
+      "sion\030\001 \001(\004\022\r\n\005edits\030\002 \001(\014\"\216\001\n\023VoterFresh" +
+      "nessReply\022\020\n\010revision\030\001 \001(\004\022\035\n\025echoed_se" +
+      "nt_at_millis\030\002 \001(\003\022\017\n\007granted\030\003 \001(\010\022\033\n\023w" +
+      "itness_set_version\030\004 \001(\004\022\030\n\020witness_set_" +
+      "size\030\005 \001(\r\"\207\001\n\tSoftState\0228\n\rannouncement" +
+      "s\030\001 \003(\0132!.curranthaven.BackendAnnounceme" +
+      "nt\022+\n\006shares\030\002 \003(\0132\033.curranthaven.Dispat" +
+      "chShare\022\023\n\013full_shares\030\003 \001(\010\"7\n\023BackendA" +
+      "nnouncement\022\014\n\004json\030\001 \001(\014\022\022\n\nage_millis\030" +
+      "\002 \001(\003\"_\n\rDispatchShare\022\017\n\007backend\030\001 \001(\t\022" +
+      "\017\n\007running\030\002 \001(\r\022\023\n\013mean_blocks\030\003 \003(\002\022\027\n" +
+      "\017variance_blocks\030\004 \003(\002\">\n\014AdminRequest\022\022" +
+      "\n\nrequest_id\030\001 \001(\004\022\014\n\004path\030\002 \001(\t\022\014\n\004json" +
+      "\030\003 \001(\014\">\n\nAdminReply\022\022\n\nrequest_id\030\001 \001(\004" +
+      "\022\016\n\006status\030\002 \001(\r\022\014\n\004json\030\003 \001(\014\"\274\001\n\rLedge" +
+      "rCommand\022\022\n\nnow_millis\030\001 \001(\003\022+\n\005claim\030\002 " +
+      "\001(\0132\032.curranthaven.ClaimCommandH\000\0221\n\010com" +
+      "plete\030\003 \001(\0132\035.curranthaven.CompleteComma" +
+      "ndH\000\022/\n\007release\030\004 \001(\0132\034.curranthaven.Rel" +
+      "easeCommandH\000B\006\n\004body\"\231\001\n\014ClaimCommand\022\021" +
+      "\n\tworkspace\030\001 \001(\t\022\013\n\003key\030\002 \001(\t\022\030\n\020issued" +
+      "_at_millis\030\003 \001(\003\022\021\n\tbody_hash\030\004 \001(\014\022\022\n\no" +
+      "wner_host\030\005 \001(\t\022\031\n\021owner_incarnation\030\006 \001" +
+      "(\004\022\r\n\005token\030\007 \001(\t\"n\n\017CompleteCommand\022\021\n\t" +
+      "workspace\030\001 \001(\t\022\013\n\003key\030\002 \001(\t\022\r\n\005token\030\003 " +
+      "\001(\t\022,\n\006answer\030\004 \001(\0132\034.curranthaven.Store" +
+      "dResponse\"?\n\016ReleaseCommand\022\021\n\tworkspace" +
+      "\030\001 \001(\t\022\013\n\003key\030\002 \001(\t\022\r\n\005token\030\003 \001(\t\"D\n\016St" +
+      "oredResponse\022\016\n\006status\030\001 \001(\r\022\024\n\014content_" +
+      "type\030\002 \001(\t\022\014\n\004body\030\003 \001(\014\"\306\001\n\013ClaimRecord" +
+      "\022\021\n\tworkspace\030\001 \001(\t\022\013\n\003key\030\002 \001(\t\022\030\n\020issu" +
+      "ed_at_millis\030\003 \001(\003\022\021\n\tbody_hash\030\004 \001(\014\022\022\n" +
+      "\nowner_host\030\005 \001(\t\022\031\n\021owner_incarnation\030\006" +
+      " \001(\004\022\r\n\005token\030\007 \001(\t\022,\n\006answer\030\010 \001(\0132\034.cu" +
+      "rranthaven.StoredResponse\"e\n\013ClaimResult" +
+      "\022+\n\007verdict\030\001 \001(\0162\032.curranthaven.ClaimVe" +
+      "rdict\022)\n\006record\030\002 \001(\0132\031.curranthaven.Cla" +
+      "imRecord\"P\n\016LedgerSnapshot\022\022\n\nnow_millis" +
+      "\030\001 \001(\003\022*\n\007records\030\002 \003(\0132\031.curranthaven.C" +
+      "laimRecord\"\'\n\nKnownHosts\022\031\n\021control_addr" +
+      "esses\030\001 \003(\t\"\320\001\n\rSchedulerView\022\014\n\004term\030\001 " +
+      "\001(\004\022\017\n\007version\030\002 \001(\004\022\024\n\014base_version\030\003 \001" +
+      "(\004\022-\n\010backends\030\004 \003(\0132\033.curranthaven.Back" +
+      "endRecord\022\014\n\004gone\030\005 \003(\t\022\030\n\020catalog_revis" +
+      "ion\030\006 \001(\004\022\017\n\007catalog\030\007 \001(\014\022\020\n\010gateways\030\010" +
+      " \001(\r\022\020\n\010resigned\030\t \001(\010\"\262\001\n\rBackendRecord" +
+      "\022\n\n\002id\030\001 \001(\t\022\017\n\007service\030\002 \001(\t\022\017\n\007address" +
+      "\030\003 \001(\t\022\023\n\013data_centre\030\004 \001(\t\022\r\n\005slots\030\005 \001" +
+      "(\r\022\017\n\007leaving\030\006 \001(\010\022\020\n\010sequence\030\007 \001(\004\022\030\n" +
+      "\020cold_left_millis\030\010 \001(\004\022\022\n\nfirst_seen\030\t " +
+      "\001(\004\"\300\001\n\rGatewayStatus\022\014\n\004term\030\001 \001(\004\022\017\n\007v" +
+      "ersion\030\002 \001(\004\022\030\n\020catalog_revision\030\003 \001(\004\022\014" +
+      "\n\004full\030\004 \001(\010\022+\n\004open\030\005 \003(\0132\035.curranthave" +
+      "n.RunningDispatch\022-\n\010backends\030\006 \003(\0132\033.cu" +
+      "rranthaven.BackendRecord\022\014\n\004gone\030\007 \003(\t\"f" +
+      "\n\017RunningDispatch\022+\n\003ask\030\001 \001(\0132\036.currant" +
+      "haven.PlacementRequest\022\017\n\007backend\030\002 \001(\t\022" +
+      "\025\n\routput_tokens\030\003 \001(\r\"\364\002\n\020PlacementRequ" +
+      "est\022\n\n\002id\030\001 \001(\004\022\017\n\007service\030\002 \001(\t\022\r\n\005rout" +
+      "e\030\003 \001(\t\022\021\n\tworkspace\030\004 \001(\t\022\020\n\010priority\030\005" +
+      " \001(\r\022\025\n\rprompt_tokens\030\006 \001(\r\022\031\n\021max_outpu" +
+      "t_tokens\030\007 \001(\r\022\034\n\024hinted_output_tokens\030\010" +
+      " \001(\r\022\032\n\022target_left_millis\030\t \001(\003\022\034\n\024dead" +
+      "line_left_millis\030\n \001(\003\022\020\n\010excluded\030\013 \003(\t" +
+      "\022\016\n\006repeat\030\014 \001(\010\022\'\n\005parts\030\r \003(\0132\030.curran" +
+      "thaven.PromptPart\022\023\n\013data_centre\030\016 \001(\t\022\016" +
+      "\n\006engine\030\017 \001(\010\022\025\n\rirreplaceable\030\020 \001(\010\"(\n" +
+      "\nPromptPart\022\n\n\002id\030\001 \001(\t\022\016\n\006tokens\030\002 \001(\r\"" +
+      "\251\001\n\020DispatchRequests\022\014\n\004term\030\001 \001(\004\022,\n\004as" +
+      "ks\030\002 \003(\0132\036.curranthaven.PlacementRequest" +
+      "\0220\n\010progress\030\003 \003(\0132\036.curranthaven.Dispat" +
+      "chProgress\022\'\n\004ends\030\004 \003(\0132\031.curranthaven." +
+      "DispatchEnd\"5\n\020DispatchProgress\022\n\n\002id\030\001 " +
+      "\001(\004\022\025\n\routput_tokens\030\002 \001(\r\"`\n\013DispatchEn" +
+      "d\022\n\n\002id\030\001 \001(\004\022.\n\007outcome\030\002 \001(\0162\035.currant" +
+      "haven.DispatchOutcome\022\025\n\routput_tokens\030\003" +
+      " \001(\r\"\264\001\n\016DispatchOrders\022\014\n\004term\030\001 \001(\004\022+\n" +
+      "\nplacements\030\002 \003(\0132\027.curranthaven.Placeme" +
+      "nt\022)\n\010refusals\030\003 \003(\0132\027.curranthaven.Reje" +
+      "ction\022+\n\005moves\030\004 \003(\0132\034.curranthaven.Migr" +
+      "ationOrder\022\017\n\007waiting\030\005 \003(\004\"I\n\tPlacement" +
+      "\022\n\n\002id\030\001 \001(\004\022\017\n\007backend\030\002 \001(\t\022\017\n\007urgency" +
+      "\030\003 \001(\r\022\016\n\006backup\030\004 \001(\t\"C\n\tRejection\022\n\n\002i" +
+      "d\030\001 \001(\004\022\032\n\022retry_after_millis\030\002 \001(\004\022\016\n\006r" +
+      "eason\030\003 \001(\t\"<\n\016MigrationOrder\022\n\n\002id\030\001 \001(" +
+      "\004\022\016\n\006target\030\002 \001(\t\022\016\n\006backup\030\003 \001(\t*O\n\tEnt" +
+      "ryKind\022\023\n\017ENTRY_KIND_NOOP\020\000\022\026\n\022ENTRY_KIN" +
+      "D_COMMAND\020\001\022\025\n\021ENTRY_KIND_VOTERS\020\002*\246\001\n\rC" +
+      "ommandStatus\022\036\n\032COMMAND_STATUS_UNSPECIFI" +
+      "ED\020\000\022\032\n\026COMMAND_STATUS_APPLIED\020\001\022\035\n\031COMM" +
+      "AND_STATUS_NOT_LEADER\020\002\022\032\n\026COMMAND_STATU" +
+      "S_UNKNOWN\020\003\022\036\n\032COMMAND_STATUS_UNAVAILABL" +
+      "E\020\004*\353\001\n\014ClaimVerdict\022\035\n\031CLAIM_VERDICT_UN" +
+      "SPECIFIED\020\000\022\031\n\025CLAIM_VERDICT_GRANTED\020\001\022\031" +
+      "\n\025CLAIM_VERDICT_RUNNING\020\002\022\026\n\022CLAIM_VERDI" +
+      "CT_DONE\020\003\022\034\n\030CLAIM_VERDICT_KEY_REUSED\020\004\022" +
+      "\031\n\025CLAIM_VERDICT_TOO_OLD\020\005\022\035\n\031CLAIM_VERD" +
+      "ICT_FROM_FUTURE\020\006\022\026\n\022CLAIM_VERDICT_FULL\020" +
+      "\007*\216\002\n\017DispatchOutcome\022 \n\034DISPATCH_OUTCOM" +
+      "E_UNSPECIFIED\020\000\022\035\n\031DISPATCH_OUTCOME_ANSW" +
+      "ERED\020\001\022\033\n\027DISPATCH_OUTCOME_FAILED\020\002\022\035\n\031D" +
+      "ISPATCH_OUTCOME_REJECTED\020\003\022 \n\034DISPATCH_O" +
+      "UTCOME_UNREACHABLE\020\004\022\036\n\032DISPATCH_OUTCOME" +
+      "_CANCELLED\020\005\022\032\n\026DISPATCH_OUTCOME_MOVED\020\006" +
+      "\022 \n\034DISPATCH_OUTCOME_MOVE_FAILED\020\007B,\n(or" +
+      "g.curranthaven.internal.transport.wireP\001" +
+      "b\006proto3"
     };
     descriptor = com.google.protobuf.Descriptors.FileDescriptor
       .internalBuildGeneratedFileFrom(descriptorData,
@@ -663,11 +664,11 @@
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
         internal_static_curranthaven_ConfigurationDelta_descriptor,
         new java.lang.String[] { "Revision", "Edits", });
-    internal_static_curranthaven_RevisionAnswer_descriptor =
+    internal_static_curranthaven_VoterFreshnessReply_descriptor =
       getDescriptor().getMessageType(26);
-    internal_static_curranthaven_RevisionAnswer_fieldAccessorTable = new
+    internal_static_curranthaven_VoterFreshnessReply_fieldAccessorTable = new
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
-        internal_static_curranthaven_RevisionAnswer_descriptor,
+        internal_static_curranthaven_VoterFreshnessReply_descriptor,
         new java.lang.String[] { "Revision", "EchoedSentAtMillis", "Granted", "WitnessSetVersion", "WitnessSetSize", });
     internal_static_curranthaven_SoftState_descriptor =
       getDescriptor().getMessageType(27);
@@ -723,11 +724,11 @@
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
         internal_static_curranthaven_ReleaseCommand_descriptor,
         new java.lang.String[] { "Workspace", "Key", "Token", });
-    internal_static_curranthaven_StoredAnswer_descriptor =
+    internal_static_curranthaven_StoredResponse_descriptor =
       getDescriptor().getMessageType(36);
-    internal_static_curranthaven_StoredAnswer_fieldAccessorTable = new
+    internal_static_curranthaven_StoredResponse_fieldAccessorTable = new
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
-        internal_static_curranthaven_StoredAnswer_descriptor,
+        internal_static_curranthaven_StoredResponse_descriptor,
         new java.lang.String[] { "Status", "ContentType", "Body", });
     internal_static_curranthaven_ClaimRecord_descriptor =
       getDescriptor().getMessageType(37);
@@ -771,11 +772,11 @@
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
         internal_static_curranthaven_GatewayStatus_descriptor,
         new java.lang.String[] { "Term", "Version", "CatalogRevision", "Full", "Open", "Backends", "Gone", });
-    internal_static_curranthaven_OpenDispatch_descriptor =
+    internal_static_curranthaven_RunningDispatch_descriptor =
       getDescriptor().getMessageType(44);
-    internal_static_curranthaven_OpenDispatch_fieldAccessorTable = new
+    internal_static_curranthaven_RunningDispatch_fieldAccessorTable = new
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
-        internal_static_curranthaven_OpenDispatch_descriptor,
+        internal_static_curranthaven_RunningDispatch_descriptor,
         new java.lang.String[] { "Ask", "Backend", "OutputTokens", });
     internal_static_curranthaven_PlacementRequest_descriptor =
       getDescriptor().getMessageType(45);
@@ -819,17 +820,17 @@
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
         internal_static_curranthaven_Placement_descriptor,
         new java.lang.String[] { "Id", "Backend", "Urgency", "Backup", });
-    internal_static_curranthaven_Refusal_descriptor =
+    internal_static_curranthaven_Rejection_descriptor =
       getDescriptor().getMessageType(52);
-    internal_static_curranthaven_Refusal_fieldAccessorTable = new
+    internal_static_curranthaven_Rejection_fieldAccessorTable = new
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
-        internal_static_curranthaven_Refusal_descriptor,
+        internal_static_curranthaven_Rejection_descriptor,
         new java.lang.String[] { "Id", "RetryAfterMillis", "Reason", });
-    internal_static_curranthaven_Move_descriptor =
+    internal_static_curranthaven_MigrationOrder_descriptor =
       getDescriptor().getMessageType(53);
-    internal_static_curranthaven_Move_fieldAccessorTable = new
+    internal_static_curranthaven_MigrationOrder_fieldAccessorTable = new
       com.google.protobuf.GeneratedMessage.FieldAccessorTable(
-        internal_static_curranthaven_Move_descriptor,
+        internal_static_curranthaven_MigrationOrder_descriptor,
         new java.lang.String[] { "Id", "Target", "Backup", });
     descriptor.resolveAllFeaturesImmutable();
   }
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchOrders.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchOrders.java
@@ -110,16 +110,16 @@
 
   public static final int REFUSALS_FIELD_NUMBER = 3;
   @SuppressWarnings("serial")
-  private java.util.List<org.curranthaven.internal.transport.wire.Refusal> refusals_;
+  private java.util.List<org.curranthaven.internal.transport.wire.Rejection> refusals_;
   /**
    * <pre>
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
   @java.lang.Override
-  public java.util.List<org.curranthaven.internal.transport.wire.Refusal> getRefusalsList() {
+  public java.util.List<org.curranthaven.internal.transport.wire.Rejection> getRefusalsList() {
     return refusals_;
   }
   /**
@@ -127,10 +127,10 @@
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
   @java.lang.Override
-  public java.util.List<? extends org.curranthaven.internal.transport.wire.RefusalOrBuilder> 
+  public java.util.List<? extends org.curranthaven.internal.transport.wire.RejectionOrBuilder> 
       getRefusalsOrBuilderList() {
     return refusals_;
   }
@@ -139,7 +139,7 @@
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
   @java.lang.Override
   public int getRefusalsCount() {
@@ -150,10 +150,10 @@
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.Refusal getRefusals(int index) {
+  public org.curranthaven.internal.transport.wire.Rejection getRefusals(int index) {
     return refusals_.get(index);
   }
   /**
@@ -161,26 +161,26 @@
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.RefusalOrBuilder getRefusalsOrBuilder(
+  public org.curranthaven.internal.transport.wire.RejectionOrBuilder getRefusalsOrBuilder(
       int index) {
     return refusals_.get(index);
   }
 
   public static final int MOVES_FIELD_NUMBER = 4;
   @SuppressWarnings("serial")
-  private java.util.List<org.curranthaven.internal.transport.wire.Move> moves_;
+  private java.util.List<org.curranthaven.internal.transport.wire.MigrationOrder> moves_;
   /**
    * <pre>
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
   @java.lang.Override
-  public java.util.List<org.curranthaven.internal.transport.wire.Move> getMovesList() {
+  public java.util.List<org.curranthaven.internal.transport.wire.MigrationOrder> getMovesList() {
     return moves_;
   }
   /**
@@ -188,10 +188,10 @@
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
   @java.lang.Override
-  public java.util.List<? extends org.curranthaven.internal.transport.wire.MoveOrBuilder> 
+  public java.util.List<? extends org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder> 
       getMovesOrBuilderList() {
     return moves_;
   }
@@ -200,7 +200,7 @@
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
   @java.lang.Override
   public int getMovesCount() {
@@ -211,10 +211,10 @@
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.Move getMoves(int index) {
+  public org.curranthaven.internal.transport.wire.MigrationOrder getMoves(int index) {
     return moves_.get(index);
   }
   /**
@@ -222,10 +222,10 @@
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.MoveOrBuilder getMovesOrBuilder(
+  public org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder getMovesOrBuilder(
       int index) {
     return moves_.get(index);
   }
@@ -797,9 +797,9 @@
               break;
             } // case 18
             case 26: {
-              org.curranthaven.internal.transport.wire.Refusal m =
+              org.curranthaven.internal.transport.wire.Rejection m =
                   input.readMessage(
-                      org.curranthaven.internal.transport.wire.Refusal.parser(),
+                      org.curranthaven.internal.transport.wire.Rejection.parser(),
                       extensionRegistry);
               if (refusalsBuilder_ == null) {
                 ensureRefusalsIsMutable();
@@ -810,9 +810,9 @@
               break;
             } // case 26
             case 34: {
-              org.curranthaven.internal.transport.wire.Move m =
+              org.curranthaven.internal.transport.wire.MigrationOrder m =
                   input.readMessage(
-                      org.curranthaven.internal.transport.wire.Move.parser(),
+                      org.curranthaven.internal.transport.wire.MigrationOrder.parser(),
                       extensionRegistry);
               if (movesBuilder_ == null) {
                 ensureMovesIsMutable();
@@ -1121,26 +1121,26 @@
       return placementsBuilder_;
     }
 
-    private java.util.List<org.curranthaven.internal.transport.wire.Refusal> refusals_ =
+    private java.util.List<org.curranthaven.internal.transport.wire.Rejection> refusals_ =
       java.util.Collections.emptyList();
     private void ensureRefusalsIsMutable() {
       if (!((bitField0_ & 0x00000004) != 0)) {
-        refusals_ = new java.util.ArrayList<org.curranthaven.internal.transport.wire.Refusal>(refusals_);
+        refusals_ = new java.util.ArrayList<org.curranthaven.internal.transport.wire.Rejection>(refusals_);
         bitField0_ |= 0x00000004;
        }
     }
 
     private com.google.protobuf.RepeatedFieldBuilder<
-        org.curranthaven.internal.transport.wire.Refusal, org.curranthaven.internal.transport.wire.Refusal.Builder, org.curranthaven.internal.transport.wire.RefusalOrBuilder> refusalsBuilder_;
+        org.curranthaven.internal.transport.wire.Rejection, org.curranthaven.internal.transport.wire.Rejection.Builder, org.curranthaven.internal.transport.wire.RejectionOrBuilder> refusalsBuilder_;
 
     /**
      * <pre>
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public java.util.List<org.curranthaven.internal.transport.wire.Refusal> getRefusalsList() {
+    public java.util.List<org.curranthaven.internal.transport.wire.Rejection> getRefusalsList() {
       if (refusalsBuilder_ == null) {
         return java.util.Collections.unmodifiableList(refusals_);
       } else {
@@ -1152,7 +1152,7 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public int getRefusalsCount() {
       if (refusalsBuilder_ == null) {
@@ -1166,9 +1166,9 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public org.curranthaven.internal.transport.wire.Refusal getRefusals(int index) {
+    public org.curranthaven.internal.transport.wire.Rejection getRefusals(int index) {
       if (refusalsBuilder_ == null) {
         return refusals_.get(index);
       } else {
@@ -1180,10 +1180,10 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public Builder setRefusals(
-        int index, org.curranthaven.internal.transport.wire.Refusal value) {
+        int index, org.curranthaven.internal.transport.wire.Rejection value) {
       if (refusalsBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureRefusalsIsMutable();
@@ -1199,10 +1199,10 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public Builder setRefusals(
-        int index, org.curranthaven.internal.transport.wire.Refusal.Builder builderForValue) {
+        int index, org.curranthaven.internal.transport.wire.Rejection.Builder builderForValue) {
       if (refusalsBuilder_ == null) {
         ensureRefusalsIsMutable();
         refusals_.set(index, builderForValue.build());
@@ -1217,9 +1217,9 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public Builder addRefusals(org.curranthaven.internal.transport.wire.Refusal value) {
+    public Builder addRefusals(org.curranthaven.internal.transport.wire.Rejection value) {
       if (refusalsBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureRefusalsIsMutable();
@@ -1235,10 +1235,10 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public Builder addRefusals(
-        int index, org.curranthaven.internal.transport.wire.Refusal value) {
+        int index, org.curranthaven.internal.transport.wire.Rejection value) {
       if (refusalsBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureRefusalsIsMutable();
@@ -1254,10 +1254,10 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public Builder addRefusals(
-        org.curranthaven.internal.transport.wire.Refusal.Builder builderForValue) {
+        org.curranthaven.internal.transport.wire.Rejection.Builder builderForValue) {
       if (refusalsBuilder_ == null) {
         ensureRefusalsIsMutable();
         refusals_.add(builderForValue.build());
@@ -1272,10 +1272,10 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public Builder addRefusals(
-        int index, org.curranthaven.internal.transport.wire.Refusal.Builder builderForValue) {
+        int index, org.curranthaven.internal.transport.wire.Rejection.Builder builderForValue) {
       if (refusalsBuilder_ == null) {
         ensureRefusalsIsMutable();
         refusals_.add(index, builderForValue.build());
@@ -1290,10 +1290,10 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public Builder addAllRefusals(
-        java.lang.Iterable<? extends org.curranthaven.internal.transport.wire.Refusal> values) {
+        java.lang.Iterable<? extends org.curranthaven.internal.transport.wire.Rejection> values) {
       if (refusalsBuilder_ == null) {
         ensureRefusalsIsMutable();
         com.google.protobuf.AbstractMessageLite.Builder.addAll(
@@ -1309,7 +1309,7 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public Builder clearRefusals() {
       if (refusalsBuilder_ == null) {
@@ -1326,7 +1326,7 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
     public Builder removeRefusals(int index) {
       if (refusalsBuilder_ == null) {
@@ -1343,9 +1343,9 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public org.curranthaven.internal.transport.wire.Refusal.Builder getRefusalsBuilder(
+    public org.curranthaven.internal.transport.wire.Rejection.Builder getRefusalsBuilder(
         int index) {
       return internalGetRefusalsFieldBuilder().getBuilder(index);
     }
@@ -1354,9 +1354,9 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public org.curranthaven.internal.transport.wire.RefusalOrBuilder getRefusalsOrBuilder(
+    public org.curranthaven.internal.transport.wire.RejectionOrBuilder getRefusalsOrBuilder(
         int index) {
       if (refusalsBuilder_ == null) {
         return refusals_.get(index);  } else {
@@ -1368,9 +1368,9 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public java.util.List<? extends org.curranthaven.internal.transport.wire.RefusalOrBuilder> 
+    public java.util.List<? extends org.curranthaven.internal.transport.wire.RejectionOrBuilder> 
          getRefusalsOrBuilderList() {
       if (refusalsBuilder_ != null) {
         return refusalsBuilder_.getMessageOrBuilderList();
@@ -1383,41 +1383,41 @@
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public org.curranthaven.internal.transport.wire.Refusal.Builder addRefusalsBuilder() {
+    public org.curranthaven.internal.transport.wire.Rejection.Builder addRefusalsBuilder() {
       return internalGetRefusalsFieldBuilder().addBuilder(
-          org.curranthaven.internal.transport.wire.Refusal.getDefaultInstance());
+          org.curranthaven.internal.transport.wire.Rejection.getDefaultInstance());
     }
     /**
      * <pre>
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public org.curranthaven.internal.transport.wire.Refusal.Builder addRefusalsBuilder(
+    public org.curranthaven.internal.transport.wire.Rejection.Builder addRefusalsBuilder(
         int index) {
       return internalGetRefusalsFieldBuilder().addBuilder(
-          index, org.curranthaven.internal.transport.wire.Refusal.getDefaultInstance());
+          index, org.curranthaven.internal.transport.wire.Rejection.getDefaultInstance());
     }
     /**
      * <pre>
      * Rejected requests.
      * </pre>
      *
-     * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+     * <code>repeated .curranthaven.Rejection refusals = 3;</code>
      */
-    public java.util.List<org.curranthaven.internal.transport.wire.Refusal.Builder> 
+    public java.util.List<org.curranthaven.internal.transport.wire.Rejection.Builder> 
          getRefusalsBuilderList() {
       return internalGetRefusalsFieldBuilder().getBuilderList();
     }
     private com.google.protobuf.RepeatedFieldBuilder<
-        org.curranthaven.internal.transport.wire.Refusal, org.curranthaven.internal.transport.wire.Refusal.Builder, org.curranthaven.internal.transport.wire.RefusalOrBuilder> 
+        org.curranthaven.internal.transport.wire.Rejection, org.curranthaven.internal.transport.wire.Rejection.Builder, org.curranthaven.internal.transport.wire.RejectionOrBuilder> 
         internalGetRefusalsFieldBuilder() {
       if (refusalsBuilder_ == null) {
         refusalsBuilder_ = new com.google.protobuf.RepeatedFieldBuilder<
-            org.curranthaven.internal.transport.wire.Refusal, org.curranthaven.internal.transport.wire.Refusal.Builder, org.curranthaven.internal.transport.wire.RefusalOrBuilder>(
+            org.curranthaven.internal.transport.wire.Rejection, org.curranthaven.internal.transport.wire.Rejection.Builder, org.curranthaven.internal.transport.wire.RejectionOrBuilder>(
                 refusals_,
                 ((bitField0_ & 0x00000004) != 0),
                 getParentForChildren(),
@@ -1427,26 +1427,26 @@
       return refusalsBuilder_;
     }
 
-    private java.util.List<org.curranthaven.internal.transport.wire.Move> moves_ =
+    private java.util.List<org.curranthaven.internal.transport.wire.MigrationOrder> moves_ =
       java.util.Collections.emptyList();
     private void ensureMovesIsMutable() {
       if (!((bitField0_ & 0x00000008) != 0)) {
-        moves_ = new java.util.ArrayList<org.curranthaven.internal.transport.wire.Move>(moves_);
+        moves_ = new java.util.ArrayList<org.curranthaven.internal.transport.wire.MigrationOrder>(moves_);
         bitField0_ |= 0x00000008;
        }
     }
 
     private com.google.protobuf.RepeatedFieldBuilder<
-        org.curranthaven.internal.transport.wire.Move, org.curranthaven.internal.transport.wire.Move.Builder, org.curranthaven.internal.transport.wire.MoveOrBuilder> movesBuilder_;
+        org.curranthaven.internal.transport.wire.MigrationOrder, org.curranthaven.internal.transport.wire.MigrationOrder.Builder, org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder> movesBuilder_;
 
     /**
      * <pre>
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public java.util.List<org.curranthaven.internal.transport.wire.Move> getMovesList() {
+    public java.util.List<org.curranthaven.internal.transport.wire.MigrationOrder> getMovesList() {
       if (movesBuilder_ == null) {
         return java.util.Collections.unmodifiableList(moves_);
       } else {
@@ -1458,7 +1458,7 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public int getMovesCount() {
       if (movesBuilder_ == null) {
@@ -1472,9 +1472,9 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public org.curranthaven.internal.transport.wire.Move getMoves(int index) {
+    public org.curranthaven.internal.transport.wire.MigrationOrder getMoves(int index) {
       if (movesBuilder_ == null) {
         return moves_.get(index);
       } else {
@@ -1486,10 +1486,10 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public Builder setMoves(
-        int index, org.curranthaven.internal.transport.wire.Move value) {
+        int index, org.curranthaven.internal.transport.wire.MigrationOrder value) {
       if (movesBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureMovesIsMutable();
@@ -1505,10 +1505,10 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public Builder setMoves(
-        int index, org.curranthaven.internal.transport.wire.Move.Builder builderForValue) {
+        int index, org.curranthaven.internal.transport.wire.MigrationOrder.Builder builderForValue) {
       if (movesBuilder_ == null) {
         ensureMovesIsMutable();
         moves_.set(index, builderForValue.build());
@@ -1523,9 +1523,9 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public Builder addMoves(org.curranthaven.internal.transport.wire.Move value) {
+    public Builder addMoves(org.curranthaven.internal.transport.wire.MigrationOrder value) {
       if (movesBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureMovesIsMutable();
@@ -1541,10 +1541,10 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public Builder addMoves(
-        int index, org.curranthaven.internal.transport.wire.Move value) {
+        int index, org.curranthaven.internal.transport.wire.MigrationOrder value) {
       if (movesBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureMovesIsMutable();
@@ -1560,10 +1560,10 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public Builder addMoves(
-        org.curranthaven.internal.transport.wire.Move.Builder builderForValue) {
+        org.curranthaven.internal.transport.wire.MigrationOrder.Builder builderForValue) {
       if (movesBuilder_ == null) {
         ensureMovesIsMutable();
         moves_.add(builderForValue.build());
@@ -1578,10 +1578,10 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public Builder addMoves(
-        int index, org.curranthaven.internal.transport.wire.Move.Builder builderForValue) {
+        int index, org.curranthaven.internal.transport.wire.MigrationOrder.Builder builderForValue) {
       if (movesBuilder_ == null) {
         ensureMovesIsMutable();
         moves_.add(index, builderForValue.build());
@@ -1596,10 +1596,10 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public Builder addAllMoves(
-        java.lang.Iterable<? extends org.curranthaven.internal.transport.wire.Move> values) {
+        java.lang.Iterable<? extends org.curranthaven.internal.transport.wire.MigrationOrder> values) {
       if (movesBuilder_ == null) {
         ensureMovesIsMutable();
         com.google.protobuf.AbstractMessageLite.Builder.addAll(
@@ -1615,7 +1615,7 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public Builder clearMoves() {
       if (movesBuilder_ == null) {
@@ -1632,7 +1632,7 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
     public Builder removeMoves(int index) {
       if (movesBuilder_ == null) {
@@ -1649,9 +1649,9 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public org.curranthaven.internal.transport.wire.Move.Builder getMovesBuilder(
+    public org.curranthaven.internal.transport.wire.MigrationOrder.Builder getMovesBuilder(
         int index) {
       return internalGetMovesFieldBuilder().getBuilder(index);
     }
@@ -1660,9 +1660,9 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public org.curranthaven.internal.transport.wire.MoveOrBuilder getMovesOrBuilder(
+    public org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder getMovesOrBuilder(
         int index) {
       if (movesBuilder_ == null) {
         return moves_.get(index);  } else {
@@ -1674,9 +1674,9 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public java.util.List<? extends org.curranthaven.internal.transport.wire.MoveOrBuilder> 
+    public java.util.List<? extends org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder> 
          getMovesOrBuilderList() {
       if (movesBuilder_ != null) {
         return movesBuilder_.getMessageOrBuilderList();
@@ -1689,41 +1689,41 @@
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public org.curranthaven.internal.transport.wire.Move.Builder addMovesBuilder() {
+    public org.curranthaven.internal.transport.wire.MigrationOrder.Builder addMovesBuilder() {
       return internalGetMovesFieldBuilder().addBuilder(
-          org.curranthaven.internal.transport.wire.Move.getDefaultInstance());
+          org.curranthaven.internal.transport.wire.MigrationOrder.getDefaultInstance());
     }
     /**
      * <pre>
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public org.curranthaven.internal.transport.wire.Move.Builder addMovesBuilder(
+    public org.curranthaven.internal.transport.wire.MigrationOrder.Builder addMovesBuilder(
         int index) {
       return internalGetMovesFieldBuilder().addBuilder(
-          index, org.curranthaven.internal.transport.wire.Move.getDefaultInstance());
+          index, org.curranthaven.internal.transport.wire.MigrationOrder.getDefaultInstance());
     }
     /**
      * <pre>
      * Running requests to migrate.
      * </pre>
      *
-     * <code>repeated .curranthaven.Move moves = 4;</code>
+     * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
      */
-    public java.util.List<org.curranthaven.internal.transport.wire.Move.Builder> 
+    public java.util.List<org.curranthaven.internal.transport.wire.MigrationOrder.Builder> 
          getMovesBuilderList() {
       return internalGetMovesFieldBuilder().getBuilderList();
     }
     private com.google.protobuf.RepeatedFieldBuilder<
-        org.curranthaven.internal.transport.wire.Move, org.curranthaven.internal.transport.wire.Move.Builder, org.curranthaven.internal.transport.wire.MoveOrBuilder> 
+        org.curranthaven.internal.transport.wire.MigrationOrder, org.curranthaven.internal.transport.wire.MigrationOrder.Builder, org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder> 
         internalGetMovesFieldBuilder() {
       if (movesBuilder_ == null) {
         movesBuilder_ = new com.google.protobuf.RepeatedFieldBuilder<
-            org.curranthaven.internal.transport.wire.Move, org.curranthaven.internal.transport.wire.Move.Builder, org.curranthaven.internal.transport.wire.MoveOrBuilder>(
+            org.curranthaven.internal.transport.wire.MigrationOrder, org.curranthaven.internal.transport.wire.MigrationOrder.Builder, org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder>(
                 moves_,
                 ((bitField0_ & 0x00000008) != 0),
                 getParentForChildren(),
--- a/src/main/java/org/curranthaven/internal/transport/wire/DispatchOrdersOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/DispatchOrdersOrBuilder.java
@@ -45,24 +45,24 @@
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
-  java.util.List<org.curranthaven.internal.transport.wire.Refusal> 
+  java.util.List<org.curranthaven.internal.transport.wire.Rejection> 
       getRefusalsList();
   /**
    * <pre>
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
-  org.curranthaven.internal.transport.wire.Refusal getRefusals(int index);
+  org.curranthaven.internal.transport.wire.Rejection getRefusals(int index);
   /**
    * <pre>
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
   int getRefusalsCount();
   /**
@@ -70,18 +70,18 @@
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
-  java.util.List<? extends org.curranthaven.internal.transport.wire.RefusalOrBuilder> 
+  java.util.List<? extends org.curranthaven.internal.transport.wire.RejectionOrBuilder> 
       getRefusalsOrBuilderList();
   /**
    * <pre>
    * Rejected requests.
    * </pre>
    *
-   * <code>repeated .curranthaven.Refusal refusals = 3;</code>
+   * <code>repeated .curranthaven.Rejection refusals = 3;</code>
    */
-  org.curranthaven.internal.transport.wire.RefusalOrBuilder getRefusalsOrBuilder(
+  org.curranthaven.internal.transport.wire.RejectionOrBuilder getRefusalsOrBuilder(
       int index);
 
   /**
@@ -89,24 +89,24 @@
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
-  java.util.List<org.curranthaven.internal.transport.wire.Move> 
+  java.util.List<org.curranthaven.internal.transport.wire.MigrationOrder> 
       getMovesList();
   /**
    * <pre>
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
-  org.curranthaven.internal.transport.wire.Move getMoves(int index);
+  org.curranthaven.internal.transport.wire.MigrationOrder getMoves(int index);
   /**
    * <pre>
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
   int getMovesCount();
   /**
@@ -114,18 +114,18 @@
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
-  java.util.List<? extends org.curranthaven.internal.transport.wire.MoveOrBuilder> 
+  java.util.List<? extends org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder> 
       getMovesOrBuilderList();
   /**
    * <pre>
    * Running requests to migrate.
    * </pre>
    *
-   * <code>repeated .curranthaven.Move moves = 4;</code>
+   * <code>repeated .curranthaven.MigrationOrder moves = 4;</code>
    */
-  org.curranthaven.internal.transport.wire.MoveOrBuilder getMovesOrBuilder(
+  org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder getMovesOrBuilder(
       int index);
 
   /**
--- a/src/main/java/org/curranthaven/internal/transport/wire/Envelope.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Envelope.java
@@ -555,7 +555,7 @@
 
   public static final int REVISION_ANSWER_FIELD_NUMBER = 14;
   /**
-   * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+   * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
    * @return Whether the revisionAnswer field is set.
    */
   @java.lang.Override
@@ -563,25 +563,25 @@
     return payloadCase_ == 14;
   }
   /**
-   * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+   * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
    * @return The revisionAnswer.
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.RevisionAnswer getRevisionAnswer() {
+  public org.curranthaven.internal.transport.wire.VoterFreshnessReply getRevisionAnswer() {
     if (payloadCase_ == 14) {
-       return (org.curranthaven.internal.transport.wire.RevisionAnswer) payload_;
+       return (org.curranthaven.internal.transport.wire.VoterFreshnessReply) payload_;
     }
-    return org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance();
+    return org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance();
   }
   /**
-   * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+   * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.RevisionAnswerOrBuilder getRevisionAnswerOrBuilder() {
+  public org.curranthaven.internal.transport.wire.VoterFreshnessReplyOrBuilder getRevisionAnswerOrBuilder() {
     if (payloadCase_ == 14) {
-       return (org.curranthaven.internal.transport.wire.RevisionAnswer) payload_;
+       return (org.curranthaven.internal.transport.wire.VoterFreshnessReply) payload_;
     }
-    return org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance();
+    return org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance();
   }
 
   public static final int KNOWN_HOSTS_FIELD_NUMBER = 15;
@@ -793,7 +793,7 @@
       output.writeMessage(13, (org.curranthaven.internal.transport.wire.AdminReply) payload_);
     }
     if (payloadCase_ == 14) {
-      output.writeMessage(14, (org.curranthaven.internal.transport.wire.RevisionAnswer) payload_);
+      output.writeMessage(14, (org.curranthaven.internal.transport.wire.VoterFreshnessReply) payload_);
     }
     if (payloadCase_ == 15) {
       output.writeMessage(15, (org.curranthaven.internal.transport.wire.KnownHosts) payload_);
@@ -866,7 +866,7 @@
     }
     if (payloadCase_ == 14) {
       size += com.google.protobuf.CodedOutputStream
-        .computeMessageSize(14, (org.curranthaven.internal.transport.wire.RevisionAnswer) payload_);
+        .computeMessageSize(14, (org.curranthaven.internal.transport.wire.VoterFreshnessReply) payload_);
     }
     if (payloadCase_ == 15) {
       size += com.google.protobuf.CodedOutputStream
@@ -3366,9 +3366,9 @@
     }
 
     private com.google.protobuf.SingleFieldBuilder<
-        org.curranthaven.internal.transport.wire.RevisionAnswer, org.curranthaven.internal.transport.wire.RevisionAnswer.Builder, org.curranthaven.internal.transport.wire.RevisionAnswerOrBuilder> revisionAnswerBuilder_;
+        org.curranthaven.internal.transport.wire.VoterFreshnessReply, org.curranthaven.internal.transport.wire.VoterFreshnessReply.Builder, org.curranthaven.internal.transport.wire.VoterFreshnessReplyOrBuilder> revisionAnswerBuilder_;
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      * @return Whether the revisionAnswer field is set.
      */
     @java.lang.Override
@@ -3376,27 +3376,27 @@
       return payloadCase_ == 14;
     }
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      * @return The revisionAnswer.
      */
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.RevisionAnswer getRevisionAnswer() {
+    public org.curranthaven.internal.transport.wire.VoterFreshnessReply getRevisionAnswer() {
       if (revisionAnswerBuilder_ == null) {
         if (payloadCase_ == 14) {
-          return (org.curranthaven.internal.transport.wire.RevisionAnswer) payload_;
+          return (org.curranthaven.internal.transport.wire.VoterFreshnessReply) payload_;
         }
-        return org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance();
+        return org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance();
       } else {
         if (payloadCase_ == 14) {
           return revisionAnswerBuilder_.getMessage();
         }
-        return org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance();
+        return org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance();
       }
     }
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      */
-    public Builder setRevisionAnswer(org.curranthaven.internal.transport.wire.RevisionAnswer value) {
+    public Builder setRevisionAnswer(org.curranthaven.internal.transport.wire.VoterFreshnessReply value) {
       if (revisionAnswerBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         payload_ = value;
@@ -3408,10 +3408,10 @@
       return this;
     }
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      */
     public Builder setRevisionAnswer(
-        org.curranthaven.internal.transport.wire.RevisionAnswer.Builder builderForValue) {
+        org.curranthaven.internal.transport.wire.VoterFreshnessReply.Builder builderForValue) {
       if (revisionAnswerBuilder_ == null) {
         payload_ = builderForValue.build();
         onChanged();
@@ -3422,13 +3422,13 @@
       return this;
     }
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      */
-    public Builder mergeRevisionAnswer(org.curranthaven.internal.transport.wire.RevisionAnswer value) {
+    public Builder mergeRevisionAnswer(org.curranthaven.internal.transport.wire.VoterFreshnessReply value) {
       if (revisionAnswerBuilder_ == null) {
         if (payloadCase_ == 14 &&
-            payload_ != org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance()) {
-          payload_ = org.curranthaven.internal.transport.wire.RevisionAnswer.newBuilder((org.curranthaven.internal.transport.wire.RevisionAnswer) payload_)
+            payload_ != org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance()) {
+          payload_ = org.curranthaven.internal.transport.wire.VoterFreshnessReply.newBuilder((org.curranthaven.internal.transport.wire.VoterFreshnessReply) payload_)
               .mergeFrom(value).buildPartial();
         } else {
           payload_ = value;
@@ -3445,7 +3445,7 @@
       return this;
     }
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      */
     public Builder clearRevisionAnswer() {
       if (revisionAnswerBuilder_ == null) {
@@ -3464,38 +3464,38 @@
       return this;
     }
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      */
-    public org.curranthaven.internal.transport.wire.RevisionAnswer.Builder getRevisionAnswerBuilder() {
+    public org.curranthaven.internal.transport.wire.VoterFreshnessReply.Builder getRevisionAnswerBuilder() {
       return internalGetRevisionAnswerFieldBuilder().getBuilder();
     }
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      */
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.RevisionAnswerOrBuilder getRevisionAnswerOrBuilder() {
+    public org.curranthaven.internal.transport.wire.VoterFreshnessReplyOrBuilder getRevisionAnswerOrBuilder() {
       if ((payloadCase_ == 14) && (revisionAnswerBuilder_ != null)) {
         return revisionAnswerBuilder_.getMessageOrBuilder();
       } else {
         if (payloadCase_ == 14) {
-          return (org.curranthaven.internal.transport.wire.RevisionAnswer) payload_;
+          return (org.curranthaven.internal.transport.wire.VoterFreshnessReply) payload_;
         }
-        return org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance();
+        return org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance();
       }
     }
     /**
-     * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+     * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
      */
     private com.google.protobuf.SingleFieldBuilder<
-        org.curranthaven.internal.transport.wire.RevisionAnswer, org.curranthaven.internal.transport.wire.RevisionAnswer.Builder, org.curranthaven.internal.transport.wire.RevisionAnswerOrBuilder> 
+        org.curranthaven.internal.transport.wire.VoterFreshnessReply, org.curranthaven.internal.transport.wire.VoterFreshnessReply.Builder, org.curranthaven.internal.transport.wire.VoterFreshnessReplyOrBuilder> 
         internalGetRevisionAnswerFieldBuilder() {
       if (revisionAnswerBuilder_ == null) {
         if (!(payloadCase_ == 14)) {
-          payload_ = org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance();
+          payload_ = org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance();
         }
         revisionAnswerBuilder_ = new com.google.protobuf.SingleFieldBuilder<
-            org.curranthaven.internal.transport.wire.RevisionAnswer, org.curranthaven.internal.transport.wire.RevisionAnswer.Builder, org.curranthaven.internal.transport.wire.RevisionAnswerOrBuilder>(
-                (org.curranthaven.internal.transport.wire.RevisionAnswer) payload_,
+            org.curranthaven.internal.transport.wire.VoterFreshnessReply, org.curranthaven.internal.transport.wire.VoterFreshnessReply.Builder, org.curranthaven.internal.transport.wire.VoterFreshnessReplyOrBuilder>(
+                (org.curranthaven.internal.transport.wire.VoterFreshnessReply) payload_,
                 getParentForChildren(),
                 isClean());
         payload_ = null;
--- a/src/main/java/org/curranthaven/internal/transport/wire/EnvelopeOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/EnvelopeOrBuilder.java
@@ -208,19 +208,19 @@
   org.curranthaven.internal.transport.wire.AdminReplyOrBuilder getAdminReplyOrBuilder();
 
   /**
-   * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+   * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
    * @return Whether the revisionAnswer field is set.
    */
   boolean hasRevisionAnswer();
   /**
-   * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+   * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
    * @return The revisionAnswer.
    */
-  org.curranthaven.internal.transport.wire.RevisionAnswer getRevisionAnswer();
+  org.curranthaven.internal.transport.wire.VoterFreshnessReply getRevisionAnswer();
   /**
-   * <code>.curranthaven.RevisionAnswer revision_answer = 14;</code>
+   * <code>.curranthaven.VoterFreshnessReply revision_answer = 14;</code>
    */
-  org.curranthaven.internal.transport.wire.RevisionAnswerOrBuilder getRevisionAnswerOrBuilder();
+  org.curranthaven.internal.transport.wire.VoterFreshnessReplyOrBuilder getRevisionAnswerOrBuilder();
 
   /**
    * <code>.curranthaven.KnownHosts known_hosts = 15;</code>
--- a/src/main/java/org/curranthaven/internal/transport/wire/FreshnessRequest.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/FreshnessRequest.java
@@ -9,7 +9,7 @@
  * <pre>
  * Request of a host for a lease to serve with its configuration, sent to the control hosts. The
  * leader of the configuration group replies with a FreshnessGrant, the others with a
- * RevisionAnswer.
+ * VoterFreshnessReply.
  * </pre>
  *
  * Protobuf type {@code curranthaven.FreshnessRequest}
@@ -385,7 +385,7 @@
    * <pre>
    * Request of a host for a lease to serve with its configuration, sent to the control hosts. The
    * leader of the configuration group replies with a FreshnessGrant, the others with a
-   * RevisionAnswer.
+   * VoterFreshnessReply.
    * </pre>
    *
    * Protobuf type {@code curranthaven.FreshnessRequest}
--- a/src/main/java/org/curranthaven/internal/transport/wire/GatewayStatus.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/GatewayStatus.java
@@ -115,16 +115,16 @@
 
   public static final int OPEN_FIELD_NUMBER = 5;
   @SuppressWarnings("serial")
-  private java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch> open_;
+  private java.util.List<org.curranthaven.internal.transport.wire.RunningDispatch> open_;
   /**
    * <pre>
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
   @java.lang.Override
-  public java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch> getOpenList() {
+  public java.util.List<org.curranthaven.internal.transport.wire.RunningDispatch> getOpenList() {
     return open_;
   }
   /**
@@ -132,10 +132,10 @@
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
   @java.lang.Override
-  public java.util.List<? extends org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder> 
+  public java.util.List<? extends org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder> 
       getOpenOrBuilderList() {
     return open_;
   }
@@ -144,7 +144,7 @@
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
   @java.lang.Override
   public int getOpenCount() {
@@ -155,10 +155,10 @@
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.OpenDispatch getOpen(int index) {
+  public org.curranthaven.internal.transport.wire.RunningDispatch getOpen(int index) {
     return open_.get(index);
   }
   /**
@@ -166,10 +166,10 @@
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder getOpenOrBuilder(
+  public org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder getOpenOrBuilder(
       int index) {
     return open_.get(index);
   }
@@ -781,9 +781,9 @@
               break;
             } // case 32
             case 42: {
-              org.curranthaven.internal.transport.wire.OpenDispatch m =
+              org.curranthaven.internal.transport.wire.RunningDispatch m =
                   input.readMessage(
-                      org.curranthaven.internal.transport.wire.OpenDispatch.parser(),
+                      org.curranthaven.internal.transport.wire.RunningDispatch.parser(),
                       extensionRegistry);
               if (openBuilder_ == null) {
                 ensureOpenIsMutable();
@@ -995,26 +995,26 @@
       return this;
     }
 
-    private java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch> open_ =
+    private java.util.List<org.curranthaven.internal.transport.wire.RunningDispatch> open_ =
       java.util.Collections.emptyList();
     private void ensureOpenIsMutable() {
       if (!((bitField0_ & 0x00000010) != 0)) {
-        open_ = new java.util.ArrayList<org.curranthaven.internal.transport.wire.OpenDispatch>(open_);
+        open_ = new java.util.ArrayList<org.curranthaven.internal.transport.wire.RunningDispatch>(open_);
         bitField0_ |= 0x00000010;
        }
     }
 
     private com.google.protobuf.RepeatedFieldBuilder<
-        org.curranthaven.internal.transport.wire.OpenDispatch, org.curranthaven.internal.transport.wire.OpenDispatch.Builder, org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder> openBuilder_;
+        org.curranthaven.internal.transport.wire.RunningDispatch, org.curranthaven.internal.transport.wire.RunningDispatch.Builder, org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder> openBuilder_;
 
     /**
      * <pre>
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch> getOpenList() {
+    public java.util.List<org.curranthaven.internal.transport.wire.RunningDispatch> getOpenList() {
       if (openBuilder_ == null) {
         return java.util.Collections.unmodifiableList(open_);
       } else {
@@ -1026,7 +1026,7 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public int getOpenCount() {
       if (openBuilder_ == null) {
@@ -1040,9 +1040,9 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public org.curranthaven.internal.transport.wire.OpenDispatch getOpen(int index) {
+    public org.curranthaven.internal.transport.wire.RunningDispatch getOpen(int index) {
       if (openBuilder_ == null) {
         return open_.get(index);
       } else {
@@ -1054,10 +1054,10 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public Builder setOpen(
-        int index, org.curranthaven.internal.transport.wire.OpenDispatch value) {
+        int index, org.curranthaven.internal.transport.wire.RunningDispatch value) {
       if (openBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureOpenIsMutable();
@@ -1073,10 +1073,10 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public Builder setOpen(
-        int index, org.curranthaven.internal.transport.wire.OpenDispatch.Builder builderForValue) {
+        int index, org.curranthaven.internal.transport.wire.RunningDispatch.Builder builderForValue) {
       if (openBuilder_ == null) {
         ensureOpenIsMutable();
         open_.set(index, builderForValue.build());
@@ -1091,9 +1091,9 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public Builder addOpen(org.curranthaven.internal.transport.wire.OpenDispatch value) {
+    public Builder addOpen(org.curranthaven.internal.transport.wire.RunningDispatch value) {
       if (openBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureOpenIsMutable();
@@ -1109,10 +1109,10 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public Builder addOpen(
-        int index, org.curranthaven.internal.transport.wire.OpenDispatch value) {
+        int index, org.curranthaven.internal.transport.wire.RunningDispatch value) {
       if (openBuilder_ == null) {
         java.util.Objects.requireNonNull(value);
         ensureOpenIsMutable();
@@ -1128,10 +1128,10 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public Builder addOpen(
-        org.curranthaven.internal.transport.wire.OpenDispatch.Builder builderForValue) {
+        org.curranthaven.internal.transport.wire.RunningDispatch.Builder builderForValue) {
       if (openBuilder_ == null) {
         ensureOpenIsMutable();
         open_.add(builderForValue.build());
@@ -1146,10 +1146,10 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public Builder addOpen(
-        int index, org.curranthaven.internal.transport.wire.OpenDispatch.Builder builderForValue) {
+        int index, org.curranthaven.internal.transport.wire.RunningDispatch.Builder builderForValue) {
       if (openBuilder_ == null) {
         ensureOpenIsMutable();
         open_.add(index, builderForValue.build());
@@ -1164,10 +1164,10 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public Builder addAllOpen(
-        java.lang.Iterable<? extends org.curranthaven.internal.transport.wire.OpenDispatch> values) {
+        java.lang.Iterable<? extends org.curranthaven.internal.transport.wire.RunningDispatch> values) {
       if (openBuilder_ == null) {
         ensureOpenIsMutable();
         com.google.protobuf.AbstractMessageLite.Builder.addAll(
@@ -1183,7 +1183,7 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public Builder clearOpen() {
       if (openBuilder_ == null) {
@@ -1200,7 +1200,7 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
     public Builder removeOpen(int index) {
       if (openBuilder_ == null) {
@@ -1217,9 +1217,9 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public org.curranthaven.internal.transport.wire.OpenDispatch.Builder getOpenBuilder(
+    public org.curranthaven.internal.transport.wire.RunningDispatch.Builder getOpenBuilder(
         int index) {
       return internalGetOpenFieldBuilder().getBuilder(index);
     }
@@ -1228,9 +1228,9 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder getOpenOrBuilder(
+    public org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder getOpenOrBuilder(
         int index) {
       if (openBuilder_ == null) {
         return open_.get(index);  } else {
@@ -1242,9 +1242,9 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public java.util.List<? extends org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder> 
+    public java.util.List<? extends org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder> 
          getOpenOrBuilderList() {
       if (openBuilder_ != null) {
         return openBuilder_.getMessageOrBuilderList();
@@ -1257,41 +1257,41 @@
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public org.curranthaven.internal.transport.wire.OpenDispatch.Builder addOpenBuilder() {
+    public org.curranthaven.internal.transport.wire.RunningDispatch.Builder addOpenBuilder() {
       return internalGetOpenFieldBuilder().addBuilder(
-          org.curranthaven.internal.transport.wire.OpenDispatch.getDefaultInstance());
+          org.curranthaven.internal.transport.wire.RunningDispatch.getDefaultInstance());
     }
     /**
      * <pre>
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public org.curranthaven.internal.transport.wire.OpenDispatch.Builder addOpenBuilder(
+    public org.curranthaven.internal.transport.wire.RunningDispatch.Builder addOpenBuilder(
         int index) {
       return internalGetOpenFieldBuilder().addBuilder(
-          index, org.curranthaven.internal.transport.wire.OpenDispatch.getDefaultInstance());
+          index, org.curranthaven.internal.transport.wire.RunningDispatch.getDefaultInstance());
     }
     /**
      * <pre>
      * Requests that run on backend servers; queued ones are submitted again instead.
      * </pre>
      *
-     * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+     * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
      */
-    public java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch.Builder> 
+    public java.util.List<org.curranthaven.internal.transport.wire.RunningDispatch.Builder> 
          getOpenBuilderList() {
       return internalGetOpenFieldBuilder().getBuilderList();
     }
     private com.google.protobuf.RepeatedFieldBuilder<
-        org.curranthaven.internal.transport.wire.OpenDispatch, org.curranthaven.internal.transport.wire.OpenDispatch.Builder, org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder> 
+        org.curranthaven.internal.transport.wire.RunningDispatch, org.curranthaven.internal.transport.wire.RunningDispatch.Builder, org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder> 
         internalGetOpenFieldBuilder() {
       if (openBuilder_ == null) {
         openBuilder_ = new com.google.protobuf.RepeatedFieldBuilder<
-            org.curranthaven.internal.transport.wire.OpenDispatch, org.curranthaven.internal.transport.wire.OpenDispatch.Builder, org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder>(
+            org.curranthaven.internal.transport.wire.RunningDispatch, org.curranthaven.internal.transport.wire.RunningDispatch.Builder, org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder>(
                 open_,
                 ((bitField0_ & 0x00000010) != 0),
                 getParentForChildren(),
--- a/src/main/java/org/curranthaven/internal/transport/wire/GatewayStatusOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/GatewayStatusOrBuilder.java
@@ -52,24 +52,24 @@
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
-  java.util.List<org.curranthaven.internal.transport.wire.OpenDispatch> 
+  java.util.List<org.curranthaven.internal.transport.wire.RunningDispatch> 
       getOpenList();
   /**
    * <pre>
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
-  org.curranthaven.internal.transport.wire.OpenDispatch getOpen(int index);
+  org.curranthaven.internal.transport.wire.RunningDispatch getOpen(int index);
   /**
    * <pre>
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
   int getOpenCount();
   /**
@@ -77,18 +77,18 @@
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
-  java.util.List<? extends org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder> 
+  java.util.List<? extends org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder> 
       getOpenOrBuilderList();
   /**
    * <pre>
    * Requests that run on backend servers; queued ones are submitted again instead.
    * </pre>
    *
-   * <code>repeated .curranthaven.OpenDispatch open = 5;</code>
+   * <code>repeated .curranthaven.RunningDispatch open = 5;</code>
    */
-  org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder getOpenOrBuilder(
+  org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder getOpenOrBuilder(
       int index);
 
   /**
--- a/src/main/java/org/curranthaven/internal/transport/wire/Move.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/MigrationOrder.java
@@ -10,13 +10,13 @@
  * Tells the gateway to migrate a running request to another engine.
  * </pre>
  *
- * Protobuf type {@code curranthaven.Move}
+ * Protobuf type {@code curranthaven.MigrationOrder}
  */
 @com.google.protobuf.Generated
-public final class Move extends
+public final class MigrationOrder extends
     com.google.protobuf.GeneratedMessage implements
-    // @@protoc_insertion_point(message_implements:curranthaven.Move)
-    MoveOrBuilder {
+    // @@protoc_insertion_point(message_implements:curranthaven.MigrationOrder)
+    MigrationOrderOrBuilder {
 private static final long serialVersionUID = 0L;
   static {
     com.google.protobuf.RuntimeVersion.validateProtobufGencodeVersion(
@@ -25,33 +25,33 @@
       /* minor= */ 36,
       /* patch= */ 2,
       /* suffix= */ "",
-      "Move");
+      "MigrationOrder");
   }
-  // Use Move.newBuilder() to construct.
-  private Move(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
+  // Use MigrationOrder.newBuilder() to construct.
+  private MigrationOrder(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
     super(builder);
   }
-  private Move() {
+  private MigrationOrder() {
     target_ = "";
     backup_ = "";
   }
 
   public static final com.google.protobuf.Descriptors.Descriptor
       getDescriptor() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Move_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_MigrationOrder_descriptor;
   }
 
   @java.lang.Override
   public com.google.protobuf.Descriptors.Descriptor getDescriptorForType() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Move_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_MigrationOrder_descriptor;
   }
 
   @java.lang.Override
   protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internalGetFieldAccessorTable() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Move_fieldAccessorTable
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_MigrationOrder_fieldAccessorTable
         .ensureFieldAccessorsInitialized(
-            org.curranthaven.internal.transport.wire.Move.class, org.curranthaven.internal.transport.wire.Move.Builder.class);
+            org.curranthaven.internal.transport.wire.MigrationOrder.class, org.curranthaven.internal.transport.wire.MigrationOrder.Builder.class);
   }
 
   public static final int ID_FIELD_NUMBER = 1;
@@ -219,10 +219,10 @@
     if (obj == this) {
      return true;
     }
-    if (!(obj instanceof org.curranthaven.internal.transport.wire.Move)) {
+    if (!(obj instanceof org.curranthaven.internal.transport.wire.MigrationOrder)) {
       return super.equals(obj);
     }
-    org.curranthaven.internal.transport.wire.Move other = (org.curranthaven.internal.transport.wire.Move) obj;
+    org.curranthaven.internal.transport.wire.MigrationOrder other = (org.curranthaven.internal.transport.wire.MigrationOrder) obj;
 
     if (getId()
         != other.getId()) return false;
@@ -253,44 +253,44 @@
     return hash;
   }
 
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(
       java.nio.ByteBuffer data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(
       java.nio.ByteBuffer data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(
       com.google.protobuf.ByteString data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(
       com.google.protobuf.ByteString data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(byte[] data)
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(byte[] data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(
       byte[] data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -298,26 +298,26 @@
         .parseWithIOException(PARSER, input, extensionRegistry);
   }
 
-  public static org.curranthaven.internal.transport.wire.Move parseDelimitedFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseDelimitedFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input);
   }
 
-  public static org.curranthaven.internal.transport.wire.Move parseDelimitedFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseDelimitedFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(
       com.google.protobuf.CodedInputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.Move parseFrom(
+  public static org.curranthaven.internal.transport.wire.MigrationOrder parseFrom(
       com.google.protobuf.CodedInputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -330,7 +330,7 @@
   public static Builder newBuilder() {
     return DEFAULT_INSTANCE.toBuilder();
   }
-  public static Builder newBuilder(org.curranthaven.internal.transport.wire.Move prototype) {
+  public static Builder newBuilder(org.curranthaven.internal.transport.wire.MigrationOrder prototype) {
     return DEFAULT_INSTANCE.toBuilder().mergeFrom(prototype);
   }
   @java.lang.Override
@@ -350,26 +350,26 @@
    * Tells the gateway to migrate a running request to another engine.
    * </pre>
    *
-   * Protobuf type {@code curranthaven.Move}
+   * Protobuf type {@code curranthaven.MigrationOrder}
    */
   public static final class Builder extends
       com.google.protobuf.GeneratedMessage.Builder<Builder> implements
-      // @@protoc_insertion_point(builder_implements:curranthaven.Move)
-      org.curranthaven.internal.transport.wire.MoveOrBuilder {
+      // @@protoc_insertion_point(builder_implements:curranthaven.MigrationOrder)
+      org.curranthaven.internal.transport.wire.MigrationOrderOrBuilder {
     public static final com.google.protobuf.Descriptors.Descriptor
         getDescriptor() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Move_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_MigrationOrder_descriptor;
     }
 
     @java.lang.Override
     protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
         internalGetFieldAccessorTable() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Move_fieldAccessorTable
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_MigrationOrder_fieldAccessorTable
           .ensureFieldAccessorsInitialized(
-              org.curranthaven.internal.transport.wire.Move.class, org.curranthaven.internal.transport.wire.Move.Builder.class);
+              org.curranthaven.internal.transport.wire.MigrationOrder.class, org.curranthaven.internal.transport.wire.MigrationOrder.Builder.class);
     }
 
-    // Construct using org.curranthaven.internal.transport.wire.Move.newBuilder()
+    // Construct using org.curranthaven.internal.transport.wire.MigrationOrder.newBuilder()
     private Builder() {
 
     }
@@ -392,17 +392,17 @@
     @java.lang.Override
     public com.google.protobuf.Descriptors.Descriptor
         getDescriptorForType() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Move_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_MigrationOrder_descriptor;
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.Move getDefaultInstanceForType() {
-      return org.curranthaven.internal.transport.wire.Move.getDefaultInstance();
+    public org.curranthaven.internal.transport.wire.MigrationOrder getDefaultInstanceForType() {
+      return org.curranthaven.internal.transport.wire.MigrationOrder.getDefaultInstance();
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.Move build() {
-      org.curranthaven.internal.transport.wire.Move result = buildPartial();
+    public org.curranthaven.internal.transport.wire.MigrationOrder build() {
+      org.curranthaven.internal.transport.wire.MigrationOrder result = buildPartial();
       if (!result.isInitialized()) {
         throw newUninitializedMessageException(result);
       }
@@ -410,14 +410,14 @@
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.Move buildPartial() {
-      org.curranthaven.internal.transport.wire.Move result = new org.curranthaven.internal.transport.wire.Move(this);
+    public org.curranthaven.internal.transport.wire.MigrationOrder buildPartial() {
+      org.curranthaven.internal.transport.wire.MigrationOrder result = new org.curranthaven.internal.transport.wire.MigrationOrder(this);
       if (bitField0_ != 0) { buildPartial0(result); }
       onBuilt();
       return result;
     }
 
-    private void buildPartial0(org.curranthaven.internal.transport.wire.Move result) {
+    private void buildPartial0(org.curranthaven.internal.transport.wire.MigrationOrder result) {
       int from_bitField0_ = bitField0_;
       if (((from_bitField0_ & 0x00000001) != 0)) {
         result.id_ = id_;
@@ -432,16 +432,16 @@
 
     @java.lang.Override
     public Builder mergeFrom(com.google.protobuf.Message other) {
-      if (other instanceof org.curranthaven.internal.transport.wire.Move) {
-        return mergeFrom((org.curranthaven.internal.transport.wire.Move)other);
+      if (other instanceof org.curranthaven.internal.transport.wire.MigrationOrder) {
+        return mergeFrom((org.curranthaven.internal.transport.wire.MigrationOrder)other);
       } else {
         super.mergeFrom(other);
         return this;
       }
     }
 
-    public Builder mergeFrom(org.curranthaven.internal.transport.wire.Move other) {
-      if (other == org.curranthaven.internal.transport.wire.Move.getDefaultInstance()) return this;
+    public Builder mergeFrom(org.curranthaven.internal.transport.wire.MigrationOrder other) {
+      if (other == org.curranthaven.internal.transport.wire.MigrationOrder.getDefaultInstance()) return this;
       if (other.getId() != 0L) {
         setId(other.getId());
       }
@@ -739,23 +739,23 @@
       return this;
     }
 
-    // @@protoc_insertion_point(builder_scope:curranthaven.Move)
+    // @@protoc_insertion_point(builder_scope:curranthaven.MigrationOrder)
   }
 
-  // @@protoc_insertion_point(class_scope:curranthaven.Move)
-  private static final org.curranthaven.internal.transport.wire.Move DEFAULT_INSTANCE;
+  // @@protoc_insertion_point(class_scope:curranthaven.MigrationOrder)
+  private static final org.curranthaven.internal.transport.wire.MigrationOrder DEFAULT_INSTANCE;
   static {
-    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.Move();
+    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.MigrationOrder();
   }
 
-  public static org.curranthaven.internal.transport.wire.Move getDefaultInstance() {
+  public static org.curranthaven.internal.transport.wire.MigrationOrder getDefaultInstance() {
     return DEFAULT_INSTANCE;
   }
 
-  private static final com.google.protobuf.Parser<Move>
-      PARSER = new com.google.protobuf.AbstractParser<Move>() {
+  private static final com.google.protobuf.Parser<MigrationOrder>
+      PARSER = new com.google.protobuf.AbstractParser<MigrationOrder>() {
     @java.lang.Override
-    public Move parsePartialFrom(
+    public MigrationOrder parsePartialFrom(
         com.google.protobuf.CodedInputStream input,
         com.google.protobuf.ExtensionRegistryLite extensionRegistry)
         throws com.google.protobuf.InvalidProtocolBufferException {
@@ -774,17 +774,17 @@
     }
   };
 
-  public static com.google.protobuf.Parser<Move> parser() {
+  public static com.google.protobuf.Parser<MigrationOrder> parser() {
     return PARSER;
   }
 
   @java.lang.Override
-  public com.google.protobuf.Parser<Move> getParserForType() {
+  public com.google.protobuf.Parser<MigrationOrder> getParserForType() {
     return PARSER;
   }
 
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.Move getDefaultInstanceForType() {
+  public org.curranthaven.internal.transport.wire.MigrationOrder getDefaultInstanceForType() {
     return DEFAULT_INSTANCE;
   }
 
--- a/src/main/java/org/curranthaven/internal/transport/wire/MoveOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/MigrationOrderOrBuilder.java
@@ -6,8 +6,8 @@
 package org.curranthaven.internal.transport.wire;
 
 @com.google.protobuf.Generated
-public interface MoveOrBuilder extends
-    // @@protoc_insertion_point(interface_extends:curranthaven.Move)
+public interface MigrationOrderOrBuilder extends
+    // @@protoc_insertion_point(interface_extends:curranthaven.MigrationOrder)
     com.google.protobuf.MessageOrBuilder {
 
   /**
--- a/src/main/java/org/curranthaven/internal/transport/wire/Refusal.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/Rejection.java
@@ -10,13 +10,13 @@
  * Rejects a request; it did not run.
  * </pre>
  *
- * Protobuf type {@code curranthaven.Refusal}
+ * Protobuf type {@code curranthaven.Rejection}
  */
 @com.google.protobuf.Generated
-public final class Refusal extends
+public final class Rejection extends
     com.google.protobuf.GeneratedMessage implements
-    // @@protoc_insertion_point(message_implements:curranthaven.Refusal)
-    RefusalOrBuilder {
+    // @@protoc_insertion_point(message_implements:curranthaven.Rejection)
+    RejectionOrBuilder {
 private static final long serialVersionUID = 0L;
   static {
     com.google.protobuf.RuntimeVersion.validateProtobufGencodeVersion(
@@ -25,32 +25,32 @@
       /* minor= */ 36,
       /* patch= */ 2,
       /* suffix= */ "",
-      "Refusal");
+      "Rejection");
   }
-  // Use Refusal.newBuilder() to construct.
-  private Refusal(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
+  // Use Rejection.newBuilder() to construct.
+  private Rejection(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
     super(builder);
   }
-  private Refusal() {
+  private Rejection() {
     reason_ = "";
   }
 
   public static final com.google.protobuf.Descriptors.Descriptor
       getDescriptor() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Refusal_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Rejection_descriptor;
   }
 
   @java.lang.Override
   public com.google.protobuf.Descriptors.Descriptor getDescriptorForType() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Refusal_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Rejection_descriptor;
   }
 
   @java.lang.Override
   protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internalGetFieldAccessorTable() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Refusal_fieldAccessorTable
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Rejection_fieldAccessorTable
         .ensureFieldAccessorsInitialized(
-            org.curranthaven.internal.transport.wire.Refusal.class, org.curranthaven.internal.transport.wire.Refusal.Builder.class);
+            org.curranthaven.internal.transport.wire.Rejection.class, org.curranthaven.internal.transport.wire.Rejection.Builder.class);
   }
 
   public static final int ID_FIELD_NUMBER = 1;
@@ -179,10 +179,10 @@
     if (obj == this) {
      return true;
     }
-    if (!(obj instanceof org.curranthaven.internal.transport.wire.Refusal)) {
+    if (!(obj instanceof org.curranthaven.internal.transport.wire.Rejection)) {
       return super.equals(obj);
     }
-    org.curranthaven.internal.transport.wire.Refusal other = (org.curranthaven.internal.transport.wire.Refusal) obj;
+    org.curranthaven.internal.transport.wire.Rejection other = (org.curranthaven.internal.transport.wire.Rejection) obj;
 
     if (getId()
         != other.getId()) return false;
@@ -214,44 +214,44 @@
     return hash;
   }
 
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(
       java.nio.ByteBuffer data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(
       java.nio.ByteBuffer data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(
       com.google.protobuf.ByteString data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(
       com.google.protobuf.ByteString data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(byte[] data)
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(byte[] data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(
       byte[] data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -259,26 +259,26 @@
         .parseWithIOException(PARSER, input, extensionRegistry);
   }
 
-  public static org.curranthaven.internal.transport.wire.Refusal parseDelimitedFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.Rejection parseDelimitedFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input);
   }
 
-  public static org.curranthaven.internal.transport.wire.Refusal parseDelimitedFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseDelimitedFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(
       com.google.protobuf.CodedInputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.Refusal parseFrom(
+  public static org.curranthaven.internal.transport.wire.Rejection parseFrom(
       com.google.protobuf.CodedInputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -291,7 +291,7 @@
   public static Builder newBuilder() {
     return DEFAULT_INSTANCE.toBuilder();
   }
-  public static Builder newBuilder(org.curranthaven.internal.transport.wire.Refusal prototype) {
+  public static Builder newBuilder(org.curranthaven.internal.transport.wire.Rejection prototype) {
     return DEFAULT_INSTANCE.toBuilder().mergeFrom(prototype);
   }
   @java.lang.Override
@@ -311,26 +311,26 @@
    * Rejects a request; it did not run.
    * </pre>
    *
-   * Protobuf type {@code curranthaven.Refusal}
+   * Protobuf type {@code curranthaven.Rejection}
    */
   public static final class Builder extends
       com.google.protobuf.GeneratedMessage.Builder<Builder> implements
-      // @@protoc_insertion_point(builder_implements:curranthaven.Refusal)
-      org.curranthaven.internal.transport.wire.RefusalOrBuilder {
+      // @@protoc_insertion_point(builder_implements:curranthaven.Rejection)
+      org.curranthaven.internal.transport.wire.RejectionOrBuilder {
     public static final com.google.protobuf.Descriptors.Descriptor
         getDescriptor() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Refusal_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Rejection_descriptor;
     }
 
     @java.lang.Override
     protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
         internalGetFieldAccessorTable() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Refusal_fieldAccessorTable
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Rejection_fieldAccessorTable
           .ensureFieldAccessorsInitialized(
-              org.curranthaven.internal.transport.wire.Refusal.class, org.curranthaven.internal.transport.wire.Refusal.Builder.class);
+              org.curranthaven.internal.transport.wire.Rejection.class, org.curranthaven.internal.transport.wire.Rejection.Builder.class);
     }
 
-    // Construct using org.curranthaven.internal.transport.wire.Refusal.newBuilder()
+    // Construct using org.curranthaven.internal.transport.wire.Rejection.newBuilder()
     private Builder() {
 
     }
@@ -353,17 +353,17 @@
     @java.lang.Override
     public com.google.protobuf.Descriptors.Descriptor
         getDescriptorForType() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Refusal_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_Rejection_descriptor;
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.Refusal getDefaultInstanceForType() {
-      return org.curranthaven.internal.transport.wire.Refusal.getDefaultInstance();
+    public org.curranthaven.internal.transport.wire.Rejection getDefaultInstanceForType() {
+      return org.curranthaven.internal.transport.wire.Rejection.getDefaultInstance();
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.Refusal build() {
-      org.curranthaven.internal.transport.wire.Refusal result = buildPartial();
+    public org.curranthaven.internal.transport.wire.Rejection build() {
+      org.curranthaven.internal.transport.wire.Rejection result = buildPartial();
       if (!result.isInitialized()) {
         throw newUninitializedMessageException(result);
       }
@@ -371,14 +371,14 @@
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.Refusal buildPartial() {
-      org.curranthaven.internal.transport.wire.Refusal result = new org.curranthaven.internal.transport.wire.Refusal(this);
+    public org.curranthaven.internal.transport.wire.Rejection buildPartial() {
+      org.curranthaven.internal.transport.wire.Rejection result = new org.curranthaven.internal.transport.wire.Rejection(this);
       if (bitField0_ != 0) { buildPartial0(result); }
       onBuilt();
       return result;
     }
 
-    private void buildPartial0(org.curranthaven.internal.transport.wire.Refusal result) {
+    private void buildPartial0(org.curranthaven.internal.transport.wire.Rejection result) {
       int from_bitField0_ = bitField0_;
       if (((from_bitField0_ & 0x00000001) != 0)) {
         result.id_ = id_;
@@ -393,16 +393,16 @@
 
     @java.lang.Override
     public Builder mergeFrom(com.google.protobuf.Message other) {
-      if (other instanceof org.curranthaven.internal.transport.wire.Refusal) {
-        return mergeFrom((org.curranthaven.internal.transport.wire.Refusal)other);
+      if (other instanceof org.curranthaven.internal.transport.wire.Rejection) {
+        return mergeFrom((org.curranthaven.internal.transport.wire.Rejection)other);
       } else {
         super.mergeFrom(other);
         return this;
       }
     }
 
-    public Builder mergeFrom(org.curranthaven.internal.transport.wire.Refusal other) {
-      if (other == org.curranthaven.internal.transport.wire.Refusal.getDefaultInstance()) return this;
+    public Builder mergeFrom(org.curranthaven.internal.transport.wire.Rejection other) {
+      if (other == org.curranthaven.internal.transport.wire.Rejection.getDefaultInstance()) return this;
       if (other.getId() != 0L) {
         setId(other.getId());
       }
@@ -630,23 +630,23 @@
       return this;
     }
 
-    // @@protoc_insertion_point(builder_scope:curranthaven.Refusal)
+    // @@protoc_insertion_point(builder_scope:curranthaven.Rejection)
   }
 
-  // @@protoc_insertion_point(class_scope:curranthaven.Refusal)
-  private static final org.curranthaven.internal.transport.wire.Refusal DEFAULT_INSTANCE;
+  // @@protoc_insertion_point(class_scope:curranthaven.Rejection)
+  private static final org.curranthaven.internal.transport.wire.Rejection DEFAULT_INSTANCE;
   static {
-    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.Refusal();
+    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.Rejection();
   }
 
-  public static org.curranthaven.internal.transport.wire.Refusal getDefaultInstance() {
+  public static org.curranthaven.internal.transport.wire.Rejection getDefaultInstance() {
     return DEFAULT_INSTANCE;
   }
 
-  private static final com.google.protobuf.Parser<Refusal>
-      PARSER = new com.google.protobuf.AbstractParser<Refusal>() {
+  private static final com.google.protobuf.Parser<Rejection>
+      PARSER = new com.google.protobuf.AbstractParser<Rejection>() {
     @java.lang.Override
-    public Refusal parsePartialFrom(
+    public Rejection parsePartialFrom(
         com.google.protobuf.CodedInputStream input,
         com.google.protobuf.ExtensionRegistryLite extensionRegistry)
         throws com.google.protobuf.InvalidProtocolBufferException {
@@ -665,17 +665,17 @@
     }
   };
 
-  public static com.google.protobuf.Parser<Refusal> parser() {
+  public static com.google.protobuf.Parser<Rejection> parser() {
     return PARSER;
   }
 
   @java.lang.Override
-  public com.google.protobuf.Parser<Refusal> getParserForType() {
+  public com.google.protobuf.Parser<Rejection> getParserForType() {
     return PARSER;
   }
 
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.Refusal getDefaultInstanceForType() {
+  public org.curranthaven.internal.transport.wire.Rejection getDefaultInstanceForType() {
     return DEFAULT_INSTANCE;
   }
 
--- a/src/main/java/org/curranthaven/internal/transport/wire/RefusalOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/RejectionOrBuilder.java
@@ -6,8 +6,8 @@
 package org.curranthaven.internal.transport.wire;
 
 @com.google.protobuf.Generated
-public interface RefusalOrBuilder extends
-    // @@protoc_insertion_point(interface_extends:curranthaven.Refusal)
+public interface RejectionOrBuilder extends
+    // @@protoc_insertion_point(interface_extends:curranthaven.Rejection)
     com.google.protobuf.MessageOrBuilder {
 
   /**
--- a/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatch.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/RunningDispatch.java
@@ -10,13 +10,13 @@
  * Request that runs on a backend server.
  * </pre>
  *
- * Protobuf type {@code curranthaven.OpenDispatch}
+ * Protobuf type {@code curranthaven.RunningDispatch}
  */
 @com.google.protobuf.Generated
-public final class OpenDispatch extends
+public final class RunningDispatch extends
     com.google.protobuf.GeneratedMessage implements
-    // @@protoc_insertion_point(message_implements:curranthaven.OpenDispatch)
-    OpenDispatchOrBuilder {
+    // @@protoc_insertion_point(message_implements:curranthaven.RunningDispatch)
+    RunningDispatchOrBuilder {
 private static final long serialVersionUID = 0L;
   static {
     com.google.protobuf.RuntimeVersion.validateProtobufGencodeVersion(
@@ -25,32 +25,32 @@
       /* minor= */ 36,
       /* patch= */ 2,
       /* suffix= */ "",
-      "OpenDispatch");
+      "RunningDispatch");
   }
-  // Use OpenDispatch.newBuilder() to construct.
-  private OpenDispatch(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
+  // Use RunningDispatch.newBuilder() to construct.
+  private RunningDispatch(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
     super(builder);
   }
-  private OpenDispatch() {
+  private RunningDispatch() {
     backend_ = "";
   }
 
   public static final com.google.protobuf.Descriptors.Descriptor
       getDescriptor() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_OpenDispatch_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RunningDispatch_descriptor;
   }
 
   @java.lang.Override
   public com.google.protobuf.Descriptors.Descriptor getDescriptorForType() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_OpenDispatch_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RunningDispatch_descriptor;
   }
 
   @java.lang.Override
   protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internalGetFieldAccessorTable() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_OpenDispatch_fieldAccessorTable
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RunningDispatch_fieldAccessorTable
         .ensureFieldAccessorsInitialized(
-            org.curranthaven.internal.transport.wire.OpenDispatch.class, org.curranthaven.internal.transport.wire.OpenDispatch.Builder.class);
+            org.curranthaven.internal.transport.wire.RunningDispatch.class, org.curranthaven.internal.transport.wire.RunningDispatch.Builder.class);
   }
 
   private int bitField0_;
@@ -211,10 +211,10 @@
     if (obj == this) {
      return true;
     }
-    if (!(obj instanceof org.curranthaven.internal.transport.wire.OpenDispatch)) {
+    if (!(obj instanceof org.curranthaven.internal.transport.wire.RunningDispatch)) {
       return super.equals(obj);
     }
-    org.curranthaven.internal.transport.wire.OpenDispatch other = (org.curranthaven.internal.transport.wire.OpenDispatch) obj;
+    org.curranthaven.internal.transport.wire.RunningDispatch other = (org.curranthaven.internal.transport.wire.RunningDispatch) obj;
 
     if (hasAsk() != other.hasAsk()) return false;
     if (hasAsk()) {
@@ -249,44 +249,44 @@
     return hash;
   }
 
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(
       java.nio.ByteBuffer data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(
       java.nio.ByteBuffer data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(
       com.google.protobuf.ByteString data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(
       com.google.protobuf.ByteString data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(byte[] data)
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(byte[] data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(
       byte[] data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -294,26 +294,26 @@
         .parseWithIOException(PARSER, input, extensionRegistry);
   }
 
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseDelimitedFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseDelimitedFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input);
   }
 
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseDelimitedFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseDelimitedFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(
       com.google.protobuf.CodedInputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.OpenDispatch parseFrom(
+  public static org.curranthaven.internal.transport.wire.RunningDispatch parseFrom(
       com.google.protobuf.CodedInputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -326,7 +326,7 @@
   public static Builder newBuilder() {
     return DEFAULT_INSTANCE.toBuilder();
   }
-  public static Builder newBuilder(org.curranthaven.internal.transport.wire.OpenDispatch prototype) {
+  public static Builder newBuilder(org.curranthaven.internal.transport.wire.RunningDispatch prototype) {
     return DEFAULT_INSTANCE.toBuilder().mergeFrom(prototype);
   }
   @java.lang.Override
@@ -346,26 +346,26 @@
    * Request that runs on a backend server.
    * </pre>
    *
-   * Protobuf type {@code curranthaven.OpenDispatch}
+   * Protobuf type {@code curranthaven.RunningDispatch}
    */
   public static final class Builder extends
       com.google.protobuf.GeneratedMessage.Builder<Builder> implements
-      // @@protoc_insertion_point(builder_implements:curranthaven.OpenDispatch)
-      org.curranthaven.internal.transport.wire.OpenDispatchOrBuilder {
+      // @@protoc_insertion_point(builder_implements:curranthaven.RunningDispatch)
+      org.curranthaven.internal.transport.wire.RunningDispatchOrBuilder {
     public static final com.google.protobuf.Descriptors.Descriptor
         getDescriptor() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_OpenDispatch_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RunningDispatch_descriptor;
     }
 
     @java.lang.Override
     protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
         internalGetFieldAccessorTable() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_OpenDispatch_fieldAccessorTable
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RunningDispatch_fieldAccessorTable
           .ensureFieldAccessorsInitialized(
-              org.curranthaven.internal.transport.wire.OpenDispatch.class, org.curranthaven.internal.transport.wire.OpenDispatch.Builder.class);
+              org.curranthaven.internal.transport.wire.RunningDispatch.class, org.curranthaven.internal.transport.wire.RunningDispatch.Builder.class);
     }
 
-    // Construct using org.curranthaven.internal.transport.wire.OpenDispatch.newBuilder()
+    // Construct using org.curranthaven.internal.transport.wire.RunningDispatch.newBuilder()
     private Builder() {
       maybeForceBuilderInitialization();
     }
@@ -398,17 +398,17 @@
     @java.lang.Override
     public com.google.protobuf.Descriptors.Descriptor
         getDescriptorForType() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_OpenDispatch_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RunningDispatch_descriptor;
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.OpenDispatch getDefaultInstanceForType() {
-      return org.curranthaven.internal.transport.wire.OpenDispatch.getDefaultInstance();
+    public org.curranthaven.internal.transport.wire.RunningDispatch getDefaultInstanceForType() {
+      return org.curranthaven.internal.transport.wire.RunningDispatch.getDefaultInstance();
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.OpenDispatch build() {
-      org.curranthaven.internal.transport.wire.OpenDispatch result = buildPartial();
+    public org.curranthaven.internal.transport.wire.RunningDispatch build() {
+      org.curranthaven.internal.transport.wire.RunningDispatch result = buildPartial();
       if (!result.isInitialized()) {
         throw newUninitializedMessageException(result);
       }
@@ -416,14 +416,14 @@
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.OpenDispatch buildPartial() {
-      org.curranthaven.internal.transport.wire.OpenDispatch result = new org.curranthaven.internal.transport.wire.OpenDispatch(this);
+    public org.curranthaven.internal.transport.wire.RunningDispatch buildPartial() {
+      org.curranthaven.internal.transport.wire.RunningDispatch result = new org.curranthaven.internal.transport.wire.RunningDispatch(this);
       if (bitField0_ != 0) { buildPartial0(result); }
       onBuilt();
       return result;
     }
 
-    private void buildPartial0(org.curranthaven.internal.transport.wire.OpenDispatch result) {
+    private void buildPartial0(org.curranthaven.internal.transport.wire.RunningDispatch result) {
       int from_bitField0_ = bitField0_;
       int to_bitField0_ = 0;
       if (((from_bitField0_ & 0x00000001) != 0)) {
@@ -443,16 +443,16 @@
 
     @java.lang.Override
     public Builder mergeFrom(com.google.protobuf.Message other) {
-      if (other instanceof org.curranthaven.internal.transport.wire.OpenDispatch) {
-        return mergeFrom((org.curranthaven.internal.transport.wire.OpenDispatch)other);
+      if (other instanceof org.curranthaven.internal.transport.wire.RunningDispatch) {
+        return mergeFrom((org.curranthaven.internal.transport.wire.RunningDispatch)other);
       } else {
         super.mergeFrom(other);
         return this;
       }
     }
 
-    public Builder mergeFrom(org.curranthaven.internal.transport.wire.OpenDispatch other) {
-      if (other == org.curranthaven.internal.transport.wire.OpenDispatch.getDefaultInstance()) return this;
+    public Builder mergeFrom(org.curranthaven.internal.transport.wire.RunningDispatch other) {
+      if (other == org.curranthaven.internal.transport.wire.RunningDispatch.getDefaultInstance()) return this;
       if (other.hasAsk()) {
         mergeAsk(other.getAsk());
       }
@@ -813,23 +813,23 @@
       return this;
     }
 
-    // @@protoc_insertion_point(builder_scope:curranthaven.OpenDispatch)
+    // @@protoc_insertion_point(builder_scope:curranthaven.RunningDispatch)
   }
 
-  // @@protoc_insertion_point(class_scope:curranthaven.OpenDispatch)
-  private static final org.curranthaven.internal.transport.wire.OpenDispatch DEFAULT_INSTANCE;
+  // @@protoc_insertion_point(class_scope:curranthaven.RunningDispatch)
+  private static final org.curranthaven.internal.transport.wire.RunningDispatch DEFAULT_INSTANCE;
   static {
-    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.OpenDispatch();
+    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.RunningDispatch();
   }
 
-  public static org.curranthaven.internal.transport.wire.OpenDispatch getDefaultInstance() {
+  public static org.curranthaven.internal.transport.wire.RunningDispatch getDefaultInstance() {
     return DEFAULT_INSTANCE;
   }
 
-  private static final com.google.protobuf.Parser<OpenDispatch>
-      PARSER = new com.google.protobuf.AbstractParser<OpenDispatch>() {
+  private static final com.google.protobuf.Parser<RunningDispatch>
+      PARSER = new com.google.protobuf.AbstractParser<RunningDispatch>() {
     @java.lang.Override
-    public OpenDispatch parsePartialFrom(
+    public RunningDispatch parsePartialFrom(
         com.google.protobuf.CodedInputStream input,
         com.google.protobuf.ExtensionRegistryLite extensionRegistry)
         throws com.google.protobuf.InvalidProtocolBufferException {
@@ -848,17 +848,17 @@
     }
   };
 
-  public static com.google.protobuf.Parser<OpenDispatch> parser() {
+  public static com.google.protobuf.Parser<RunningDispatch> parser() {
     return PARSER;
   }
 
   @java.lang.Override
-  public com.google.protobuf.Parser<OpenDispatch> getParserForType() {
+  public com.google.protobuf.Parser<RunningDispatch> getParserForType() {
     return PARSER;
   }
 
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.OpenDispatch getDefaultInstanceForType() {
+  public org.curranthaven.internal.transport.wire.RunningDispatch getDefaultInstanceForType() {
     return DEFAULT_INSTANCE;
   }
 
--- a/src/main/java/org/curranthaven/internal/transport/wire/OpenDispatchOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/RunningDispatchOrBuilder.java
@@ -6,8 +6,8 @@
 package org.curranthaven.internal.transport.wire;
 
 @com.google.protobuf.Generated
-public interface OpenDispatchOrBuilder extends
-    // @@protoc_insertion_point(interface_extends:curranthaven.OpenDispatch)
+public interface RunningDispatchOrBuilder extends
+    // @@protoc_insertion_point(interface_extends:curranthaven.RunningDispatch)
     com.google.protobuf.MessageOrBuilder {
 
   /**
--- a/src/main/java/org/curranthaven/internal/transport/wire/StoredAnswer.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/StoredResponse.java
@@ -10,13 +10,13 @@
  * Stored response, returned to a caller that sends the request again.
  * </pre>
  *
- * Protobuf type {@code curranthaven.StoredAnswer}
+ * Protobuf type {@code curranthaven.StoredResponse}
  */
 @com.google.protobuf.Generated
-public final class StoredAnswer extends
+public final class StoredResponse extends
     com.google.protobuf.GeneratedMessage implements
-    // @@protoc_insertion_point(message_implements:curranthaven.StoredAnswer)
-    StoredAnswerOrBuilder {
+    // @@protoc_insertion_point(message_implements:curranthaven.StoredResponse)
+    StoredResponseOrBuilder {
 private static final long serialVersionUID = 0L;
   static {
     com.google.protobuf.RuntimeVersion.validateProtobufGencodeVersion(
@@ -25,33 +25,33 @@
       /* minor= */ 36,
       /* patch= */ 2,
       /* suffix= */ "",
-      "StoredAnswer");
+      "StoredResponse");
   }
-  // Use StoredAnswer.newBuilder() to construct.
-  private StoredAnswer(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
+  // Use StoredResponse.newBuilder() to construct.
+  private StoredResponse(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
     super(builder);
   }
-  private StoredAnswer() {
+  private StoredResponse() {
     contentType_ = "";
     body_ = com.google.protobuf.ByteString.EMPTY;
   }
 
   public static final com.google.protobuf.Descriptors.Descriptor
       getDescriptor() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredAnswer_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredResponse_descriptor;
   }
 
   @java.lang.Override
   public com.google.protobuf.Descriptors.Descriptor getDescriptorForType() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredAnswer_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredResponse_descriptor;
   }
 
   @java.lang.Override
   protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internalGetFieldAccessorTable() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredAnswer_fieldAccessorTable
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredResponse_fieldAccessorTable
         .ensureFieldAccessorsInitialized(
-            org.curranthaven.internal.transport.wire.StoredAnswer.class, org.curranthaven.internal.transport.wire.StoredAnswer.Builder.class);
+            org.curranthaven.internal.transport.wire.StoredResponse.class, org.curranthaven.internal.transport.wire.StoredResponse.Builder.class);
   }
 
   public static final int STATUS_FIELD_NUMBER = 1;
@@ -176,10 +176,10 @@
     if (obj == this) {
      return true;
     }
-    if (!(obj instanceof org.curranthaven.internal.transport.wire.StoredAnswer)) {
+    if (!(obj instanceof org.curranthaven.internal.transport.wire.StoredResponse)) {
       return super.equals(obj);
     }
-    org.curranthaven.internal.transport.wire.StoredAnswer other = (org.curranthaven.internal.transport.wire.StoredAnswer) obj;
+    org.curranthaven.internal.transport.wire.StoredResponse other = (org.curranthaven.internal.transport.wire.StoredResponse) obj;
 
     if (getStatus()
         != other.getStatus()) return false;
@@ -209,44 +209,44 @@
     return hash;
   }
 
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(
       java.nio.ByteBuffer data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(
       java.nio.ByteBuffer data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(
       com.google.protobuf.ByteString data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(
       com.google.protobuf.ByteString data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(byte[] data)
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(byte[] data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(
       byte[] data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -254,26 +254,26 @@
         .parseWithIOException(PARSER, input, extensionRegistry);
   }
 
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseDelimitedFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseDelimitedFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input);
   }
 
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseDelimitedFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseDelimitedFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(
       com.google.protobuf.CodedInputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.StoredAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.StoredResponse parseFrom(
       com.google.protobuf.CodedInputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -286,7 +286,7 @@
   public static Builder newBuilder() {
     return DEFAULT_INSTANCE.toBuilder();
   }
-  public static Builder newBuilder(org.curranthaven.internal.transport.wire.StoredAnswer prototype) {
+  public static Builder newBuilder(org.curranthaven.internal.transport.wire.StoredResponse prototype) {
     return DEFAULT_INSTANCE.toBuilder().mergeFrom(prototype);
   }
   @java.lang.Override
@@ -306,26 +306,26 @@
    * Stored response, returned to a caller that sends the request again.
    * </pre>
    *
-   * Protobuf type {@code curranthaven.StoredAnswer}
+   * Protobuf type {@code curranthaven.StoredResponse}
    */
   public static final class Builder extends
       com.google.protobuf.GeneratedMessage.Builder<Builder> implements
-      // @@protoc_insertion_point(builder_implements:curranthaven.StoredAnswer)
-      org.curranthaven.internal.transport.wire.StoredAnswerOrBuilder {
+      // @@protoc_insertion_point(builder_implements:curranthaven.StoredResponse)
+      org.curranthaven.internal.transport.wire.StoredResponseOrBuilder {
     public static final com.google.protobuf.Descriptors.Descriptor
         getDescriptor() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredAnswer_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredResponse_descriptor;
     }
 
     @java.lang.Override
     protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
         internalGetFieldAccessorTable() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredAnswer_fieldAccessorTable
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredResponse_fieldAccessorTable
           .ensureFieldAccessorsInitialized(
-              org.curranthaven.internal.transport.wire.StoredAnswer.class, org.curranthaven.internal.transport.wire.StoredAnswer.Builder.class);
+              org.curranthaven.internal.transport.wire.StoredResponse.class, org.curranthaven.internal.transport.wire.StoredResponse.Builder.class);
     }
 
-    // Construct using org.curranthaven.internal.transport.wire.StoredAnswer.newBuilder()
+    // Construct using org.curranthaven.internal.transport.wire.StoredResponse.newBuilder()
     private Builder() {
 
     }
@@ -348,17 +348,17 @@
     @java.lang.Override
     public com.google.protobuf.Descriptors.Descriptor
         getDescriptorForType() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredAnswer_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_StoredResponse_descriptor;
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.StoredAnswer getDefaultInstanceForType() {
-      return org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance();
+    public org.curranthaven.internal.transport.wire.StoredResponse getDefaultInstanceForType() {
+      return org.curranthaven.internal.transport.wire.StoredResponse.getDefaultInstance();
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.StoredAnswer build() {
-      org.curranthaven.internal.transport.wire.StoredAnswer result = buildPartial();
+    public org.curranthaven.internal.transport.wire.StoredResponse build() {
+      org.curranthaven.internal.transport.wire.StoredResponse result = buildPartial();
       if (!result.isInitialized()) {
         throw newUninitializedMessageException(result);
       }
@@ -366,14 +366,14 @@
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.StoredAnswer buildPartial() {
-      org.curranthaven.internal.transport.wire.StoredAnswer result = new org.curranthaven.internal.transport.wire.StoredAnswer(this);
+    public org.curranthaven.internal.transport.wire.StoredResponse buildPartial() {
+      org.curranthaven.internal.transport.wire.StoredResponse result = new org.curranthaven.internal.transport.wire.StoredResponse(this);
       if (bitField0_ != 0) { buildPartial0(result); }
       onBuilt();
       return result;
     }
 
-    private void buildPartial0(org.curranthaven.internal.transport.wire.StoredAnswer result) {
+    private void buildPartial0(org.curranthaven.internal.transport.wire.StoredResponse result) {
       int from_bitField0_ = bitField0_;
       if (((from_bitField0_ & 0x00000001) != 0)) {
         result.status_ = status_;
@@ -388,16 +388,16 @@
 
     @java.lang.Override
     public Builder mergeFrom(com.google.protobuf.Message other) {
-      if (other instanceof org.curranthaven.internal.transport.wire.StoredAnswer) {
-        return mergeFrom((org.curranthaven.internal.transport.wire.StoredAnswer)other);
+      if (other instanceof org.curranthaven.internal.transport.wire.StoredResponse) {
+        return mergeFrom((org.curranthaven.internal.transport.wire.StoredResponse)other);
       } else {
         super.mergeFrom(other);
         return this;
       }
     }
 
-    public Builder mergeFrom(org.curranthaven.internal.transport.wire.StoredAnswer other) {
-      if (other == org.curranthaven.internal.transport.wire.StoredAnswer.getDefaultInstance()) return this;
+    public Builder mergeFrom(org.curranthaven.internal.transport.wire.StoredResponse other) {
+      if (other == org.curranthaven.internal.transport.wire.StoredResponse.getDefaultInstance()) return this;
       if (other.getStatus() != 0) {
         setStatus(other.getStatus());
       }
@@ -613,23 +613,23 @@
       return this;
     }
 
-    // @@protoc_insertion_point(builder_scope:curranthaven.StoredAnswer)
+    // @@protoc_insertion_point(builder_scope:curranthaven.StoredResponse)
   }
 
-  // @@protoc_insertion_point(class_scope:curranthaven.StoredAnswer)
-  private static final org.curranthaven.internal.transport.wire.StoredAnswer DEFAULT_INSTANCE;
+  // @@protoc_insertion_point(class_scope:curranthaven.StoredResponse)
+  private static final org.curranthaven.internal.transport.wire.StoredResponse DEFAULT_INSTANCE;
   static {
-    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.StoredAnswer();
+    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.StoredResponse();
   }
 
-  public static org.curranthaven.internal.transport.wire.StoredAnswer getDefaultInstance() {
+  public static org.curranthaven.internal.transport.wire.StoredResponse getDefaultInstance() {
     return DEFAULT_INSTANCE;
   }
 
-  private static final com.google.protobuf.Parser<StoredAnswer>
-      PARSER = new com.google.protobuf.AbstractParser<StoredAnswer>() {
+  private static final com.google.protobuf.Parser<StoredResponse>
+      PARSER = new com.google.protobuf.AbstractParser<StoredResponse>() {
     @java.lang.Override
-    public StoredAnswer parsePartialFrom(
+    public StoredResponse parsePartialFrom(
         com.google.protobuf.CodedInputStream input,
         com.google.protobuf.ExtensionRegistryLite extensionRegistry)
         throws com.google.protobuf.InvalidProtocolBufferException {
@@ -648,17 +648,17 @@
     }
   };
 
-  public static com.google.protobuf.Parser<StoredAnswer> parser() {
+  public static com.google.protobuf.Parser<StoredResponse> parser() {
     return PARSER;
   }
 
   @java.lang.Override
-  public com.google.protobuf.Parser<StoredAnswer> getParserForType() {
+  public com.google.protobuf.Parser<StoredResponse> getParserForType() {
     return PARSER;
   }
 
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.StoredAnswer getDefaultInstanceForType() {
+  public org.curranthaven.internal.transport.wire.StoredResponse getDefaultInstanceForType() {
     return DEFAULT_INSTANCE;
   }
 
--- a/src/main/java/org/curranthaven/internal/transport/wire/StoredAnswerOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/StoredResponseOrBuilder.java
@@ -6,8 +6,8 @@
 package org.curranthaven.internal.transport.wire;
 
 @com.google.protobuf.Generated
-public interface StoredAnswerOrBuilder extends
-    // @@protoc_insertion_point(interface_extends:curranthaven.StoredAnswer)
+public interface StoredResponseOrBuilder extends
+    // @@protoc_insertion_point(interface_extends:curranthaven.StoredResponse)
     com.google.protobuf.MessageOrBuilder {
 
   /**
