--- a/src/main/java/org/curranthaven/internal/transport/wire/RevisionAnswer.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/VoterFreshnessReply.java
@@ -11,13 +11,13 @@
  * one voter set together let the requester serve.
  * </pre>
  *
- * Protobuf type {@code curranthaven.RevisionAnswer}
+ * Protobuf type {@code curranthaven.VoterFreshnessReply}
  */
 @com.google.protobuf.Generated
-public final class RevisionAnswer extends
+public final class VoterFreshnessReply extends
     com.google.protobuf.GeneratedMessage implements
-    // @@protoc_insertion_point(message_implements:curranthaven.RevisionAnswer)
-    RevisionAnswerOrBuilder {
+    // @@protoc_insertion_point(message_implements:curranthaven.VoterFreshnessReply)
+    VoterFreshnessReplyOrBuilder {
 private static final long serialVersionUID = 0L;
   static {
     com.google.protobuf.RuntimeVersion.validateProtobufGencodeVersion(
@@ -26,31 +26,31 @@
       /* minor= */ 36,
       /* patch= */ 2,
       /* suffix= */ "",
-      "RevisionAnswer");
+      "VoterFreshnessReply");
   }
-  // Use RevisionAnswer.newBuilder() to construct.
-  private RevisionAnswer(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
+  // Use VoterFreshnessReply.newBuilder() to construct.
+  private VoterFreshnessReply(com.google.protobuf.GeneratedMessage.Builder<?> builder) {
     super(builder);
   }
-  private RevisionAnswer() {
+  private VoterFreshnessReply() {
   }
 
   public static final com.google.protobuf.Descriptors.Descriptor
       getDescriptor() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RevisionAnswer_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_VoterFreshnessReply_descriptor;
   }
 
   @java.lang.Override
   public com.google.protobuf.Descriptors.Descriptor getDescriptorForType() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RevisionAnswer_descriptor;
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_VoterFreshnessReply_descriptor;
   }
 
   @java.lang.Override
   protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
       internalGetFieldAccessorTable() {
-    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RevisionAnswer_fieldAccessorTable
+    return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_VoterFreshnessReply_fieldAccessorTable
         .ensureFieldAccessorsInitialized(
-            org.curranthaven.internal.transport.wire.RevisionAnswer.class, org.curranthaven.internal.transport.wire.RevisionAnswer.Builder.class);
+            org.curranthaven.internal.transport.wire.VoterFreshnessReply.class, org.curranthaven.internal.transport.wire.VoterFreshnessReply.Builder.class);
   }
 
   public static final int REVISION_FIELD_NUMBER = 1;
@@ -192,10 +192,10 @@
     if (obj == this) {
      return true;
     }
-    if (!(obj instanceof org.curranthaven.internal.transport.wire.RevisionAnswer)) {
+    if (!(obj instanceof org.curranthaven.internal.transport.wire.VoterFreshnessReply)) {
       return super.equals(obj);
     }
-    org.curranthaven.internal.transport.wire.RevisionAnswer other = (org.curranthaven.internal.transport.wire.RevisionAnswer) obj;
+    org.curranthaven.internal.transport.wire.VoterFreshnessReply other = (org.curranthaven.internal.transport.wire.VoterFreshnessReply) obj;
 
     if (getRevision()
         != other.getRevision()) return false;
@@ -237,44 +237,44 @@
     return hash;
   }
 
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(
       java.nio.ByteBuffer data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(
       java.nio.ByteBuffer data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(
       com.google.protobuf.ByteString data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(
       com.google.protobuf.ByteString data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(byte[] data)
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(byte[] data)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(
       byte[] data,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws com.google.protobuf.InvalidProtocolBufferException {
     return PARSER.parseFrom(data, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -282,26 +282,26 @@
         .parseWithIOException(PARSER, input, extensionRegistry);
   }
 
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseDelimitedFrom(java.io.InputStream input)
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseDelimitedFrom(java.io.InputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input);
   }
 
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseDelimitedFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseDelimitedFrom(
       java.io.InputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseDelimitedWithIOException(PARSER, input, extensionRegistry);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(
       com.google.protobuf.CodedInputStream input)
       throws java.io.IOException {
     return com.google.protobuf.GeneratedMessage
         .parseWithIOException(PARSER, input);
   }
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer parseFrom(
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply parseFrom(
       com.google.protobuf.CodedInputStream input,
       com.google.protobuf.ExtensionRegistryLite extensionRegistry)
       throws java.io.IOException {
@@ -314,7 +314,7 @@
   public static Builder newBuilder() {
     return DEFAULT_INSTANCE.toBuilder();
   }
-  public static Builder newBuilder(org.curranthaven.internal.transport.wire.RevisionAnswer prototype) {
+  public static Builder newBuilder(org.curranthaven.internal.transport.wire.VoterFreshnessReply prototype) {
     return DEFAULT_INSTANCE.toBuilder().mergeFrom(prototype);
   }
   @java.lang.Override
@@ -335,26 +335,26 @@
    * one voter set together let the requester serve.
    * </pre>
    *
-   * Protobuf type {@code curranthaven.RevisionAnswer}
+   * Protobuf type {@code curranthaven.VoterFreshnessReply}
    */
   public static final class Builder extends
       com.google.protobuf.GeneratedMessage.Builder<Builder> implements
-      // @@protoc_insertion_point(builder_implements:curranthaven.RevisionAnswer)
-      org.curranthaven.internal.transport.wire.RevisionAnswerOrBuilder {
+      // @@protoc_insertion_point(builder_implements:curranthaven.VoterFreshnessReply)
+      org.curranthaven.internal.transport.wire.VoterFreshnessReplyOrBuilder {
     public static final com.google.protobuf.Descriptors.Descriptor
         getDescriptor() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RevisionAnswer_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_VoterFreshnessReply_descriptor;
     }
 
     @java.lang.Override
     protected com.google.protobuf.GeneratedMessage.FieldAccessorTable
         internalGetFieldAccessorTable() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RevisionAnswer_fieldAccessorTable
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_VoterFreshnessReply_fieldAccessorTable
           .ensureFieldAccessorsInitialized(
-              org.curranthaven.internal.transport.wire.RevisionAnswer.class, org.curranthaven.internal.transport.wire.RevisionAnswer.Builder.class);
+              org.curranthaven.internal.transport.wire.VoterFreshnessReply.class, org.curranthaven.internal.transport.wire.VoterFreshnessReply.Builder.class);
     }
 
-    // Construct using org.curranthaven.internal.transport.wire.RevisionAnswer.newBuilder()
+    // Construct using org.curranthaven.internal.transport.wire.VoterFreshnessReply.newBuilder()
     private Builder() {
 
     }
@@ -379,17 +379,17 @@
     @java.lang.Override
     public com.google.protobuf.Descriptors.Descriptor
         getDescriptorForType() {
-      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_RevisionAnswer_descriptor;
+      return org.curranthaven.internal.transport.wire.Curranthaven.internal_static_curranthaven_VoterFreshnessReply_descriptor;
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.RevisionAnswer getDefaultInstanceForType() {
-      return org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance();
+    public org.curranthaven.internal.transport.wire.VoterFreshnessReply getDefaultInstanceForType() {
+      return org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance();
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.RevisionAnswer build() {
-      org.curranthaven.internal.transport.wire.RevisionAnswer result = buildPartial();
+    public org.curranthaven.internal.transport.wire.VoterFreshnessReply build() {
+      org.curranthaven.internal.transport.wire.VoterFreshnessReply result = buildPartial();
       if (!result.isInitialized()) {
         throw newUninitializedMessageException(result);
       }
@@ -397,14 +397,14 @@
     }
 
     @java.lang.Override
-    public org.curranthaven.internal.transport.wire.RevisionAnswer buildPartial() {
-      org.curranthaven.internal.transport.wire.RevisionAnswer result = new org.curranthaven.internal.transport.wire.RevisionAnswer(this);
+    public org.curranthaven.internal.transport.wire.VoterFreshnessReply buildPartial() {
+      org.curranthaven.internal.transport.wire.VoterFreshnessReply result = new org.curranthaven.internal.transport.wire.VoterFreshnessReply(this);
       if (bitField0_ != 0) { buildPartial0(result); }
       onBuilt();
       return result;
     }
 
-    private void buildPartial0(org.curranthaven.internal.transport.wire.RevisionAnswer result) {
+    private void buildPartial0(org.curranthaven.internal.transport.wire.VoterFreshnessReply result) {
       int from_bitField0_ = bitField0_;
       if (((from_bitField0_ & 0x00000001) != 0)) {
         result.revision_ = revision_;
@@ -425,16 +425,16 @@
 
     @java.lang.Override
     public Builder mergeFrom(com.google.protobuf.Message other) {
-      if (other instanceof org.curranthaven.internal.transport.wire.RevisionAnswer) {
-        return mergeFrom((org.curranthaven.internal.transport.wire.RevisionAnswer)other);
+      if (other instanceof org.curranthaven.internal.transport.wire.VoterFreshnessReply) {
+        return mergeFrom((org.curranthaven.internal.transport.wire.VoterFreshnessReply)other);
       } else {
         super.mergeFrom(other);
         return this;
       }
     }
 
-    public Builder mergeFrom(org.curranthaven.internal.transport.wire.RevisionAnswer other) {
-      if (other == org.curranthaven.internal.transport.wire.RevisionAnswer.getDefaultInstance()) return this;
+    public Builder mergeFrom(org.curranthaven.internal.transport.wire.VoterFreshnessReply other) {
+      if (other == org.curranthaven.internal.transport.wire.VoterFreshnessReply.getDefaultInstance()) return this;
       if (other.getRevision() != 0L) {
         setRevision(other.getRevision());
       }
@@ -712,23 +712,23 @@
       return this;
     }
 
-    // @@protoc_insertion_point(builder_scope:curranthaven.RevisionAnswer)
+    // @@protoc_insertion_point(builder_scope:curranthaven.VoterFreshnessReply)
   }
 
-  // @@protoc_insertion_point(class_scope:curranthaven.RevisionAnswer)
-  private static final org.curranthaven.internal.transport.wire.RevisionAnswer DEFAULT_INSTANCE;
+  // @@protoc_insertion_point(class_scope:curranthaven.VoterFreshnessReply)
+  private static final org.curranthaven.internal.transport.wire.VoterFreshnessReply DEFAULT_INSTANCE;
   static {
-    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.RevisionAnswer();
+    DEFAULT_INSTANCE = new org.curranthaven.internal.transport.wire.VoterFreshnessReply();
   }
 
-  public static org.curranthaven.internal.transport.wire.RevisionAnswer getDefaultInstance() {
+  public static org.curranthaven.internal.transport.wire.VoterFreshnessReply getDefaultInstance() {
     return DEFAULT_INSTANCE;
   }
 
-  private static final com.google.protobuf.Parser<RevisionAnswer>
-      PARSER = new com.google.protobuf.AbstractParser<RevisionAnswer>() {
+  private static final com.google.protobuf.Parser<VoterFreshnessReply>
+      PARSER = new com.google.protobuf.AbstractParser<VoterFreshnessReply>() {
     @java.lang.Override
-    public RevisionAnswer parsePartialFrom(
+    public VoterFreshnessReply parsePartialFrom(
         com.google.protobuf.CodedInputStream input,
         com.google.protobuf.ExtensionRegistryLite extensionRegistry)
         throws com.google.protobuf.InvalidProtocolBufferException {
@@ -747,17 +747,17 @@
     }
   };
 
-  public static com.google.protobuf.Parser<RevisionAnswer> parser() {
+  public static com.google.protobuf.Parser<VoterFreshnessReply> parser() {
     return PARSER;
   }
 
   @java.lang.Override
-  public com.google.protobuf.Parser<RevisionAnswer> getParserForType() {
+  public com.google.protobuf.Parser<VoterFreshnessReply> getParserForType() {
     return PARSER;
   }
 
   @java.lang.Override
-  public org.curranthaven.internal.transport.wire.RevisionAnswer getDefaultInstanceForType() {
+  public org.curranthaven.internal.transport.wire.VoterFreshnessReply getDefaultInstanceForType() {
     return DEFAULT_INSTANCE;
   }
 
--- a/src/main/java/org/curranthaven/internal/transport/wire/RevisionAnswerOrBuilder.java
+++ b/src/main/java/org/curranthaven/internal/transport/wire/VoterFreshnessReplyOrBuilder.java
@@ -6,8 +6,8 @@
 package org.curranthaven.internal.transport.wire;
 
 @com.google.protobuf.Generated
-public interface RevisionAnswerOrBuilder extends
-    // @@protoc_insertion_point(interface_extends:curranthaven.RevisionAnswer)
+public interface VoterFreshnessReplyOrBuilder extends
+    // @@protoc_insertion_point(interface_extends:curranthaven.VoterFreshnessReply)
     com.google.protobuf.MessageOrBuilder {
 
   /**
--- a/src/test/java/org/curranthaven/internal/ledger/LedgerStateTest.java
+++ b/src/test/java/org/curranthaven/internal/ledger/LedgerStateTest.java
@@ -9,7 +9,7 @@
 import org.curranthaven.internal.transport.wire.CompleteCommand;
 import org.curranthaven.internal.transport.wire.LedgerCommand;
 import org.curranthaven.internal.transport.wire.ReleaseCommand;
-import org.curranthaven.internal.transport.wire.StoredAnswer;
+import org.curranthaven.internal.transport.wire.StoredResponse;
 import org.junit.jupiter.api.Test;
 
 class LedgerStateTest {
@@ -41,7 +41,7 @@
                     .setWorkspace("lounge")
                     .setKey("seat-7")
                     .setToken(token)
-                    .setAnswer(StoredAnswer.newBuilder().setBody(ByteString.copyFromUtf8(body))))
+                    .setAnswer(StoredResponse.newBuilder().setBody(ByteString.copyFromUtf8(body))))
             .build());
   }
 
--- a/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
+++ b/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
@@ -16,8 +16,8 @@
 import org.curranthaven.internal.transport.wire.Envelope;
 import org.curranthaven.internal.transport.wire.GatewayStatus;
 import org.curranthaven.internal.transport.wire.HostRecord;
-import org.curranthaven.internal.transport.wire.OpenDispatch;
 import org.curranthaven.internal.transport.wire.PlacementRequest;
+import org.curranthaven.internal.transport.wire.RunningDispatch;
 import org.junit.jupiter.api.Test;
 
 class SchedulerTest {
@@ -182,9 +182,9 @@
             .setTerm(5)
             .setFull(true)
             .addBackends(backend(1, false))
-            .addOpen(openDispatch(1))
-            .addOpen(openDispatch(2))
-            .addOpen(openDispatch(3))
+            .addOpen(runningDispatch(1))
+            .addOpen(runningDispatch(2))
+            .addOpen(runningDispatch(3))
             .build());
     DispatchRequests requests =
         DispatchRequests.newBuilder().setTerm(5).addAsks(placementRequest(9)).build();
@@ -210,8 +210,8 @@
         .build();
   }
 
-  private static OpenDispatch openDispatch(long id) {
-    return OpenDispatch.newBuilder().setAsk(placementRequest(id)).setBackend("i-1").build();
+  private static RunningDispatch runningDispatch(long id) {
+    return RunningDispatch.newBuilder().setAsk(placementRequest(id)).setBackend("i-1").build();
   }
 
   @Test
