--- a/src/main/java/org/curranthaven/internal/dispatch/Backends.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/Backends.java
@@ -21,7 +21,7 @@
 final class Backends {
   private final Map<String, BackendState> byId = new LinkedHashMap<>();
   private final Map<RequestId, BackendState> placements = new HashMap<>();
-  private final OutlierEjector ejector = new OutlierEjector();
+  private final OutlierEjector outlierEjector = new OutlierEjector();
   private final FailureRateEjector failureRateEjector = new FailureRateEjector();
   private Catalog catalog = Catalog.empty();
 
@@ -61,7 +61,7 @@
   Stream<BackendState> usableFor(PlacementRequest request, long nowMillis) {
     Predicate<BackendState> notEjected =
         state ->
-            !ejector.isEjected(state.id(), nowMillis)
+            !outlierEjector.isEjected(state.id(), nowMillis)
                 && !failureRateEjector.isEjected(state.id(), nowMillis);
     return notLeaving(request.getService())
         .filter(state -> !request.getExcludedList().contains(state.id()))
@@ -118,7 +118,7 @@
   void removeIfDrained(BackendState state) {
     if (state.isLeaving() && state.requests.isEmpty()) {
       byId.remove(state.id());
-      ejector.remove(state.id());
+      outlierEjector.remove(state.id());
       failureRateEjector.remove(state.id());
     }
   }
@@ -126,12 +126,12 @@
   // ---- request outcomes -------------------------------------------------------------------------
 
   void recordFirstReply(BackendState backend) {
-    ejector.recordSuccess(backend.id());
+    outlierEjector.recordSuccess(backend.id());
   }
 
   void recordSuccess(BackendState backend) {
-    ejector.recordSuccess(backend.id());
-    failureRateEjector.succeeded(backend.id());
+    outlierEjector.recordSuccess(backend.id());
+    failureRateEjector.recordSuccess(backend.id());
   }
 
   void recordFailure(BackendState backend, long nowMillis) {
@@ -140,7 +140,7 @@
             .filter(other -> other.serves(backend.service()))
             .map(BackendState::id)
             .toList();
-    ejector.recordFailure(backend.id(), peers, nowMillis);
-    failureRateEjector.failed(backend.id(), peers, nowMillis);
+    outlierEjector.recordFailure(backend.id(), peers, nowMillis);
+    failureRateEjector.recordFailure(backend.id(), peers, nowMillis);
   }
 }
--- a/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
@@ -38,11 +38,11 @@
     long ejectedUntilMillis;
   }
 
-  void succeeded(String backend) {
+  void recordSuccess(String backend) {
     recordOutcome(backend, 0);
   }
 
-  void failed(String backend, Collection<String> peers, long nowMillis) {
+  void recordFailure(String backend, Collection<String> peers, long nowMillis) {
     RequestStats stats = recordOutcome(backend, 1);
     if (stats.requests < MIN_REQUESTS || nowMillis < stats.ejectedUntilMillis) {
       return;
--- a/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
@@ -10,11 +10,13 @@
   private static final double LATEST_OUTPUT_WEIGHT = 0.05;
   private static final double INITIAL_SHARE_OF_LIMIT = 0.4;
 
-  private double meanTokens = -1;
+  private double averageTokens = -1;
 
   void recordOutput(int tokens) {
-    meanTokens =
-        meanTokens < 0 ? tokens : meanTokens + LATEST_OUTPUT_WEIGHT * (tokens - meanTokens);
+    averageTokens =
+        averageTokens < 0
+            ? tokens
+            : averageTokens + LATEST_OUTPUT_WEIGHT * (tokens - averageTokens);
   }
 
   int forecast(PlacementRequest request) {
@@ -22,8 +24,8 @@
     double expected;
     if (request.getHintedOutputTokens() > 0) {
       expected = request.getHintedOutputTokens();
-    } else if (meanTokens >= 0) {
-      expected = meanTokens;
+    } else if (averageTokens >= 0) {
+      expected = averageTokens;
     } else {
       expected = limit * INITIAL_SHARE_OF_LIMIT;
     }
--- a/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
@@ -22,7 +22,7 @@
   private static final double INITIAL_MILLIS_PER_PROMPT_TOKEN = 0.16;
 
   /** Weight of the latest first reply in the moving average. */
-  private static final double PROMPT_TIME_WEIGHT = 0.05;
+  private static final double LATEST_FIRST_REPLY_WEIGHT = 0.05;
 
   /** Lower bound of an observation; bounded so that one outlier does not cause rejections. */
   private static final double MIN_MILLIS_PER_PROMPT_TOKEN = 0.07;
@@ -35,7 +35,7 @@
   /** Duration of a request to a plain service, used until completions have been observed. */
   private static final double INITIAL_PLAIN_MILLIS = 100;
 
-  private static final double PLAIN_MILLIS_WEIGHT = 0.05;
+  private static final double LATEST_COMPLETION_WEIGHT = 0.05;
 
   /** Time for which requests are queued for a service without a known backend server. */
   static final long UNKNOWN_SERVICE_TIMEOUT_MILLIS = 1_000;
@@ -79,7 +79,7 @@
       plainMillisByService.merge(
           running.request.getService(),
           elapsedMillis,
-          (average, latest) -> average + PLAIN_MILLIS_WEIGHT * (latest - average));
+          (average, latest) -> average + LATEST_COMPLETION_WEIGHT * (latest - average));
     }
   }
 
@@ -93,7 +93,7 @@
       String service = running.request.getService();
       double average = millisPerPromptToken(service);
       promptTokenMillisByService.put(
-          service, average + PROMPT_TIME_WEIGHT * (boundedMillisPerToken - average));
+          service, average + LATEST_FIRST_REPLY_WEIGHT * (boundedMillisPerToken - average));
     }
   }
 
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -48,8 +48,8 @@
  * }</pre>
  */
 public final class ControlHost implements PeerListener {
-  private static final long GOSSIP_INTERVAL_MILLIS = 1_000;
-  private static final long LEADERSHIP_TRANSFER_MILLIS = 400;
+  private static final long KNOWN_HOSTS_INTERVAL_MILLIS = 1_000;
+  private static final long LEADERSHIP_TRANSFER_DELAY_MILLIS = 400;
   private static final int CONTROL_GROUP_ID = 0;
 
   private final RoutedSettings settings;
@@ -116,8 +116,8 @@
     controlServer.bind(Addresses.parse(String.valueOf(settings.controlAddress())));
     eventLoop.scheduleAtFixedRate(
         this::broadcastControlHosts,
-        GOSSIP_INTERVAL_MILLIS,
-        GOSSIP_INTERVAL_MILLIS,
+        KNOWN_HOSTS_INTERVAL_MILLIS,
+        KNOWN_HOSTS_INTERVAL_MILLIS,
         TimeUnit.MILLISECONDS);
     Logger.info(
         "control host {} listening for control requests at {}",
@@ -143,9 +143,9 @@
     Logger.info(
         "control host {} draining: transferring leadership, waiting {} ms",
         settings.name(),
-        LEADERSHIP_TRANSFER_MILLIS);
+        LEADERSHIP_TRANSFER_DELAY_MILLIS);
     consensus.transferLeadership();
-    Thread.sleep(LEADERSHIP_TRANSFER_MILLIS);
+    Thread.sleep(LEADERSHIP_TRANSFER_DELAY_MILLIS);
   }
 
   private HostRecord describeSelf() {
@@ -213,7 +213,7 @@
               callback);
       case ControlRequest.Deregister deregister ->
           leaderClient.send(
-              LeaderClient.WITHDRAW,
+              LeaderClient.DEREGISTER,
               ByteString.copyFromUtf8(deregister.id()),
               LeaderClient.REGISTRATION_TIMEOUT_MILLIS,
               callback);
@@ -263,7 +263,7 @@
                     .setStatus(accepted ? LeaderClient.OK : LeaderClient.NOT_LEADER));
     switch (request.getPath()) {
       case LeaderClient.REGISTER -> registerAsLeader(from, request.getJson(), done);
-      case LeaderClient.WITHDRAW -> scheduler.withdraw(request.getJson().toStringUtf8(), done);
+      case LeaderClient.DEREGISTER -> scheduler.deregister(request.getJson().toStringUtf8(), done);
       case LeaderClient.REPLACE_CATALOG -> replaceCatalogAsLeader(request.getJson(), done);
       case LeaderClient.READ_CATALOG -> readCatalogAsLeader(reply);
       default -> reply.accept(AdminReply.newBuilder().setStatus(LeaderClient.UNKNOWN_PATH));
--- a/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
@@ -20,7 +20,7 @@
  */
 final class LeaderClient {
   static final String REGISTER = "register";
-  static final String WITHDRAW = "withdraw";
+  static final String DEREGISTER = "withdraw";
   static final String REPLACE_CATALOG = "replace-catalog";
   static final String READ_CATALOG = "read-catalog";
 
--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -431,7 +431,7 @@
   }
 
   /** Deregisters a backend server; the callback runs once every gateway has the change. */
-  void withdraw(String id, Consumer<Boolean> callback) {
+  void deregister(String id, Consumer<Boolean> callback) {
     if (term == 0) {
       callback.accept(false);
       return;
--- a/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
+++ b/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
@@ -24,25 +24,25 @@
   /** Attempts with the short timeout: together they last longer than a host takes to restart. */
   static final int SHORT_TIMEOUT_ATTEMPTS = 12;
 
-  private final Map<String, Integer> timeoutsByAddress = new ConcurrentHashMap<>();
+  private final Map<String, Integer> timeoutCountByAddress = new ConcurrentHashMap<>();
 
   /** Returns the timeout of the next connection attempt to the address. */
   int timeoutMillis(String address) {
-    return timeoutsByAddress.getOrDefault(address, 0) < SHORT_TIMEOUT_ATTEMPTS
+    return timeoutCountByAddress.getOrDefault(address, 0) < SHORT_TIMEOUT_ATTEMPTS
         ? SHORT_TIMEOUT_MILLIS
         : LONG_TIMEOUT_MILLIS;
   }
 
   void recordTimeout(String address) {
-    timeoutsByAddress.merge(address, 1, Integer::sum);
+    timeoutCountByAddress.merge(address, 1, Integer::sum);
   }
 
   void recordSuccess(String address) {
-    timeoutsByAddress.remove(address);
+    timeoutCountByAddress.remove(address);
   }
 
   /** Discards the addresses that are no longer dialled. */
   void retainAddresses(Collection<String> addresses) {
-    timeoutsByAddress.keySet().retainAll(addresses);
+    timeoutCountByAddress.keySet().retainAll(addresses);
   }
 }
--- a/src/main/java/org/curranthaven/internal/transport/PeerConnection.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerConnection.java
@@ -23,7 +23,7 @@
   private volatile @Nullable Channel channel;
   private volatile @Nullable HostRecord remote;
   private volatile @Nullable ScheduledFuture<?> pingTask;
-  private long nonce;
+  private long lastPingNonce;
 
   /** Creates the handler; {@code dialledAddress} is empty for an accepted connection. */
   PeerConnection(PeerNetwork network, String dialledAddress) {
@@ -98,7 +98,7 @@
 
   private void sendPing() {
     if (isActive()) {
-      write(Envelope.newBuilder().setPing(Ping.newBuilder().setNonce(++nonce)).build());
+      write(Envelope.newBuilder().setPing(Ping.newBuilder().setNonce(++lastPingNonce)).build());
     }
   }
 
--- a/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/FailureRateEjectorTest.java
@@ -14,9 +14,9 @@
   private void recordRequests(String backend, int requests, int failureInterval) {
     for (int i = 1; i <= requests; i++) {
       if (i % failureInterval == 0) {
-        ejector.failed(backend, PEERS, 0);
+        ejector.recordFailure(backend, PEERS, 0);
       } else {
-        ejector.succeeded(backend);
+        ejector.recordSuccess(backend);
       }
     }
   }
--- a/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
+++ b/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
@@ -104,7 +104,7 @@
     startLeading();
     scheduler.register(backend(1, false), new RecordedResult()::accept);
     RecordedResult result = new RecordedResult();
-    scheduler.withdraw("i-1", result::accept);
+    scheduler.deregister("i-1", result::accept);
     receiveStatus("g1", lastVersion(), 0, false);
     assertThat(result.value).isNull();
 
