--- a/src/main/java/org/curranthaven/internal/catalog/Route.java
+++ b/src/main/java/org/curranthaven/internal/catalog/Route.java
@@ -12,7 +12,7 @@
  * @param kind whether requests may run more than once
  * @param timeoutMillis maximum time until the complete response
  * @param targetMillis time within which the response, or a stream's first event, is due
- * @param gapTargetMillis maximum target gap between a stream's events; 0 for no target
+ * @param gapTargetMillis target for the longest gap between a stream's events; 0 for none
  * @param priority priority of requests; 0 is the most urgent
  * @param attempts maximum number of attempts per request
  * @param anonymous whether requests need no API key
--- a/src/main/java/org/curranthaven/internal/dispatch/BackendRegistry.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/BackendRegistry.java
@@ -11,8 +11,8 @@
 
 /**
  * Registered backend servers as the scheduler knows them, by id. For each id, updates are applied
- * in the order of their sequence numbers. A backend server that was removed does not return under
- * the same id. Not thread-safe.
+ * in the order of their sequence numbers. An id that was removed cannot be registered again for
+ * {@link #REMOVED_ID_RETENTION_MILLIS}. Not thread-safe.
  */
 public final class BackendRegistry {
   /** Time for which a removed id is remembered; longer than a delayed message takes to arrive. */
@@ -69,7 +69,10 @@
     return register(record, nowMillis);
   }
 
-  /** Removes and returns the ids without a registration within the timeout; they may return. */
+  /**
+   * Removes the backend servers that did not register within the timeout and returns their ids,
+   * which may be registered again. Discards removed ids after their retention time.
+   */
   public List<String> removeExpired(long timeoutMillis, long nowMillis) {
     List<String> expired = new ArrayList<>();
     registeredAtMillis.forEach(
--- a/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/CapacityRules.java
@@ -17,7 +17,7 @@
   private static final double LESS_URGENT_MEMORY_SHARE = 0.88;
 
   /**
-   * Same share for requests that will be late, while requests that can meet their due time wait.
+   * Same share for a request that will be late, while other requests for the service are queued.
    */
   static final double LATE_MEMORY_SHARE = 0.8;
 
@@ -43,7 +43,11 @@
     return capacityShares;
   }
 
-  /** Returns the share of an engine's memory that may be reserved when placing the request. */
+  /**
+   * Returns the share of an engine's memory that may be reserved when placing the request.
+   *
+   * @param mostUrgentPriority priority of the most urgent request that runs on the service
+   */
   static double memoryShare(PlacementRequest request, int mostUrgentPriority) {
     return request.getPriority() <= mostUrgentPriority
         ? MOST_URGENT_MEMORY_SHARE
@@ -73,6 +77,7 @@
     int slots = Math.max(1, engine.slots() / capacityShares);
     double usableMemoryTokens = memoryShare * engine.memoryTokens() / capacityShares;
     boolean fitsShare = backend.memoryTokens() + requestTokens <= usableMemoryTokens;
+    // A request that needs more than the share can only run alone on an engine.
     boolean fitsIdleEngine = backend.isIdle() && requestTokens <= engine.memoryTokens();
     return backend.requests.size() < slots && (fitsShare || fitsIdleEngine);
   }
--- a/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/DispatchCore.java
@@ -41,7 +41,10 @@
   /** Time for which a backend server that rejected a request receives none. */
   private static final long FULL_BACKOFF_MILLIS = 150;
 
-  /** Random cost in local fallback, where hosts do not know each other's placements. */
+  /**
+   * Maximum random cost of an engine in local fallback, in prompt tokens. Hosts do not know each
+   * other's placements then, and would otherwise all choose the same engine.
+   */
   private static final double LOCAL_JITTER_TOKENS = 3_000;
 
   /**
@@ -225,7 +228,10 @@
     }
   }
 
-  /** Handles that a request no longer runs on its backend server or is no longer queued. */
+  /**
+   * Handles the end of a request, whether it was queued or running, or of its migration: the
+   * outcome tells which.
+   */
   public void requestEnded(
       RequestId requestId, DispatchOutcome outcome, int outputTokens, long nowMillis) {
     if (queue.remove(requestId) != null) {
@@ -300,7 +306,10 @@
             requestEnded(requestId, DispatchOutcome.DISPATCH_OUTCOME_CANCELLED, 0, nowMillis));
   }
 
-  /** Places or rejects requests that expired in the queue, and retries the other queued ones. */
+  /**
+   * Places or rejects the requests that expired in the queue, tries to place the other queued ones,
+   * and migrates requests away from leaving engines.
+   */
   public void tick(long nowMillis) {
     for (QueuedRequest queued : queue.expired(nowMillis)) {
       queue.remove(queued.id());
@@ -416,6 +425,7 @@
     return backends.usableFor(request, nowMillis).findAny().isPresent();
   }
 
+  /** Returns the lowest priority number of the requests that run on the service. */
   private int mostUrgentPriority(String service) {
     int mostUrgent = Integer.MAX_VALUE;
     for (BackendState backend : backends.all()) {
--- a/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/FailureRateEjector.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Ejects backend servers that fail part of their requests while their peers do not. At most a
- * bounded share is ejected at the same time, each for a time that doubles with every ejection. Not
- * thread-safe.
+ * Temporarily ejects backend servers that fail a larger part of their requests than their peers. At
+ * most a bounded share of the peers is ejected at once, but one always may be. The duration doubles
+ * with each further ejection, up to a limit. Not thread-safe.
  */
 final class FailureRateEjector {
   /** Failure rate of recent requests above which a backend server is an outlier. */
@@ -22,11 +22,16 @@
   /** Requests needed before a backend server may be ejected. */
   private static final int MIN_REQUESTS = 6;
 
+  /** Largest share of the peers that may be ejected at once; one may always be. */
   private static final double MAX_EJECTED_SHARE = 0.34;
+
   private static final long FIRST_EJECTION_MILLIS = 2_500;
   private static final int MAX_DOUBLINGS = 4;
 
-  /** Failure rate assigned on ejection; after the return, a few more failures eject it again. */
+  /**
+   * Failure rate assigned to a backend server on ejection; once the ejection has ended, a few more
+   * failures eject it again.
+   */
   private static final double POST_EJECTION_FAILURE_RATE = 0.15;
 
   private final Map<String, RequestStats> statsByBackend = new HashMap<>();
@@ -42,6 +47,11 @@
     recordOutcome(backend, 0);
   }
 
+  /**
+   * Records a failure and ejects the backend server if it is an outlier.
+   *
+   * @param peers backend servers of the same service, including this one
+   */
   void recordFailure(String backend, Collection<String> peers, long nowMillis) {
     RequestStats stats = recordOutcome(backend, 1);
     if (stats.requests < MIN_REQUESTS || nowMillis < stats.ejectedUntilMillis) {
--- a/src/main/java/org/curranthaven/internal/dispatch/MigrationPlanner.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/MigrationPlanner.java
@@ -119,7 +119,7 @@
         + incomingMigrations * BUSY_LINK_COST;
   }
 
-  /** Handles that the request continues on its migration target or from its backup copy. */
+  /** Handles a request that now continues on its migration target or from its backup copy. */
   void leftSource(RequestId requestId, BackendState source) {
     RunningRequest running = source.requests.remove(requestId);
     backends.removeIfDrained(source);
--- a/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/OutputLengthForecast.java
@@ -7,9 +7,13 @@
  * thread-safe.
  */
 final class OutputLengthForecast {
+  /** Weight of the latest output in the moving average. */
   private static final double LATEST_OUTPUT_WEIGHT = 0.05;
+
+  /** Share of a request's output limit that is forecast until the first output is recorded. */
   private static final double INITIAL_SHARE_OF_LIMIT = 0.4;
 
+  /** Moving average of the output lengths; negative until the first output is recorded. */
   private double averageTokens = -1;
 
   void recordOutput(int tokens) {
--- a/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/PromptPartCache.java
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Returns the number of tokens in the longest run of leading parts that may be cached. */
+  /** Returns the number of tokens in the longest sequence of leading parts that may be cached. */
   int cachedPrefixTokens(List<PromptPart> parts) {
     int cachedTokens = 0;
     for (PromptPart part : parts) {
--- a/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/QueueTimeForecast.java
@@ -24,7 +24,10 @@
   /** Weight of the latest first reply in the moving average. */
   private static final double LATEST_FIRST_REPLY_WEIGHT = 0.05;
 
-  /** Lower bound of an observation; bounded so that one outlier does not cause rejections. */
+  /**
+   * Lower and upper bound of an observed time per prompt token, so that one outlier does not cause
+   * rejections.
+   */
   private static final double MIN_MILLIS_PER_PROMPT_TOKEN = 0.07;
 
   private static final double MAX_MILLIS_PER_PROMPT_TOKEN = 0.5;
@@ -35,6 +38,7 @@
   /** Duration of a request to a plain service, used until completions have been observed. */
   private static final double INITIAL_PLAIN_MILLIS = 100;
 
+  /** Weight of the latest completion in the moving average of that duration. */
   private static final double LATEST_COMPLETION_WEIGHT = 0.05;
 
   /** Time for which requests are queued for a service without a known backend server. */
@@ -116,7 +120,8 @@
   }
 
   /**
-   * Returns the retry delay, with jitter so that requests rejected together do not return together.
+   * Returns the retry delay, with jitter so that requests rejected together are not retried
+   * together.
    */
   long retryAfterMillis(double expectedMillis) {
     double withJitter = expectedMillis * (1 + RETRY_AFTER_JITTER * random.nextDouble());
--- a/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/RunningRequest.java
@@ -13,6 +13,7 @@
   /** Factor by which an output that exceeded its forecast is expected to grow further. */
   private static final double OVERRUN_FACTOR = 1.25;
 
+  /** Further growth expected of such an output, in tokens, added to that of the factor. */
   private static final int OVERRUN_TOKENS = 32;
 
   final RequestId id;
--- a/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
+++ b/src/main/java/org/curranthaven/internal/dispatch/ServiceRetryBudget.java
@@ -5,9 +5,13 @@
  * of the requests plus a fixed number. Not thread-safe.
  */
 final class ServiceRetryBudget {
+  /** Number of buckets that the sliding window is divided into. */
   private static final int BUCKETS = 20;
 
-  /** Share of the limit that is used; below 1, since requests are counted where they are placed. */
+  /**
+   * Share of the limit that is used; below 1, since requests are counted where their placement is
+   * decided, including those that are then rejected.
+   */
   private static final double USABLE_SHARE = 0.8;
 
   private final RetryLimits limits;
--- a/src/main/java/org/curranthaven/internal/membership/BackendView.java
+++ b/src/main/java/org/curranthaven/internal/membership/BackendView.java
@@ -13,9 +13,9 @@
  *
  * <p>A lease starts when the backend server sends the announcement. Each host that forwards the
  * announcement adds the time spent there to its age, so that wall clocks of different hosts are
- * never compared. Announcements are ordered by incarnation and sequence. The order is kept after a
- * lease has expired, so that a delayed announcement never restores a removed backend server. Not
- * thread-safe.
+ * never compared. Announcements are ordered by incarnation and sequence. The latest one is kept for
+ * {@link #TOMBSTONE_RETENTION_MILLIS}, also after its lease has expired, so that a delayed
+ * announcement does not restore a removed backend server. Not thread-safe.
  */
 public final class BackendView {
   /** Duration of the lease that an announcement grants, in milliseconds. */
@@ -24,7 +24,7 @@
   /** How long the last announcement of a removed backend server is kept, in milliseconds. */
   static final long TOMBSTONE_RETENTION_MILLIS = 3_600_000;
 
-  /** Network latency assumed for each hop and added to the age there, in milliseconds. */
+  /** Assumed network latency of a hop, added to the age of a forwarded announcement. */
   public static final long HOP_ALLOWANCE_MILLIS = 5;
 
   private final Map<String, Entry> entries = new HashMap<>();
--- a/src/main/java/org/curranthaven/internal/placement/PlacementCommand.java
+++ b/src/main/java/org/curranthaven/internal/placement/PlacementCommand.java
@@ -11,10 +11,16 @@
   @JsonSubTypes.Type(value = PlacementCommand.RecordLoad.class, name = "recordLoad"),
 })
 public sealed interface PlacementCommand {
-  /** Acquires the lease for a host; {@code attempt} makes a repeated command idempotent. */
+  /**
+   * Acquires the lease for a host, also from another holder; {@code attempt} makes a repeated
+   * command idempotent.
+   */
   record Acquire(String host, String attempt) implements PlacementCommand {}
 
-  /** Renews the lease of the holder with this fencing number. */
+  /**
+   * Checks whether the sender with this fencing number still holds the lease, which does not
+   * expire; leaves the state unchanged.
+   */
   record Renew(long fencingNumber) implements PlacementCommand {}
 
   /** Counts a load of model weights against the weight store's rate limit, before it is ordered. */
--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -49,7 +49,10 @@
  */
 public final class ControlHost implements PeerListener {
   private static final long KNOWN_HOSTS_INTERVAL_MILLIS = 1_000;
+
+  /** Time that a draining host leaves for the transfer of its leadership. */
   private static final long LEADERSHIP_TRANSFER_DELAY_MILLIS = 400;
+
   private static final int CONTROL_GROUP_ID = 0;
 
   private final RoutedSettings settings;
@@ -138,7 +141,10 @@
     }
   }
 
-  /** Prepares a planned stop: transfers leadership of every group that this host leads. */
+  /**
+   * Prepares a planned stop: transfers leadership of every group that this host leads, and waits
+   * for {@link #LEADERSHIP_TRANSFER_DELAY_MILLIS}.
+   */
   public void drain() throws InterruptedException {
     Logger.info(
         "control host {} draining: transferring leadership, waiting {} ms",
--- a/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeaderClient.java
@@ -28,7 +28,10 @@
   static final int NOT_LEADER = 421;
   static final int UNKNOWN_PATH = 404;
 
-  /** Timeout of a registration: backend servers switch to another host after one second. */
+  /**
+   * Timeout of a registration or deregistration: backend servers switch to another host after one
+   * second.
+   */
   static final long REGISTRATION_TIMEOUT_MILLIS = 850;
 
   static final long READ_TIMEOUT_MILLIS = 900;
@@ -119,7 +122,7 @@
     }
   }
 
-  /** Handles the leader's reply: completes the request, or retries it unless the status is OK. */
+  /** Handles the leader's reply: completes the request if the status is OK, else retries it. */
   void handleReply(AdminReply reply) {
     PendingRequest pending = pendingRequests.remove(reply.getRequestId());
     if (pending == null) {
--- a/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/LeadershipTracker.java
@@ -26,7 +26,7 @@
   private final int votersWanted;
   private final Listener listener;
   private volatile String leaderHost = "";
-  private volatile boolean catalogsAccepted;
+  private volatile boolean canAcceptCatalogs;
   private long leadingTerm;
   private long leadingSinceMillis;
   private long publishedRevision;
@@ -56,7 +56,7 @@
    * survive the tolerated losses, or {@link #MISSING_VOTERS_GRACE_MILLIS} has passed. Thread-safe.
    */
   boolean canAcceptCatalogs() {
-    return catalogsAccepted;
+    return canAcceptCatalogs;
   }
 
   @Override
@@ -84,7 +84,7 @@
     updateLeadership(core != null && hasLease ? core.term() : 0, nowMillis);
     boolean enoughVoters =
         core != null && core.votersCommitted() && core.voters().getVotersCount() >= votersWanted;
-    catalogsAccepted =
+    canAcceptCatalogs =
         hasLease && (enoughVoters || nowMillis - leadingSinceMillis > MISSING_VOTERS_GRACE_MILLIS);
   }
 
--- a/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/Scheduler.java
@@ -71,11 +71,11 @@
   private long lastHeartbeatMillis;
   private boolean tickScheduled;
 
-  /** The state that a gateway has acknowledged. */
+  /** The versions that a gateway has acknowledged, and whether it has sent a full status. */
   private static final class GatewayView {
     long version;
     long catalogRevision;
-    boolean synced;
+    boolean hasReportedState;
     long incarnation;
   }
 
@@ -166,7 +166,7 @@
     boolean complete =
         elapsedMillis >= MIN_REBUILD_MILLIS
             && !connected.isEmpty()
-            && connected.stream().allMatch(gateway -> viewOf(gateway).synced);
+            && connected.stream().allMatch(gateway -> viewOf(gateway).hasReportedState);
     if (rebuilding && (complete || elapsedMillis >= MAX_REBUILD_MILLIS)) {
       endRebuild();
     }
@@ -221,7 +221,7 @@
   private void sendView(HostRecord gateway) {
     GatewayView view = viewOf(gateway);
     boolean outdated = view.version < viewVersion && !rebuilding;
-    if (outdated && view.synced) {
+    if (outdated && view.hasReportedState) {
       sendFullView(gateway);
     } else {
       sender.accept(gateway.getName(), Envelope.newBuilder().setSchedulerView(newView(view)));
@@ -295,7 +295,7 @@
     view.catalogRevision = Math.max(view.catalogRevision, status.getCatalogRevision());
     if (status.getFull()) {
       restore(from, status, nowMillis);
-      view.synced = true;
+      view.hasReportedState = true;
       if (rebuilding) {
         endRebuildIfComplete();
       } else {
@@ -402,7 +402,7 @@
 
   /**
    * Handles a registration. The callback runs once the registration may be acknowledged: for a
-   * leaving backend server, when every gateway has the change, else at once.
+   * leaving backend server, when every gateway has acknowledged the change, else at once.
    */
   void register(BackendRecord registration, Consumer<Boolean> callback) {
     if (term == 0) {
@@ -430,7 +430,9 @@
         });
   }
 
-  /** Deregisters a backend server; the callback runs once every gateway has the change. */
+  /**
+   * Deregisters a backend server. The callback runs once every gateway has acknowledged the change.
+   */
   void deregister(String id, Consumer<Boolean> callback) {
     if (term == 0) {
       callback.accept(false);
@@ -467,13 +469,13 @@
   // ---- catalog ----------------------------------------------------------------------------------
 
   /** Activates a committed catalog here and sends it to the gateways. */
-  void applyCatalog(Catalog newer, ByteString newDocument) {
-    if (newer.revision() <= catalog.revision()) {
+  void applyCatalog(Catalog newCatalog, ByteString newDocument) {
+    if (newCatalog.revision() <= catalog.revision()) {
       return;
     }
-    catalog = newer;
+    catalog = newCatalog;
     catalogDocument = newDocument;
-    core.setCatalog(newer);
+    core.setCatalog(newCatalog);
     if (term > 0) {
       for (HostRecord gateway : gateways.get()) {
         sender.accept(
--- a/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
+++ b/src/main/java/org/curranthaven/internal/transport/ConnectTimeouts.java
@@ -41,7 +41,7 @@
     timeoutCountByAddress.remove(address);
   }
 
-  /** Discards the addresses that are no longer dialled. */
+  /** Discards all other addresses, since they are no longer dialled. */
   void retainAddresses(Collection<String> addresses) {
     timeoutCountByAddress.keySet().retainAll(addresses);
   }
--- a/src/main/java/org/curranthaven/internal/transport/PeerListener.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerListener.java
@@ -11,9 +11,12 @@
   /** Called when a message from a host arrives. */
   void received(HostRecord from, Envelope message);
 
-  /** Called when a connection to the host is established. */
+  /**
+   * Called when a connection to the host is established, also when it replaces an earlier one; then
+   * {@link #disconnected} is not called for the earlier one.
+   */
   void connected(HostRecord host);
 
-  /** Called when the last connection to the host is lost. */
+  /** Called when the connection to the host is lost and no other has replaced it. */
   void disconnected(HostRecord host);
 }
--- a/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
+++ b/src/main/java/org/curranthaven/internal/transport/PeerNetwork.java
@@ -154,7 +154,10 @@
     return message.setFromHost(own.getName()).setFromIdentity(own.getIdentity()).build();
   }
 
-  /** Sends a message to the host whose data folder has the identity; returns false if dropped. */
+  /**
+   * Sends a message to the host whose data folder has the identity; returns whether it was handed
+   * to a connection rather than dropped.
+   */
   public boolean sendToIdentity(String identity, Envelope.Builder message) {
     for (PeerConnection connection : connectionsByHost.values()) {
       if (connection.remote().getIdentity().equals(identity)) {
@@ -245,7 +248,7 @@
     long nowMillis = Clock.system().nowMillis();
     discoveredAtMillis
         .values()
-        .removeIf(discovered -> nowMillis - discovered > DISCOVERED_ADDRESS_TTL_MILLIS);
+        .removeIf(discoveredAt -> nowMillis - discoveredAt > DISCOVERED_ADDRESS_TTL_MILLIS);
     Set<String> addresses = new HashSet<>(configuredAddresses);
     addresses.addAll(discoveredAtMillis.keySet());
     connectTimeouts.retainAddresses(addresses);
@@ -331,7 +334,8 @@
   }
 
   /**
-   * Prefers, of two connections between a pair, the one dialled by the host with the lower name.
+   * Returns whether the connection was dialled by the host with the lower name. Both hosts prefer
+   * it, so that they keep the same one of two connections.
    */
   private boolean isPreferred(PeerConnection connection) {
     String own = self.get().getName();
--- a/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
+++ b/src/test/java/org/curranthaven/internal/dispatch/DispatchCoreTest.java
@@ -33,7 +33,7 @@
     Route route =
         new Route(
             "drafts",
-            "here",
+            "stories.example",
             "/drafts/",
             Repeatability.STREAM,
             30_000,
--- a/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
+++ b/src/test/java/org/curranthaven/internal/scheduler/SchedulerTest.java
@@ -21,7 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 class SchedulerTest {
-  private static final long REBUILT_MILLIS = 300;
+  /** Longer than a new leader waits for the gateways to report their state. */
+  private static final long AFTER_REBUILD_MILLIS = 300;
 
   private final ManualTime time = new ManualTime();
   private final List<Map.Entry<String, Envelope>> sent = new ArrayList<>();
@@ -66,7 +67,7 @@
     scheduler.setTerm(5);
     receiveStatus("g1", 0, 0, true);
     receiveStatus("g2", 0, 0, true);
-    time.advance(REBUILT_MILLIS);
+    time.advance(AFTER_REBUILD_MILLIS);
   }
 
   private long lastVersion() {
@@ -191,7 +192,7 @@
 
     scheduler.handleRequests(host("g2"), requests);
     assertThat(sent).noneMatch(message -> message.getValue().hasDispatchOrders());
-    time.advance(REBUILT_MILLIS);
+    time.advance(AFTER_REBUILD_MILLIS);
 
     // The two slots already run three requests, their limit: request 9 is queued.
     assertThat(sent)
