--- a/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerApi.java
@@ -62,54 +62,54 @@
       Workspace workspace, ServiceClass serviceClass, IdempotencyKey key, long arrivedAtMillis) {}
 
   /** Handles one request. */
-  void handle(HttpRequestContext exchange) throws IOException, InterruptedException {
+  void handle(HttpRequestContext context) throws IOException, InterruptedException {
     long arrivedAtMillis = services.clock().nowMillis();
-    String path = exchange.path();
+    String path = context.path();
     if (path.equals("/v1/chat/completions")) {
-      handleCompletion(exchange, true, arrivedAtMillis);
+      handleCompletion(context, true, arrivedAtMillis);
     } else if (path.equals("/v1/completions")) {
-      handleCompletion(exchange, false, arrivedAtMillis);
+      handleCompletion(context, false, arrivedAtMillis);
     } else if (path.equals("/v1/models")) {
-      listModels(exchange);
+      listModels(context);
     } else if (path.startsWith(SERVICES_PREFIX)) {
-      handleService(exchange, arrivedAtMillis);
+      handleService(context, arrivedAtMillis);
     } else {
-      exchange.failure(Failure.of(ResultCode.UNKNOWN_PATH, "path '" + path + "' does not exist"));
+      context.failure(Failure.of(ResultCode.UNKNOWN_PATH, "path '" + path + "' does not exist"));
     }
   }
 
   // ---- completions ------------------------------------------------------------------------------
 
-  private void handleCompletion(HttpRequestContext exchange, boolean chat, long arrivedAtMillis)
+  private void handleCompletion(HttpRequestContext context, boolean chat, long arrivedAtMillis)
       throws IOException, InterruptedException {
-    if (!exchange.method().equals("POST")) {
-      exchange.failure(
+    if (!context.method().equals("POST")) {
+      context.failure(
           Failure.of(
               ResultCode.METHOD_NOT_ALLOWED,
-              "method " + exchange.method() + " is not allowed: completions require POST"));
+              "method " + context.method() + " is not allowed: completions require POST"));
       return;
     }
-    Outcome<byte[]> body = exchange.body(maxBodyBytes);
+    Outcome<byte[]> body = context.body(maxBodyBytes);
     if (body instanceof Outcome.Failed<byte[]> failed) {
-      exchange.failure(failed.failure());
+      context.failure(failed.failure());
       return;
     }
     byte[] bodyBytes = ((Outcome.Success<byte[]>) body).value();
     Configuration configuration = services.router().configuration();
-    Outcome<AdmittedRequest> admission = admit(exchange, configuration, "", arrivedAtMillis);
+    Outcome<AdmittedRequest> admission = admit(context, configuration, "", arrivedAtMillis);
     if (admission instanceof Outcome.Failed<AdmittedRequest> failed) {
-      reject(exchange, failed.failure());
+      reject(context, failed.failure());
       return;
     }
     Outcome<CompletionRequest> parsed = CompletionRequest.parse(chat, bodyBytes);
     if (parsed instanceof Outcome.Failed<CompletionRequest> failed) {
-      exchange.failure(failed.failure());
+      context.failure(failed.failure());
       return;
     }
     CompletionRequest request = ((Outcome.Success<CompletionRequest>) parsed).value();
     Model model = configuration.models().get(request.model());
     if (model == null) {
-      exchange.failure(
+      context.failure(
           Failure.of(
               ResultCode.UNKNOWN_MODEL, "model '" + request.model() + "' is not configured"));
       return;
@@ -117,11 +117,11 @@
     AdmittedRequest admitted = ((Outcome.Success<AdmittedRequest>) admission).value();
     services.metrics().requested(admitted.serviceClass().name());
     RequestAttributes attributes = completionAttributes(admitted, request, model);
-    exchange.setHeader("X-Request-Id", admitted.key().key());
+    context.setHeader("X-Request-Id", admitted.key().key());
     if (admitted.serviceClass().repeatable()) {
-      runCompletion(exchange, admitted, request, attributes);
+      runCompletion(context, admitted, request, attributes);
     } else {
-      runIdempotentCompletion(exchange, admitted, request, attributes, bodyBytes);
+      runIdempotentCompletion(context, admitted, request, attributes, bodyBytes);
     }
   }
 
@@ -149,7 +149,7 @@
   }
 
   private void runCompletion(
-      HttpRequestContext exchange,
+      HttpRequestContext context,
       AdmittedRequest admitted,
       CompletionRequest request,
       RequestAttributes attributes)
@@ -159,21 +159,21 @@
       Outcome<Completion> outcome = generate(admitted, request, attributes, new NonStreamingSink());
       switch (outcome) {
         case Outcome.Success<Completion> success ->
-            exchange.json(STATUS_OK, format.response(success.value()));
-        case Outcome.Failed<Completion> failed -> fail(exchange, admitted, failed.failure());
+            context.json(STATUS_OK, format.response(success.value()));
+        case Outcome.Failed<Completion> failed -> fail(context, admitted, failed.failure());
       }
       return;
     }
-    StreamingSink sink = new StreamingSink(exchange, format);
+    StreamingSink sink = new StreamingSink(context, format);
     try {
-      endStream(exchange, admitted, request, sink, run(admitted, request, attributes, sink));
+      endStream(context, admitted, request, sink, run(admitted, request, attributes, sink));
     } catch (TokenSink.CallerDisconnectedException e) {
       // The generation was cancelled; no response can be sent.
     }
   }
 
   private void endStream(
-      HttpRequestContext exchange,
+      HttpRequestContext context,
       AdmittedRequest admitted,
       CompletionRequest request,
       StreamingSink sink,
@@ -183,11 +183,11 @@
       case Outcome.Success<Completion> success ->
           sink.finish(success.value(), request.includeUsage());
       case Outcome.Failed<Completion> failed -> {
-        if (exchange.responseStarted()) {
+        if (context.responseStarted()) {
           services.metrics().failed(admitted.serviceClass().name(), failed.failure().code());
           sink.fail(failed.failure());
         } else {
-          fail(exchange, admitted, failed.failure());
+          fail(context, admitted, failed.failure());
         }
       }
     }
@@ -223,14 +223,14 @@
    * before it is sent; a caller that requested a stream gets it as a stream of one token.
    */
   private void runIdempotentCompletion(
-      HttpRequestContext exchange,
+      HttpRequestContext context,
       AdmittedRequest admitted,
       CompletionRequest request,
       RequestAttributes attributes,
       byte[] body)
       throws IOException, InterruptedException {
     CompletionFormat format = completionFormat(request);
-    ByteString requestHash = Hashes.sha256(utf8(exchange.path()), body);
+    ByteString requestHash = Hashes.sha256(utf8(context.path()), body);
     Outcome<StoredResponse> outcome =
         runIdempotent(
             admitted,
@@ -244,23 +244,23 @@
     switch (outcome) {
       case Outcome.Success<StoredResponse> success -> {
         if (request.stream() && success.value().getStatus() == STATUS_OK) {
-          sendStoredAsStream(exchange, format, request, success.value());
+          sendStoredAsStream(context, format, request, success.value());
         } else {
-          exchange.sendStored(success.value());
+          context.sendStored(success.value());
         }
       }
-      case Outcome.Failed<StoredResponse> failed -> fail(exchange, admitted, failed.failure());
+      case Outcome.Failed<StoredResponse> failed -> fail(context, admitted, failed.failure());
     }
   }
 
   private static void sendStoredAsStream(
-      HttpRequestContext exchange,
+      HttpRequestContext context,
       CompletionFormat format,
       CompletionRequest request,
       StoredResponse response)
       throws IOException {
     Completion completion = StoredCompletion.parse(response.getBody());
-    StreamingSink sink = new StreamingSink(exchange, format);
+    StreamingSink sink = new StreamingSink(context, format);
     try {
       sink.accept(
           new EngineToken(
@@ -279,8 +279,8 @@
         .build();
   }
 
-  private void listModels(HttpRequestContext exchange) throws IOException {
-    exchange.json(
+  private void listModels(HttpRequestContext context) throws IOException {
+    context.json(
         STATUS_OK,
         Map.of(
             "object",
@@ -293,43 +293,43 @@
 
   // ---- plain services ---------------------------------------------------------------------------
 
-  private void handleService(HttpRequestContext exchange, long arrivedAtMillis)
+  private void handleService(HttpRequestContext context, long arrivedAtMillis)
       throws IOException, InterruptedException {
-    String[] pathParts = exchange.path().substring(SERVICES_PREFIX.length()).split("/", 2);
+    String[] pathParts = context.path().substring(SERVICES_PREFIX.length()).split("/", 2);
     Configuration configuration = services.router().configuration();
     PlainService service = configuration.services().get(pathParts[0]);
     if (service == null) {
-      exchange.failure(
+      context.failure(
           Failure.of(
               ResultCode.UNKNOWN_SERVICE, "service '" + pathParts[0] + "' is not configured"));
       return;
     }
-    Outcome<byte[]> body = exchange.body(maxBodyBytes);
+    Outcome<byte[]> body = context.body(maxBodyBytes);
     if (body instanceof Outcome.Failed<byte[]> failed) {
-      exchange.failure(failed.failure());
+      context.failure(failed.failure());
       return;
     }
     Outcome<AdmittedRequest> admission =
-        admit(exchange, configuration, service.defaultClass(), arrivedAtMillis);
+        admit(context, configuration, service.defaultClass(), arrivedAtMillis);
     if (admission instanceof Outcome.Failed<AdmittedRequest> failed) {
-      reject(exchange, failed.failure());
+      reject(context, failed.failure());
       return;
     }
     AdmittedRequest admitted = ((Outcome.Success<AdmittedRequest>) admission).value();
     byte[] bodyBytes = ((Outcome.Success<byte[]>) body).value();
     services.metrics().requested(admitted.serviceClass().name());
-    runService(exchange, admitted, service, bodyBytes);
+    runService(context, admitted, service, bodyBytes);
   }
 
   private void runService(
-      HttpRequestContext exchange, AdmittedRequest admitted, PlainService service, byte[] body)
+      HttpRequestContext context, AdmittedRequest admitted, PlainService service, byte[] body)
       throws IOException, InterruptedException {
-    String path = exchange.rawPath().substring(SERVICES_PREFIX.length() + service.name().length());
-    String contentType = exchange.header("Content-Type");
+    String path = context.rawPath().substring(SERVICES_PREFIX.length() + service.name().length());
+    String contentType = context.header("Content-Type");
     boolean repeatable = admitted.serviceClass().repeatable();
     ServiceClient.ServiceRequest request =
         new ServiceClient.ServiceRequest(
-            exchange.method(),
+            context.method(),
             path.startsWith("/") ? path : "/" + path,
             contentType == null ? "" : contentType,
             ByteString.copyFrom(body),
@@ -337,12 +337,12 @@
     RequestAttributes attributes = serviceAttributes(admitted, service);
     ServiceRequestHandler handler =
         new ServiceRequestHandler(services, serviceClient, admitted.serviceClass());
-    exchange.setHeader("X-Request-Id", admitted.key().key());
-    if (!repeatable && METHODS_RETRIED_BY_CLIENTS.contains(exchange.method())) {
-      exchange.failure(
+    context.setHeader("X-Request-Id", admitted.key().key());
+    if (!repeatable && METHODS_RETRIED_BY_CLIENTS.contains(context.method())) {
+      context.failure(
           Failure.of(
               ResultCode.METHOD_NOT_ALLOWED,
-              exchange.method()
+              context.method()
                   + " requests may be retried by clients and proxies, but requests of class '"
                   + admitted.serviceClass().name()
                   + "' must not be repeated"));
@@ -353,15 +353,15 @@
             ? handler.run(admitted.key().key(), attributes, request)
             : runIdempotent(
                 admitted,
-                Hashes.sha256(utf8(exchange.method()), utf8(exchange.rawPath()), body),
+                Hashes.sha256(utf8(context.method()), utf8(context.rawPath()), body),
                 () -> handler.run(admitted.key().key(), attributes, request));
     switch (outcome) {
       case Outcome.Success<StoredResponse> success -> {
         long elapsedMillis = services.clock().nowMillis() - admitted.arrivedAtMillis();
         services.metrics().firstReply(admitted.serviceClass(), elapsedMillis);
-        exchange.sendStored(success.value());
+        context.sendStored(success.value());
       }
-      case Outcome.Failed<StoredResponse> failed -> fail(exchange, admitted, failed.failure());
+      case Outcome.Failed<StoredResponse> failed -> fail(context, admitted, failed.failure());
     }
   }
 
@@ -400,7 +400,7 @@
   }
 
   private Outcome<AdmittedRequest> admit(
-      HttpRequestContext exchange,
+      HttpRequestContext context,
       Configuration configuration,
       String defaultClass,
       long arrivedAtMillis) {
@@ -417,7 +417,7 @@
               1));
     }
     Workspace workspace =
-        workspaceKeys.findWorkspace(configuration, exchange.header("Authorization"));
+        workspaceKeys.findWorkspace(configuration, context.header("Authorization"));
     if (workspace == null) {
       return Outcome.failed(
           ResultCode.BAD_KEY,
@@ -435,7 +435,7 @@
                   + " requests per second",
               retryAfterMillis));
     }
-    String requestedClass = exchange.header(CLASS_HEADER);
+    String requestedClass = context.header(CLASS_HEADER);
     String fallbackClass = defaultClass.isEmpty() ? workspace.defaultClass() : defaultClass;
     String className = requestedClass == null ? fallbackClass : requestedClass;
     ServiceClass serviceClass = configuration.classes().get(className);
@@ -445,8 +445,8 @@
     }
     Outcome<IdempotencyKey> key =
         IdempotencyKey.of(
-            serviceClass.repeatable() ? null : exchange.header(KEY_HEADER),
-            exchange.header(ISSUED_AT_HEADER),
+            serviceClass.repeatable() ? null : context.header(KEY_HEADER),
+            context.header(ISSUED_AT_HEADER),
             services.clock().epochMillis(),
             random);
     return switch (key) {
@@ -457,16 +457,19 @@
     };
   }
 
-  /** Rejects a request that was not admitted; if it was resent, it may have run before. */
-  private void reject(HttpRequestContext exchange, Failure failure) throws IOException {
-    boolean resent = exchange.header(KEY_HEADER) != null;
-    exchange.failure(resent ? IdempotencyErrors.earlierAttemptMayHaveRun(failure) : failure);
+  /**
+   * Rejects a request that was not admitted. If it carries an Idempotency-Key, an earlier request
+   * with the same key may have run.
+   */
+  private void reject(HttpRequestContext context, Failure failure) throws IOException {
+    boolean mayBeResent = context.header(KEY_HEADER) != null;
+    context.failure(mayBeResent ? IdempotencyErrors.earlierAttemptMayHaveRun(failure) : failure);
   }
 
-  private void fail(HttpRequestContext exchange, AdmittedRequest admitted, Failure failure)
+  private void fail(HttpRequestContext context, AdmittedRequest admitted, Failure failure)
       throws IOException {
     services.metrics().failed(admitted.serviceClass().name(), failure.code());
-    exchange.failure(failure);
+    context.failure(failure);
   }
 
   private static byte[] utf8(String text) {
--- a/src/main/java/org/curranthaven/internal/gateway/CallerServer.java
+++ b/src/main/java/org/curranthaven/internal/gateway/CallerServer.java
@@ -14,7 +14,8 @@
 
 /** HTTP server of a host for callers, backend servers and operators. */
 public final class CallerServer implements Child {
-  private static final int BACKLOG = 1_024;
+  /** Largest number of connections that wait to be accepted. */
+  private static final int MAX_PENDING_CONNECTIONS = 1_024;
 
   private final InetSocketAddress address;
   private final CallerApi callerApi;
@@ -24,7 +25,7 @@
   /** Handles requests of operators and backend servers. */
   public interface Handler {
     /** Handles the request; returns whether the path belongs to this handler. */
-    boolean handle(HttpRequestContext exchange) throws IOException, InterruptedException;
+    boolean handle(HttpRequestContext context) throws IOException, InterruptedException;
   }
 
   /** Creates a server that listens while {@link #run} is running. */
@@ -41,7 +42,7 @@
 
   @Override
   public void run() throws IOException, InterruptedException {
-    HttpServer server = HttpServer.create(address, BACKLOG);
+    HttpServer server = HttpServer.create(address, MAX_PENDING_CONNECTIONS);
     try (ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor()) {
       server.setExecutor(executor);
       server.createContext("/", this::handle);
@@ -55,39 +56,39 @@
     }
   }
 
-  private void handle(HttpExchange http) {
-    try (HttpRequestContext exchange = new HttpRequestContext(http)) {
+  private void handle(HttpExchange exchange) {
+    try (HttpRequestContext context = new HttpRequestContext(exchange)) {
       try {
-        dispatch(exchange);
+        dispatch(context);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         failIfNotResponded(
-            exchange,
+            context,
             Failure.of(ResultCode.INTERNAL, "the host stopped before the request was complete"));
       } catch (RuntimeException e) {
-        Logger.error(e, "request {} {} failed unexpectedly", exchange.method(), exchange.path());
+        Logger.error(e, "request {} {} failed unexpectedly", context.method(), context.path());
         failIfNotResponded(
-            exchange, Failure.of(ResultCode.INTERNAL, "the request failed unexpectedly: " + e));
+            context, Failure.of(ResultCode.INTERNAL, "the request failed unexpectedly: " + e));
       }
     } catch (IOException e) {
       // The caller has closed its connection, so no response can be sent.
     }
   }
 
-  private static void failIfNotResponded(HttpRequestContext exchange, Failure failure)
+  private static void failIfNotResponded(HttpRequestContext context, Failure failure)
       throws IOException {
-    if (!exchange.responseStarted()) {
-      exchange.failure(failure);
+    if (!context.responseStarted()) {
+      context.failure(failure);
     }
   }
 
-  private void dispatch(HttpRequestContext exchange) throws IOException, InterruptedException {
-    if (adminHandler.handle(exchange)) {
+  private void dispatch(HttpRequestContext context) throws IOException, InterruptedException {
+    if (adminHandler.handle(context)) {
       return;
     }
     openRequestCount.incrementAndGet();
     try {
-      callerApi.handle(exchange);
+      callerApi.handle(context);
     } finally {
       openRequestCount.decrementAndGet();
     }
--- a/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ErrorBodies.java
@@ -11,7 +11,7 @@
   /** Content type of JSON bodies. */
   public static final String JSON = "application/json";
 
-  private static final int FIRST_SERVER_ERROR = 500;
+  private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
   private ErrorBodies() {}
 
@@ -29,7 +29,7 @@
   }
 
   private static String type(Failure failure) {
-    return failure.code().httpStatus() < FIRST_SERVER_ERROR
+    return failure.code().httpStatus() < FIRST_SERVER_ERROR_STATUS
         ? "invalid_request_error"
         : "server_error";
   }
--- a/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/GenerationHandler.java
@@ -148,8 +148,9 @@
       Failure noRetryLeft =
           Failure.retryLater(
               ResultCode.RETRY_BUDGET_SPENT,
-              "%d attempts failed or were rejected, and class '%s' has no retry left"
-                  .formatted(failedAttempts, serviceClass.name()),
+              ("%d attempts failed or were rejected, and the limit of %d attempts or the retry budget of"
+                      + " class '%s' is reached")
+                  .formatted(failedAttempts, MAX_ATTEMPTS, serviceClass.name()),
               1_000);
       return withEarlierAttempts(noRetryLeft);
     }
--- a/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
+++ b/src/main/java/org/curranthaven/internal/gateway/HttpRequestContext.java
@@ -17,33 +17,33 @@
   private static final int STATUS_NO_CONTENT = 204;
   private static final long MILLIS_PER_SECOND = 1_000;
 
-  private final HttpExchange http;
+  private final HttpExchange exchange;
   private boolean responseStarted;
 
   /** Wraps an exchange of the HTTP server. */
-  public HttpRequestContext(HttpExchange http) {
-    this.http = http;
+  public HttpRequestContext(HttpExchange exchange) {
+    this.exchange = exchange;
   }
 
   /** Returns the HTTP method. */
   public String method() {
-    return http.getRequestMethod();
+    return exchange.getRequestMethod();
   }
 
   /** Returns the decoded path. */
   public String path() {
-    return http.getRequestURI().getPath();
+    return exchange.getRequestURI().getPath();
   }
 
   /** Returns path and query without decoding. */
   public String rawPath() {
-    String query = http.getRequestURI().getRawQuery();
-    return http.getRequestURI().getRawPath() + (query == null ? "" : "?" + query);
+    String query = exchange.getRequestURI().getRawQuery();
+    return exchange.getRequestURI().getRawPath() + (query == null ? "" : "?" + query);
   }
 
   /** Returns the first value of a request header, or null. */
   public @Nullable String header(String name) {
-    return http.getRequestHeaders().getFirst(name);
+    return exchange.getRequestHeaders().getFirst(name);
   }
 
   /** Returns whether the response was started. */
@@ -54,7 +54,7 @@
   /** Reads the complete body; fails if it is larger than {@code maxBytes}. */
   public Outcome<byte[]> body(int maxBytes) {
     try {
-      InputStream in = http.getRequestBody();
+      InputStream in = exchange.getRequestBody();
       byte[] body = in.readNBytes(maxBytes + 1);
       if (body.length > maxBytes) {
         return Outcome.failed(
@@ -82,7 +82,7 @@
     if (failure.retryAfterMillis() > 0) {
       long retryAfterSeconds =
           (failure.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
-      http.getResponseHeaders().set("Retry-After", String.valueOf(retryAfterSeconds));
+      exchange.getResponseHeaders().set("Retry-After", String.valueOf(retryAfterSeconds));
     }
     json(failure.code().httpStatus(), ErrorBodies.json(failure));
   }
@@ -94,31 +94,31 @@
 
   /** Sets a response header. */
   public void setHeader(String name, String value) {
-    http.getResponseHeaders().set(name, value);
+    exchange.getResponseHeaders().set(name, value);
   }
 
   /** Starts a response of unknown length and returns its body stream. */
   public OutputStream startStream(String contentType) throws IOException {
     responseStarted = true;
-    http.getResponseHeaders().set("Content-Type", contentType);
-    http.sendResponseHeaders(STATUS_OK, 0);
-    return http.getResponseBody();
+    exchange.getResponseHeaders().set("Content-Type", contentType);
+    exchange.sendResponseHeaders(STATUS_OK, 0);
+    return exchange.getResponseBody();
   }
 
   private void send(int status, String contentType, byte[] body) throws IOException {
     responseStarted = true;
     if (!contentType.isEmpty()) {
-      http.getResponseHeaders().set("Content-Type", contentType);
+      exchange.getResponseHeaders().set("Content-Type", contentType);
     }
     boolean noBody = body.length == 0 || status == STATUS_NO_CONTENT;
-    http.sendResponseHeaders(status, noBody ? -1 : body.length);
+    exchange.sendResponseHeaders(status, noBody ? -1 : body.length);
     if (!noBody) {
-      http.getResponseBody().write(body);
+      exchange.getResponseBody().write(body);
     }
   }
 
   @Override
   public void close() {
-    http.close();
+    exchange.close();
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/IdempotencyKey.java
+++ b/src/main/java/org/curranthaven/internal/gateway/IdempotencyKey.java
@@ -20,35 +20,36 @@
   /**
    * Reads the key from the headers of a request, or creates one if there is none.
    *
-   * @param header value of the header Idempotency-Key
+   * @param keyHeader value of the header Idempotency-Key
    * @param issuedAtHeader value of the header Curranthaven-Issued-At, in epoch milliseconds
    * @param epochMillis current time, in epoch milliseconds
    * @param random source of the random bits of a created key
    */
   static Outcome<IdempotencyKey> of(
-      @Nullable String header,
+      @Nullable String keyHeader,
       @Nullable String issuedAtHeader,
       long epochMillis,
       RandomGenerator random) {
-    if (header == null || header.isBlank()) {
+    if (keyHeader == null || keyHeader.isBlank()) {
       return Outcome.success(
           new IdempotencyKey(uuidWithTime(epochMillis, random).toString(), epochMillis, false));
     }
-    if (header.length() > MAX_KEY_CHARS) {
+    if (keyHeader.length() > MAX_KEY_CHARS) {
       return Outcome.failed(
           ResultCode.INVALID_PARAMETER,
           "the Idempotency-Key is longer than " + MAX_KEY_CHARS + " characters");
     }
     if (issuedAtHeader != null) {
-      return withIssuedAtHeader(header, issuedAtHeader);
+      return withIssuedAtHeader(keyHeader, issuedAtHeader);
     }
-    return withEmbeddedTime(header);
+    return withEmbeddedTime(keyHeader);
   }
 
-  private static Outcome<IdempotencyKey> withIssuedAtHeader(String header, String issuedAtHeader) {
+  private static Outcome<IdempotencyKey> withIssuedAtHeader(
+      String keyHeader, String issuedAtHeader) {
     try {
       return Outcome.success(
-          new IdempotencyKey(header, Long.parseLong(issuedAtHeader.strip()), true));
+          new IdempotencyKey(keyHeader, Long.parseLong(issuedAtHeader.strip()), true));
     } catch (NumberFormatException e) {
       return Outcome.failed(
           ResultCode.INVALID_PARAMETER,
@@ -56,12 +57,12 @@
     }
   }
 
-  private static Outcome<IdempotencyKey> withEmbeddedTime(String header) {
+  private static Outcome<IdempotencyKey> withEmbeddedTime(String keyHeader) {
     try {
-      UUID uuid = UUID.fromString(header);
+      UUID uuid = UUID.fromString(keyHeader);
       if (uuid.version() == UUID_VERSION_WITH_TIME) {
         return Outcome.success(
-            new IdempotencyKey(header, uuid.getMostSignificantBits() >>> 16, true));
+            new IdempotencyKey(keyHeader, uuid.getMostSignificantBits() >>> 16, true));
       }
     } catch (IllegalArgumentException e) {
       // Reported below, like a UUID of another version.
--- a/src/main/java/org/curranthaven/internal/gateway/RetryBudget.java
+++ b/src/main/java/org/curranthaven/internal/gateway/RetryBudget.java
@@ -16,7 +16,9 @@
   /** Largest number of retries that a class can accumulate. */
   static final double MAX_SAVED_RETRIES = 10;
 
-  private static final long FIRST_BACKOFF_MILLIS = 10;
+  /** Doubled once for each failed attempt, this bounds the random delay before a retry. */
+  private static final long BASE_BACKOFF_MILLIS = 10;
+
   private static final long MAX_BACKOFF_MILLIS = 1_000;
 
   private final Map<String, Double> retriesByClass = new HashMap<>();
@@ -46,7 +48,7 @@
   /** Returns the delay before the next attempt, after the given number of failed ones. */
   public long backoffMillis(int failedAttempts) {
     long maxDelayMillis =
-        Math.min(MAX_BACKOFF_MILLIS, FIRST_BACKOFF_MILLIS << Math.min(failedAttempts, 7));
+        Math.min(MAX_BACKOFF_MILLIS, BASE_BACKOFF_MILLIS << Math.min(failedAttempts, 7));
     return random.nextLong(maxDelayMillis + 1);
   }
 }
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceClient.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceClient.java
@@ -23,7 +23,7 @@
   static final String RAN_HEADER = "Curranthaven-Ran";
 
   /**
-   * Client with pooled connections. The launcher sets the system property {@code
+   * Client with pooled connections. {@code Main} sets the system property {@code
    * jdk.httpclient.keepalive.timeout} to close idle connections after one second, so a pooled
    * connection was in use within the last second.
    */
--- a/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
+++ b/src/main/java/org/curranthaven/internal/gateway/ServiceRequestHandler.java
@@ -72,8 +72,9 @@
         Failure noRetryLeft =
             Failure.retryLater(
                 ResultCode.RETRY_BUDGET_SPENT,
-                "attempt %d failed (%s), and class '%s' has no retry left"
-                    .formatted(attempts, reason, serviceClass.name()),
+                ("attempt %d failed (%s), and the limit of %d attempts or the retry budget of class '%s'"
+                        + " is reached")
+                    .formatted(attempts, reason, MAX_ATTEMPTS, serviceClass.name()),
                 1_000);
         return Outcome.failed(withEarlierAttempts(noRetryLeft, mayHaveRun));
       }
--- a/src/main/java/org/curranthaven/internal/gateway/StreamRelay.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StreamRelay.java
@@ -36,10 +36,10 @@
     /** The connection was lost or closed before the last token. */
     record Disconnected() implements Event {}
 
-    /** The engine rejected the request before running it. */
+    /** The engine rejected the request before running it, or could not be reached. */
     record Rejected() implements Event {}
 
-    /** The engine is lost, or no longer knows the generation. */
+    /** The engine is lost, responded with an error, or no longer knows the generation. */
     record EngineLost() implements Event {}
   }
 
--- a/src/main/java/org/curranthaven/internal/gateway/StreamingSink.java
+++ b/src/main/java/org/curranthaven/internal/gateway/StreamingSink.java
@@ -12,12 +12,12 @@
  * so that an earlier error can still be reported with its HTTP status.
  */
 final class StreamingSink implements TokenSink {
-  private final HttpRequestContext exchange;
+  private final HttpRequestContext context;
   private final CompletionFormat format;
   private @Nullable OutputStream body;
 
-  StreamingSink(HttpRequestContext exchange, CompletionFormat format) {
-    this.exchange = exchange;
+  StreamingSink(HttpRequestContext context, CompletionFormat format) {
+    this.context = context;
     this.format = format;
   }
 
@@ -62,8 +62,8 @@
   private void send(String event) throws CallerDisconnectedException {
     try {
       if (body == null) {
-        exchange.setHeader("Cache-Control", "no-cache");
-        body = exchange.startStream("text/event-stream");
+        context.setHeader("Cache-Control", "no-cache");
+        body = context.startStream("text/event-stream");
       }
       body.write(event.getBytes(StandardCharsets.UTF_8));
       body.flush();
--- a/src/main/java/org/curranthaven/internal/routing/OutlierEjector.java
+++ b/src/main/java/org/curranthaven/internal/routing/OutlierEjector.java
@@ -13,7 +13,7 @@
   /** Consecutive failures after which a backend server is ejected. */
   static final int CONSECUTIVE_FAILURES_TO_EJECT = 3;
 
-  /** Largest share of the peers that may be ejected at once; one may always be. */
+  /** Largest share of the peers that may be ejected at once; one of two or more may always be. */
   static final double MAX_EJECTED_SHARE = 0.34;
 
   /** Duration of the first ejection, in milliseconds. */
--- a/src/main/java/org/curranthaven/internal/routing/RoutingCore.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingCore.java
@@ -211,7 +211,8 @@
     double reduction = MAX_DUE_TIME_REDUCTION * classStats.missShare();
     long targetMillis = (long) (request.targets().firstReplyMillis() * (1 - reduction));
     queue.add(request, request.arrivedAtMillis() + Math.max(1, targetMillis));
-    // Only the new request: the others found no backend server, and nothing has changed since.
+    // Tries only the new request: the others found no backend server, and nothing has changed
+    // since.
     tryDispatch(request, backends.values(), nowMillis);
   }
 
--- a/src/main/java/org/curranthaven/internal/routing/RoutingDecision.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingDecision.java
@@ -40,8 +40,8 @@
    * @param candidates number of backend servers that the policy could have chosen
    * @param slackMillis time left until the first reply is due; negative if the request is late
    * @param queued number of requests left in the queue
-   * @param peakMemoryShare forecast peak memory use at the policy's quantile, as a share of the
-   *     backend server's memory
+   * @param peakMemoryShare forecast peak memory use, as a share of the backend server's memory; 0
+   *     under a baseline policy
    * @param running number of requests open on the backend server before this one
    */
   record DispatchReason(
--- a/src/main/java/org/curranthaven/internal/routing/RoutingEvent.java
+++ b/src/main/java/org/curranthaven/internal/routing/RoutingEvent.java
@@ -61,9 +61,12 @@
   enum RequestOutcome {
     /** The complete response was received. */
     COMPLETED,
-    /** The caller disconnected or the request was cancelled. */
+    /**
+     * The caller disconnected, the attempt was cancelled, or the engine found the request invalid;
+     * says nothing about the health of the backend server.
+     */
     CANCELLED,
-    /** The backend server rejected the request. */
+    /** The backend server rejected the request, or no connection to it could be established. */
     REFUSED,
     /** The backend server failed or the connection to it was lost. */
     FAILED
--- a/src/test/java/org/curranthaven/internal/gateway/RetryBudgetTest.java
+++ b/src/test/java/org/curranthaven/internal/gateway/RetryBudgetTest.java
@@ -13,8 +13,8 @@
     int requests = 10_000;
     int retries = 0;
     for (int i = 0; i < requests; i++) {
-      budget.requested("door");
-      if (budget.tryRetry("door")) {
+      budget.requested("interactive");
+      if (budget.tryRetry("interactive")) {
         retries++;
       }
     }
@@ -23,10 +23,10 @@
 
   @Test
   void one_class_does_not_consume_the_retries_of_another() {
-    while (budget.tryRetry("draft")) {
-      budget.requested("door");
+    while (budget.tryRetry("batch")) {
+      budget.requested("interactive");
     }
-    assertThat(budget.tryRetry("door")).isTrue();
+    assertThat(budget.tryRetry("interactive")).isTrue();
   }
 
   @Test
