--- a/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
+++ b/src/main/java/org/curranthaven/internal/bench/SlopesBench.java
@@ -160,13 +160,13 @@
     for (int i = 0; i < 500; i++) {
       core.handle(new RoutingEvent.Arrived(request(requestId++)), 1);
     }
-    double bestTime = Double.MAX_VALUE;
+    double bestMicros = Double.MAX_VALUE;
     for (int repeat = 0; repeat < REPEATS * 20; repeat++) {
       long startNanos = System.nanoTime();
       core.handle(new RoutingEvent.Tick(), 2);
-      bestTime = Math.min(bestTime, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
+      bestMicros = Math.min(bestMicros, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
     }
-    return bestTime;
+    return bestMicros;
   }
 
   private static BackendReport backendReport(String name, int usedBlocks) {
@@ -215,7 +215,7 @@
   }
 
   private static double announcementsMicros(int backends) {
-    double bestTime = Double.MAX_VALUE;
+    double bestMicros = Double.MAX_VALUE;
     for (int repeat = 0; repeat < REPEATS * 4; repeat++) {
       BackendView view = new BackendView();
       long startNanos = System.nanoTime();
@@ -223,9 +223,9 @@
         ByteString json = Json.write(announcement(i, repeat));
         view.update(Json.read(json, BackendAnnouncement.class), 5, 0);
       }
-      bestTime = Math.min(bestTime, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
+      bestMicros = Math.min(bestMicros, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
     }
-    return bestTime;
+    return bestMicros;
   }
 
   private static BackendAnnouncement announcement(int index, long sequence) {
@@ -266,13 +266,13 @@
     for (int workspaces : WORKSPACE_COUNTS) {
       ByteString json = Json.write(configurationOf(workspaces));
       bytes.add(new LineFit.Point(workspaces, json.size()));
-      double bestTime = Double.MAX_VALUE;
+      double bestMicros = Double.MAX_VALUE;
       for (int repeat = 0; repeat < REPEATS * 4; repeat++) {
         long startNanos = System.nanoTime();
         Json.read(json, Configuration.class);
-        bestTime = Math.min(bestTime, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
+        bestMicros = Math.min(bestMicros, (System.nanoTime() - startNanos) / NANOS_PER_MICRO);
       }
-      micros.add(new LineFit.Point(workspaces, bestTime));
+      micros.add(new LineFit.Point(workspaces, bestMicros));
     }
     reportFit("configuration size, by workspaces", "bytes", bytes);
     reportFit("configuration decoded", "us", micros);
@@ -388,7 +388,7 @@
       LocalFleet.await(
           TimeUnit.SECONDS.toMillis(PUSH_TIMEOUT_SECONDS),
           () -> sender.connectedHosts().size() == receivers);
-      double bestTime = Double.MAX_VALUE;
+      double bestMillis = Double.MAX_VALUE;
       for (int repeat = 0; repeat < REPEATS; repeat++) {
         unacknowledged[0] = new CountDownLatch(receivers);
         long startNanos = System.nanoTime();
@@ -407,9 +407,9 @@
                   + PUSH_TIMEOUT_SECONDS
                   + " s");
         }
-        bestTime = Math.min(bestTime, (System.nanoTime() - startNanos) / 1e6);
+        bestMillis = Math.min(bestMillis, (System.nanoTime() - startNanos) / 1e6);
       }
-      return bestTime;
+      return bestMillis;
     } finally {
       threads.forEach(Thread::interrupt);
     }
--- a/src/main/java/org/curranthaven/internal/check/ActionSequences.java
+++ b/src/main/java/org/curranthaven/internal/check/ActionSequences.java
@@ -23,6 +23,7 @@
   }
 
   private static Action drawOne(SplittableRandom random) {
+    // The bounds below are shares of all actions, in thousandths.
     int roll = random.nextInt(1_000);
     int pick = random.nextInt(1 << 20);
     if (roll < 640) {
--- a/src/main/java/org/curranthaven/internal/cli/AdminClient.java
+++ b/src/main/java/org/curranthaven/internal/cli/AdminClient.java
@@ -82,7 +82,7 @@
         code = candidate;
       }
     }
-    // Failure.sentence() appends the number and the next step again.
+    // Failure.fullMessage() appends the number and the next step again.
     String message = body.at("/error/message").asText();
     int suffixStart = message.lastIndexOf(" [" + codeNumber + "]");
     return Failure.of(code, suffixStart < 0 ? message : message.substring(0, suffixStart));
--- a/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
+++ b/src/main/java/org/curranthaven/internal/cli/CheckCommand.java
@@ -15,7 +15,7 @@
 /** {@code check}: tests the replicated log with random sequences of events, one for each seed. */
 final class CheckCommand implements Command {
   private static final int DEFAULT_SEEDS = 1_000;
-  private static final int DEFAULT_ACTIONS = 6_000;
+  private static final int ACTIONS_PER_SEED = 6_000;
   private static final long NANOS_PER_MINUTE = 60_000_000_000L;
 
   @Override
@@ -60,10 +60,10 @@
     int seeds = arguments.getInt("seeds");
     int replicas = arguments.getInt("replicas");
     InjectedFault fault = arguments.get("breakage");
-    long deadline = System.nanoTime() + arguments.getInt("minutes") * NANOS_PER_MINUTE;
+    long deadlineNanos = System.nanoTime() + arguments.getInt("minutes") * NANOS_PER_MINUTE;
     long seed = firstSeed;
-    for (; seed < firstSeed + seeds && System.nanoTime() < deadline; seed++) {
-      List<Action> actions = ActionSequences.draw(seed, DEFAULT_ACTIONS);
+    for (; seed < firstSeed + seeds && System.nanoTime() < deadlineNanos; seed++) {
+      List<Action> actions = ActionSequences.draw(seed, ACTIONS_PER_SEED);
       InvariantViolation violation = ActionSequences.findViolation(seed, replicas, actions, fault);
       if (violation != null) {
         return reportViolation(seed, replicas, actions, fault, violation);
@@ -71,7 +71,7 @@
     }
     System.out.printf(
         "%d seeds of %d actions with %d replicas: every invariant held%n",
-        seed - firstSeed, DEFAULT_ACTIONS, replicas);
+        seed - firstSeed, ACTIONS_PER_SEED, replicas);
     return 0;
   }
 
--- a/src/main/java/org/curranthaven/internal/cli/DemoRun.java
+++ b/src/main/java/org/curranthaven/internal/cli/DemoRun.java
@@ -172,11 +172,11 @@
   private void injectFaults(LocalFleet fleet, LoadGenerator load) {
     try {
       sleepUntil(0.15);
-      boolean madeUnresponsive = engines.stream().anyMatch(StandinEngine::stallOneConnection);
+      boolean stalled = engines.stream().anyMatch(StandinEngine::stallOneConnection);
       printProgress(
-          madeUnresponsive
-              ? "fault: one open stream becomes unresponsive for good"
-              : "fault left out: no open stream to make unresponsive");
+          stalled
+              ? "fault: one open stream gets no more tokens, but its connection stays open"
+              : "fault left out: there is no open stream to stall");
       sleepUntil(0.3);
       printProgress("fault: engine " + engines.get(0).name() + " stops without notice");
       engines.get(0).close();
--- a/src/main/java/org/curranthaven/internal/cli/Main.java
+++ b/src/main/java/org/curranthaven/internal/cli/Main.java
@@ -27,6 +27,8 @@
 
   /** Runs a command and exits the process with its exit code. */
   public static void main(String[] arguments) {
+    // Seconds: closes idle connections to backend servers early (see ServiceClient), and limits how
+    // long a caller may take to send a request.
     System.setProperty("jdk.httpclient.keepalive.timeout", "1");
     System.setProperty("sun.net.httpserver.nodelay", "true");
     System.setProperty("sun.net.httpserver.maxReqTime", "30");
--- a/src/main/java/org/curranthaven/internal/experiment/Scenario.java
+++ b/src/main/java/org/curranthaven/internal/experiment/Scenario.java
@@ -25,15 +25,25 @@
 
   /** The event or fault of a scenario. */
   public enum Kind {
+    /** Base rate, without a fault. */
     CALM,
+    /** Load peak, mostly of the workload's first kind of request. */
     BOARDING_RUSH,
+    /** Load peak with many requests of the kind that has the longest output. */
     CHAPTER_FLOOD,
+    /** One engine stops without notice. */
     ENGINE_LOST,
+    /** One engine is reclaimed: it accepts no new requests, and stops after the notice period. */
     RECLAIM,
+    /** Rate above the base rate throughout, with a load peak. */
     ALL_FILLING,
+    /** The engines repeat outdated load reports during the event. */
     REPORTS_FROZEN,
+    /** Half of the prefix cache events are lost, throughout. */
     CACHE_GAPS,
+    /** One engine is slower than the others, throughout. */
     SLOW_ENGINE,
+    /** Load peak in which one workspace sends about half of the requests. */
     WORKSPACE_FLOOD;
 
     /** Returns the name as written to reports. */
@@ -44,7 +54,9 @@
 
   /** The two workloads. */
   public enum Workload {
+    /** Requests for the model {@code story}, with long outputs. */
     GUILD,
+    /** Requests for the model {@code lounge}, with shorter outputs. */
     LOUNGE
   }
 
--- a/src/main/java/org/curranthaven/internal/standin/EngineModel.java
+++ b/src/main/java/org/curranthaven/internal/standin/EngineModel.java
@@ -191,7 +191,10 @@
     }
   }
 
-  /** Returns the number of tokens to compute before decoding, less those found in the cache. */
+  /**
+   * Returns the number of tokens to compute before decoding, less those found in the prefix cache,
+   * and adds the prompt's prefix to the cache.
+   */
   private int prefillTokens(Sequence sequence) {
     boolean cacheHit = sequence.prefixHash != 0 && prefixCache.get(sequence.prefixHash) != null;
     int cachedTokens =
--- a/src/main/java/org/curranthaven/internal/standin/LoadGenerator.java
+++ b/src/main/java/org/curranthaven/internal/standin/LoadGenerator.java
@@ -184,7 +184,7 @@
       } else if (kind.streamed()) {
         sendStreamed(kind, random);
       } else {
-        sendUnstreamed(kind, random);
+        sendNonStreamed(kind, random);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -303,7 +303,7 @@
     }
   }
 
-  private void sendUnstreamed(RequestKind kind, SplittableRandom random)
+  private void sendNonStreamed(RequestKind kind, SplittableRandom random)
       throws InterruptedException {
     PromptTag tag = new PromptTag(drawNonce(random), drawOutputTokens(kind, random));
     String body = completionBody(kind, tag);
--- a/src/main/java/org/curranthaven/internal/standin/LocalFleet.java
+++ b/src/main/java/org/curranthaven/internal/standin/LocalFleet.java
@@ -22,7 +22,7 @@
  *
  * <pre>{@code
  * try (LocalFleet fleet = LocalFleet.start(5, 3)) {
- *   fleet.awaitLeader();
+ *   fleet.awaitReady(15_000);
  *   fleet.host(4).stop();
  * }
  * }</pre>
--- a/src/main/java/org/curranthaven/internal/standin/StandinEngine.java
+++ b/src/main/java/org/curranthaven/internal/standin/StandinEngine.java
@@ -30,7 +30,10 @@
  */
 public final class StandinEngine implements AutoCloseable {
   private static final long ADVANCE_INTERVAL_MILLIS = 2;
-  private static final int BACKLOG = 1_024;
+
+  /** Largest number of connections that wait to be accepted. */
+  private static final int MAX_PENDING_CONNECTIONS = 1_024;
+
   private static final int MAX_REMEMBERED_GENERATIONS = 20_000;
   private static final int STATUS_OK = 200;
   private static final int STATUS_BAD_REQUEST = 400;
@@ -89,7 +92,8 @@
     this.model = new EngineModel(options.engine());
     this.server =
         HttpServer.create(
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), options.port()), BACKLOG);
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), options.port()),
+            MAX_PENDING_CONNECTIONS);
     server.setExecutor(executor);
     server.createContext("/", this::handle);
     server.start();
@@ -228,16 +232,16 @@
 
   // ---- HTTP -------------------------------------------------------------------------------------
 
-  private void handle(HttpExchange http) throws IOException {
-    try (http) {
-      JsonNode body = Json.LENIENT.readTree(http.getRequestBody().readAllBytes());
-      switch (http.getRequestURI().getPath()) {
-        case "/v1/completions", "/v1/chat/completions" -> handleCompletion(http, body);
-        case "/v1/cancel" -> handleCancel(http, body);
-        case "/v1/orders" -> handleOrder(http, body);
+  private void handle(HttpExchange exchange) throws IOException {
+    try (exchange) {
+      JsonNode body = Json.LENIENT.readTree(exchange.getRequestBody().readAllBytes());
+      switch (exchange.getRequestURI().getPath()) {
+        case "/v1/completions", "/v1/chat/completions" -> handleCompletion(exchange, body);
+        case "/v1/cancel" -> handleCancel(exchange, body);
+        case "/v1/orders" -> handleOrder(exchange, body);
         default ->
             respond(
-                http,
+                exchange,
                 STATUS_NOT_FOUND,
                 "unknown path; use /v1/completions, /v1/chat/completions, /v1/cancel or"
                     + " /v1/orders");
@@ -247,7 +251,7 @@
     }
   }
 
-  private void handleCompletion(HttpExchange http, JsonNode body)
+  private void handleCompletion(HttpExchange exchange, JsonNode body)
       throws IOException, InterruptedException {
     JsonNode resume = body.path("resume");
     String id =
@@ -260,7 +264,7 @@
     synchronized (this) {
       if (stopped || (state != BackendAnnouncement.State.READY && !resume.isObject())) {
         respond(
-            http,
+            exchange,
             STATUS_UNAVAILABLE,
             "the engine is leaving or stopped; send the request to another engine");
         return;
@@ -273,7 +277,7 @@
       }
       if (generation == null) {
         respond(
-            http,
+            exchange,
             STATUS_NOT_FOUND,
             "unknown or cancelled generation, or no [[nonce=X tokens=N]] in the prompt");
         return;
@@ -281,7 +285,7 @@
       generation.stalled = false;
       connection = ++generation.latestConnection;
     }
-    streamTokens(http, body, generation, connection, offset);
+    streamTokens(exchange, body, generation, connection, offset);
   }
 
   private @Nullable Generation startGeneration(String id, JsonNode body) {
@@ -320,12 +324,12 @@
   }
 
   private void streamTokens(
-      HttpExchange http, JsonNode body, Generation generation, int connection, int offset)
+      HttpExchange exchange, JsonNode body, Generation generation, int connection, int offset)
       throws IOException, InterruptedException {
-    http.getResponseHeaders().set("Content-Type", "text/event-stream");
-    http.sendResponseHeaders(STATUS_OK, 0);
-    boolean chat = http.getRequestURI().getPath().contains("chat");
-    OutputStream out = http.getResponseBody();
+    exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
+    exchange.sendResponseHeaders(STATUS_OK, 0);
+    boolean chat = exchange.getRequestURI().getPath().contains("chat");
+    OutputStream out = exchange.getResponseBody();
     int nextIndex = offset;
     while (true) {
       List<String> events = awaitTokens(generation, connection, nextIndex, chat, body);
@@ -396,7 +400,7 @@
     return Json.text(chunk);
   }
 
-  private void handleCancel(HttpExchange http, JsonNode body) throws IOException {
+  private void handleCancel(HttpExchange exchange, JsonNode body) throws IOException {
     String id = body.path("generation_id").asText();
     synchronized (this) {
       cancelledGenerations.add(id);
@@ -404,29 +408,30 @@
       generations.remove(id);
       notifyAll();
     }
-    respond(http, STATUS_OK, "cancelled");
+    respond(exchange, STATUS_OK, "cancelled");
   }
 
-  private void handleOrder(HttpExchange http, JsonNode body) throws IOException {
+  private void handleOrder(HttpExchange exchange, JsonNode body) throws IOException {
     long fencingNumber = body.path("fencing_number").asLong();
     synchronized (this) {
       long highest = highestFencingNumbers.getOrDefault(0L, 0L);
       if (options.checksFencing() && fencingNumber < highest) {
         respond(
-            http,
+            exchange,
             STATUS_BAD_REQUEST,
             "order rejected: fencing number " + fencingNumber + " is lower than " + highest);
         return;
       }
       highestFencingNumbers.put(0L, Math.max(highest, fencingNumber));
     }
-    respond(http, STATUS_OK, "done");
+    respond(exchange, STATUS_OK, "done");
   }
 
-  private static void respond(HttpExchange http, int status, String message) throws IOException {
+  private static void respond(HttpExchange exchange, int status, String message)
+      throws IOException {
     byte[] body = Json.write(Json.MAPPER.createObjectNode().put("message", message)).toByteArray();
-    http.getResponseHeaders().set("Content-Type", "application/json");
-    http.sendResponseHeaders(status, body.length);
-    http.getResponseBody().write(body);
+    exchange.getResponseHeaders().set("Content-Type", "application/json");
+    exchange.sendResponseHeaders(status, body.length);
+    exchange.getResponseBody().write(body);
   }
 }
--- a/src/main/java/org/curranthaven/internal/standin/StandinService.java
+++ b/src/main/java/org/curranthaven/internal/standin/StandinService.java
@@ -18,7 +18,9 @@
  * {@code workMillis}, the processing time; the response repeats the nonce. Thread-safe.
  */
 public final class StandinService implements AutoCloseable {
-  private static final int BACKLOG = 1_024;
+  /** Largest number of connections that wait to be accepted. */
+  private static final int MAX_PENDING_CONNECTIONS = 1_024;
+
   private static final int MAX_BATCH = 256;
   private static final int STATUS_OK = 200;
 
@@ -37,7 +39,8 @@
     this.runLog = runLog;
     this.server =
         HttpServer.create(
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), options.port()), BACKLOG);
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), options.port()),
+            MAX_PENDING_CONNECTIONS);
     server.setExecutor(executor);
     server.createContext("/", this::handle);
     server.start();
@@ -93,10 +96,10 @@
         state);
   }
 
-  private void handle(HttpExchange http) throws IOException {
+  private void handle(HttpExchange exchange) throws IOException {
     running.incrementAndGet();
-    try (http) {
-      JsonNode body = Json.LENIENT.readTree(http.getRequestBody().readAllBytes());
+    try (exchange) {
+      JsonNode body = Json.LENIENT.readTree(exchange.getRequestBody().readAllBytes());
       String nonce = body.path("nonce").asText();
       runLog.recordStart(nonce);
       Thread.sleep(body.path("workMillis").asLong(0));
@@ -107,9 +110,9 @@
           Json.write(
                   Json.MAPPER.createObjectNode().put("nonce", nonce).put("service", options.name()))
               .toByteArray();
-      http.getResponseHeaders().set("Content-Type", "application/json");
-      http.sendResponseHeaders(STATUS_OK, responseBody.length);
-      http.getResponseBody().write(responseBody);
+      exchange.getResponseHeaders().set("Content-Type", "application/json");
+      exchange.sendResponseHeaders(STATUS_OK, responseBody.length);
+      exchange.getResponseBody().write(responseBody);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
