--- a/src/main/java/org/curranthaven/internal/configuration/AcceptanceCore.java
+++ b/src/main/java/org/curranthaven/internal/configuration/AcceptanceCore.java
@@ -32,7 +32,10 @@
 
   private record HostLease(long revision, long endMillis) {}
 
-  /** Starts leadership; leases granted earlier may last for another {@link #MAX_LEASE_MILLIS}. */
+  /**
+   * Handles the start of leadership; leases granted earlier may last for another {@link
+   * #MAX_LEASE_MILLIS}.
+   */
   public void leadershipStarted(long nowMillis) {
     leasesByHost.clear();
     revisionByVoter.clear();
@@ -60,7 +63,10 @@
     revisionByVoter.merge(identity, revision, Math::max);
   }
 
-  /** Ends leadership and returns the ids of the pending changes; their outcome is unknown. */
+  /**
+   * Handles the end of leadership and returns the ids of the pending changes, whose outcome is
+   * unknown.
+   */
   public List<Long> leadershipEnded() {
     List<Long> pendingIds = new ArrayList<>();
     pendingIdsByRevision.values().forEach(pendingIds::addAll);
--- a/src/main/java/org/curranthaven/internal/configuration/ConfigurationState.java
+++ b/src/main/java/org/curranthaven/internal/configuration/ConfigurationState.java
@@ -13,10 +13,10 @@
  * whose id was seen before gets the result of the first attempt. Not thread-safe.
  */
 public final class ConfigurationState {
-  /** Number of past results stored for changes that are sent again. */
+  /** Maximum number of past results stored for changes that are sent again. */
   static final int MAX_STORED_RESULTS = 8_192;
 
-  /** Number of revisions stored in the history. */
+  /** Maximum number of revisions stored in the history. */
   static final int MAX_HISTORY_ENTRIES = 1_000;
 
   private Configuration current = Configuration.empty();
--- a/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FleetCoordinator.java
@@ -155,7 +155,10 @@
     completeAccepted(nowMillis);
   }
 
-  /** Returns the revision that is active on each host, for hosts that sent a request lately. */
+  /**
+   * Returns the active revision of each host that sent a freshness request within the last {@link
+   * #HOST_TIMEOUT_MILLIS}.
+   */
   public Map<String, Long> hostRevisions() {
     Map<String, Long> result = new java.util.TreeMap<>();
     hosts.forEach((name, host) -> result.put(name, host.revision()));
@@ -184,6 +187,8 @@
     long revision = state.current().revision();
     hosts.put(from.getName(), new KnownHost(request.getHost(), request.getRevision(), nowMillis));
     for (PeerLease lease : request.getPeerLeasesList()) {
+      // The report does not give the leases' revisions, so each lease counts as granted for a
+      // revision older than the voter's current one.
       acceptance.leaseGrantedByVoter(
           lease.getHost(), request.getRevision() - 1, lease.getRemainingMillis(), nowMillis);
     }
--- a/src/main/java/org/curranthaven/internal/configuration/FreshnessCore.java
+++ b/src/main/java/org/curranthaven/internal/configuration/FreshnessCore.java
@@ -8,9 +8,9 @@
  * latest.
  *
  * <p>A host serves while it holds a lease from the leader of group 0, or leases from a majority of
- * one voter set of group 0, none of whose members has seen a higher revision. A lease starts when
- * the host sent the request for it, measured on that host's own clock, so that it always expires
- * here before it expires at its grantor. Revisions never decrease. Not thread-safe.
+ * the voters of group 0, which must report the same voter set and have seen no higher revision. A
+ * lease starts when the host sent the request for it, measured on that host's own clock, so that it
+ * always expires here before it expires at its grantor. Revisions never decrease. Not thread-safe.
  */
 public final class FreshnessCore {
   /** Duration of a lease, in milliseconds. */
--- a/src/main/java/org/curranthaven/internal/configuration/RecentChanges.java
+++ b/src/main/java/org/curranthaven/internal/configuration/RecentChanges.java
@@ -13,7 +13,9 @@
  * instead of the whole configuration. Not thread-safe.
  */
 final class RecentChanges {
-  /** Number of deltas stored; a host that is further behind gets the whole configuration. */
+  /**
+   * Maximum number of deltas stored; a host that is further behind gets the whole configuration.
+   */
   static final int MAX_DELTAS = 512;
 
   private final Deque<ConfigurationDelta> deltas = new ArrayDeque<>();
--- a/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
+++ b/src/main/java/org/curranthaven/internal/consensus/ConsensusLoop.java
@@ -44,7 +44,7 @@
   private static final long TICK_INTERVAL_MILLIS = 40;
   private static final long VOTER_CHECK_INTERVAL_MILLIS = 250;
   private static final long REOPEN_DELAY_MILLIS = 1_000;
-  private static final int MAX_BATCH_TASKS = 2_048;
+  private static final int MAX_TASKS_PER_BATCH = 2_048;
 
   private final DataFolder folder;
   private final int groupCount;
@@ -73,8 +73,8 @@
    *
    * @param folder data folder of this host
    * @param groupCount number of groups, including group 0
-   * @param bootstrapContacts peer addresses of the control hosts that must all be connected and
-   *     empty before the groups are bootstrapped; empty if this host may only join
+   * @param bootstrapContacts peer addresses of the control hosts that must all be connected, with
+   *     empty data folders, before the groups are bootstrapped; empty if this host may only join
    * @param targetVoterCount number of voters that each group should have
    * @param stateMachineFactory creates the state machine of a group from the group number
    * @param self supplies the record of this host
@@ -153,7 +153,7 @@
     return folder.identity();
   }
 
-  /** Returns why a group's storage failed, or an empty string if all groups are stored. */
+  /** Returns why a group's storage failed, or an empty string if every group's storage works. */
   public String storageFailure() {
     return storageFailure;
   }
@@ -221,9 +221,9 @@
   private void runBatch() throws InterruptedException {
     long timeoutMillis = Math.max(0, nextTickMillis - clock.nowMillis());
     Runnable task = tasks.poll(timeoutMillis, TimeUnit.MILLISECONDS);
-    for (int i = 0; task != null && i < MAX_BATCH_TASKS; i++) {
+    for (int i = 0; task != null && i < MAX_TASKS_PER_BATCH; i++) {
       task.run();
-      task = i + 1 < MAX_BATCH_TASKS ? tasks.poll() : null;
+      task = i + 1 < MAX_TASKS_PER_BATCH ? tasks.poll() : null;
     }
     long nowMillis = clock.nowMillis();
     if (nowMillis >= nextTickMillis) {
@@ -372,7 +372,8 @@
 
   /**
    * Closes a replica whose storage failed, since its state in memory may be ahead of the disk. The
-   * pending proposals of all groups end with an unknown outcome.
+   * pending proposals of all groups end with an unknown outcome, because callbacks are not stored
+   * by group.
    */
   private void closeFailedReplica(Replica replica, IOException cause, long nowMillis) {
     replicas.remove(replica.groupId);
@@ -409,7 +410,8 @@
       return;
     }
     Logger.info(
-        "all control hosts {} are connected and empty: bootstrapping {} consensus groups",
+        "all control hosts {} are connected and have empty data folders: bootstrapping {} consensus"
+            + " groups",
         bootstrapContacts,
         groupCount);
     VoterSet initialVoters = VoterSet.newBuilder().addVoters(voter(self.get())).build();
--- a/src/main/java/org/curranthaven/internal/consensus/DataFolder.java
+++ b/src/main/java/org/curranthaven/internal/consensus/DataFolder.java
@@ -21,8 +21,8 @@
 /**
  * Data folder of a host, locked against use by a second process.
  *
- * <p>The identity is created once, when the folder is empty. A folder that was wiped gets a new
- * identity, so that it never votes in place of the lost replica.
+ * <p>The identity is created when the folder has none. A folder that was wiped gets a new identity:
+ * the votes and log of its former replicas are lost, so it must not vote under their identity.
  */
 public final class DataFolder implements Closeable {
   private static final String LOCK_NAME = "lock";
--- a/src/main/java/org/curranthaven/internal/consensus/GroupBootstrap.java
+++ b/src/main/java/org/curranthaven/internal/consensus/GroupBootstrap.java
@@ -23,9 +23,9 @@
    */
   static boolean mayBootstrap(
       HostRecord self, Collection<String> contacts, Collection<HostRecord> connectedControlHosts) {
-    Set<String> knownAddresses =
+    Set<String> connectedAddresses =
         connectedControlHosts.stream().map(HostRecord::getPeerAddress).collect(Collectors.toSet());
-    knownAddresses.add(self.getPeerAddress());
+    connectedAddresses.add(self.getPeerAddress());
     boolean allEmpty = connectedControlHosts.stream().noneMatch(HostRecord::getFormed);
     boolean hasLowestAddress =
         contacts.stream()
@@ -34,6 +34,6 @@
     return !self.getFormed()
         && hasLowestAddress
         && allEmpty
-        && knownAddresses.containsAll(contacts);
+        && connectedAddresses.containsAll(contacts);
   }
 }
--- a/src/main/java/org/curranthaven/internal/consensus/GroupStorage.java
+++ b/src/main/java/org/curranthaven/internal/consensus/GroupStorage.java
@@ -158,6 +158,7 @@
     RecordFiles.syncFolder(folder);
     startSegment();
     if (replacesLog) {
+      // On replay, discards the entries of older segments that are not deleted below.
       addToBatch(LogRecord.newBuilder().setTruncateFrom(0).build());
       flush();
       segment.force(false);
@@ -170,6 +171,7 @@
     segment.close();
     segment = next;
     segmentNumber++;
+    // Repeats the hard state, since the segments that contain it may be deleted.
     addToBatch(hardState());
     flush();
     segment.force(true);
@@ -272,6 +274,7 @@
     StoredState state(Path folder) throws DamagedDataException {
       long firstIndex = entries.isEmpty() ? 0 : entries.getFirst().getIndex();
       if (firstIndex > snapshot.getLastIndex() + 1) {
+        // Entries before the first one are missing, so the snapshot that covered them was lost.
         throw new DamagedDataException(folder.resolve(SNAPSHOT_NAME), 0);
       }
       return new StoredState(term, votedFor, snapshot, entries);
--- a/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RaftCore.java
@@ -298,6 +298,8 @@
     nextHeartbeatMillis = nowMillis + timing.heartbeatMillis();
     changeRole(RaftRole.LEADER, self);
     refreshFollowers();
+    // Followers count as having replied now, so that this replica does not step down and no voter
+    // counts as lost before the first replies arrive.
     followers.values().forEach(progress -> progress.acknowledged(nowMillis));
     termStartIndex = log.lastIndex() + 1;
     appendLocally(EntryKind.ENTRY_KIND_NOOP, ByteString.EMPTY);
@@ -488,6 +490,8 @@
   }
 
   private void replyToAppend(String to, AppendRequest request, boolean accepted, long matched) {
+    // After a rejection the leader continues after the last index given here. If the entry at the
+    // previous index conflicts, only committed entries are known to match the leader's log.
     AppendReply reply =
         AppendReply.newBuilder()
             .setAccepted(accepted)
@@ -737,10 +741,10 @@
     decisions.add(new RaftDecision.RestoreState(installed));
   }
 
-  private void replyToSnapshot(String to, SnapshotChunk chunk, long offset, boolean installed) {
+  private void replyToSnapshot(String to, SnapshotChunk chunk, long nextOffset, boolean installed) {
     SnapshotReply reply =
         SnapshotReply.newBuilder()
-            .setNextOffset(offset)
+            .setNextOffset(nextOffset)
             .setInstalled(installed)
             .setLastIndex(chunk.getLastIndex())
             .setEchoedSentAtMillis(chunk.getSentAtMillis())
--- a/src/main/java/org/curranthaven/internal/consensus/RecordFiles.java
+++ b/src/main/java/org/curranthaven/internal/consensus/RecordFiles.java
@@ -35,6 +35,7 @@
       return null;
     }
     int length = buffer.getInt(buffer.position());
+    // A zero-filled tail must not count as a record: the checksum of an empty payload is 0.
     if (length <= 0 || length > buffer.remaining() - HEADER_BYTES) {
       return null;
     }
--- a/src/main/java/org/curranthaven/internal/consensus/VoterPolicy.java
+++ b/src/main/java/org/curranthaven/internal/consensus/VoterPolicy.java
@@ -35,9 +35,9 @@
    * @param currentVoters latest voter set
    * @param self identity of the leader
    * @param connectedHosts control hosts that are connected now, including the leader's own
-   * @param caughtUp returns whether the learner with an identity may become a voter
+   * @param caughtUp returns whether the learner with the given identity may become a voter
    * @param lastAcknowledgedMillis returns the send time of the latest message that the replica with
-   *     an identity replied to
+   *     the given identity replied to
    */
   record GroupStatus(
       VoterSet currentVoters,
--- a/src/main/java/org/curranthaven/internal/host/AdminService.java
+++ b/src/main/java/org/curranthaven/internal/host/AdminService.java
@@ -14,16 +14,16 @@
   private AdminService() {}
 
   static void handle(
-      FleetCoordinator coordinator, AdminRequest request, Consumer<AdminReply> replyTo) {
+      FleetCoordinator coordinator, AdminRequest request, Consumer<AdminReply> sendReply) {
     if (request.getPath().equals(ChangeClient.CHANGE_PATH)) {
       ConfigurationChange change = Json.read(request.getJson(), ConfigurationChange.class);
       coordinator
           .change(change)
-          .thenAccept(outcome -> replyTo.accept(changeReply(request.getRequestId(), outcome)));
+          .thenAccept(outcome -> sendReply.accept(changeReply(request.getRequestId(), outcome)));
     } else if (request.getPath().equals(ChangeClient.HISTORY_PATH)) {
       coordinator.withState(
           state ->
-              replyTo.accept(
+              sendReply.accept(
                   reply(
                       request.getRequestId(),
                       ChangeClient.STATUS_OK,
--- a/src/main/java/org/curranthaven/internal/host/ChangeClient.java
+++ b/src/main/java/org/curranthaven/internal/host/ChangeClient.java
@@ -34,7 +34,7 @@
   static final int STATUS_NOT_LEADER = 421;
   static final int STATUS_UNKNOWN = 503;
 
-  private static final long TIMEOUT_MILLIS = 15_000;
+  private static final long REQUEST_TIMEOUT_MILLIS = 15_000;
   private static final long ATTEMPT_TIMEOUT_MILLIS = 5_000;
   private static final long RETRY_DELAY_MILLIS = 50;
 
@@ -76,7 +76,7 @@
   }
 
   private Outcome<ByteString> request(String path, ByteString json) throws InterruptedException {
-    long deadlineMillis = clock.nowMillis() + TIMEOUT_MILLIS;
+    long deadlineMillis = clock.nowMillis() + REQUEST_TIMEOUT_MILLIS;
     int attempts = 0;
     while (clock.nowMillis() < deadlineMillis) {
       List<String> controlHosts = control.reachableControlHosts();
@@ -90,10 +90,10 @@
     }
     return Outcome.failed(
         ResultCode.CHANGE_UNKNOWN,
-        "no leader confirmed within "
-            + TIMEOUT_MILLIS
-            + " ms that the change is active on every host; send it again with the same id to learn"
-            + " its result");
+        "no result from a control host within "
+            + REQUEST_TIMEOUT_MILLIS
+            + " ms; if the request was a change, it may or may not be active: send it again with"
+            + " the same id to learn its result");
   }
 
   private AdminReply attempt(String host, String path, ByteString json)
--- a/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
+++ b/src/main/java/org/curranthaven/internal/host/DecisionLoop.java
@@ -40,8 +40,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Event loop that owns a host's freshness, its view of the backend servers and its routing. State
- * is confined to the decision thread; all public methods are thread-safe.
+ * Event loop that owns a host's freshness leases, its view of the backend servers and its routing.
+ * State is confined to the decision thread; all public methods are thread-safe.
  */
 public final class DecisionLoop implements Child, Router {
   private static final long TICK_INTERVAL_MILLIS = 20;
@@ -73,7 +73,7 @@
   private record PendingRequest(
       RequestAttributes request, String name, CompletableFuture<Outcome<Assignment>> future) {}
 
-  /** Knows which hosts' processes are alive. */
+  /** Reports which hosts' processes are alive. */
   public interface LivePeers {
     /** Returns whether the host is alive in the given incarnation. */
     boolean isAlive(String host, long incarnation);
--- a/src/main/java/org/curranthaven/internal/host/HostProcess.java
+++ b/src/main/java/org/curranthaven/internal/host/HostProcess.java
@@ -459,7 +459,7 @@
       }
       case FRESHNESS_GRANT -> handleFreshnessGrant(message.getFreshnessGrant());
       case REVISION_ANSWER ->
-          handleRevisionReply(message.getFromIdentity(), message.getRevisionAnswer());
+          handleVoterFreshnessReply(message.getFromIdentity(), message.getRevisionAnswer());
       case SOFT_STATE -> handleSoftState(from, message.getSoftState());
       case ADMIN_REQUEST -> handleAdminRequest(from, message.getAdminRequest());
       case ADMIN_REPLY -> changeClient.received(message.getAdminReply());
@@ -502,7 +502,7 @@
     }
   }
 
-  private void handleRevisionReply(String identity, VoterFreshnessReply reply) {
+  private void handleVoterFreshnessReply(String identity, VoterFreshnessReply reply) {
     decisions.voterReplied(
         identity,
         reply.getRevision(),
--- a/src/main/java/org/curranthaven/internal/ledger/LedgerState.java
+++ b/src/main/java/org/curranthaven/internal/ledger/LedgerState.java
@@ -167,6 +167,7 @@
       ClaimRecord expired = recordsByIssueTime.remove();
       ClaimKey key = new ClaimKey(expired.getWorkspace(), expired.getKey());
       ClaimRecord current = records.get(key);
+      // The key may have been released and then claimed by another attempt.
       if (current != null && current.getToken().equals(expired.getToken())) {
         remove(key);
       }
--- a/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
+++ b/src/main/java/org/curranthaven/internal/ledger/ReplicatedLedger.java
@@ -19,7 +19,7 @@
 /** Ledger replicated by the consensus groups and sharded by workspace. Thread-safe. */
 public final class ReplicatedLedger implements Ledger {
   private static final long CLAIM_TIMEOUT_MILLIS = 3_000;
-  private static final long COMPLETE_TIMEOUT_MILLIS = 10_000;
+  private static final long COMPLETE_OR_RELEASE_TIMEOUT_MILLIS = 10_000;
 
   private final ControlClient control;
   private final int ledgerGroups;
@@ -136,7 +136,7 @@
                     .setKey(request.key())
                     .setToken(request.token())
                     .setAnswer(response));
-    CommandReply reply = sendCommand(request, command, COMPLETE_TIMEOUT_MILLIS);
+    CommandReply reply = sendCommand(request, command, COMPLETE_OR_RELEASE_TIMEOUT_MILLIS);
     return reply.getStatus() == CommandStatus.COMMAND_STATUS_APPLIED;
   }
 
@@ -149,7 +149,7 @@
                     .setWorkspace(request.workspace())
                     .setKey(request.key())
                     .setToken(request.token()));
-    sendCommand(request, command, COMPLETE_TIMEOUT_MILLIS);
+    sendCommand(request, command, COMPLETE_OR_RELEASE_TIMEOUT_MILLIS);
   }
 
   private CommandReply sendCommand(
--- a/src/main/java/org/curranthaven/internal/supervision/RestartPolicy.java
+++ b/src/main/java/org/curranthaven/internal/supervision/RestartPolicy.java
@@ -11,7 +11,13 @@
   public RestartPolicy {
     if (maxRestarts < 0 || windowMillis <= 0 || delayMillis < 0) {
       throw new IllegalArgumentException(
-          "restart policy must have a positive window, and no negative restarts or delay");
+          "maxRestarts and delayMillis must not be negative and windowMillis must be positive:"
+              + " maxRestarts "
+              + maxRestarts
+              + ", windowMillis "
+              + windowMillis
+              + ", delayMillis "
+              + delayMillis);
     }
   }
 
--- a/src/main/java/org/curranthaven/internal/supervision/Supervisor.java
+++ b/src/main/java/org/curranthaven/internal/supervision/Supervisor.java
@@ -35,7 +35,8 @@
    *
    * @param state {@code running}, {@code restarting}, {@code failed} or {@code stopped}
    * @param restarts number of restarts so far
-   * @param lastFailure reason of the latest failure; empty if there was none
+   * @param lastFailure reason of the latest failure; empty if there was none or the child was
+   *     stopped
    */
   public record ChildStatus(String state, int restarts, String lastFailure) {}
 
--- a/src/test/java/org/curranthaven/internal/consensus/VoterPolicyTest.java
+++ b/src/test/java/org/curranthaven/internal/consensus/VoterPolicyTest.java
@@ -105,7 +105,7 @@
   void only_the_lowest_address_bootstraps_and_only_if_all_contacts_are_connected_and_empty() {
     HostRecord a = HostRecord.newBuilder().setPeerAddress("a").build();
     HostRecord b = HostRecord.newBuilder().setPeerAddress("b").build();
-    HostRecord z = HostRecord.newBuilder().setPeerAddress("0").build();
+    HostRecord unconfigured = HostRecord.newBuilder().setPeerAddress("0").build();
     HostRecord formed = HostRecord.newBuilder().setPeerAddress("c").setFormed(true).build();
     List<String> twoContacts = List.of("b", "a");
     List<String> threeContacts = List.of("c", "b", "a");
@@ -115,8 +115,8 @@
     assertThat(GroupBootstrap.mayBootstrap(a, threeContacts, List.of(b))).isFalse();
     assertThat(GroupBootstrap.mayBootstrap(a, threeContacts, List.of(b, formed))).isFalse();
     // A host that is not among the configured contacts joins, whatever its address.
-    assertThat(GroupBootstrap.mayBootstrap(z, twoContacts, List.of(a, b))).isFalse();
-    assertThat(GroupBootstrap.mayBootstrap(a, twoContacts, List.of(b, z))).isTrue();
+    assertThat(GroupBootstrap.mayBootstrap(unconfigured, twoContacts, List.of(a, b))).isFalse();
+    assertThat(GroupBootstrap.mayBootstrap(a, twoContacts, List.of(b, unconfigured))).isTrue();
     assertThat(GroupBootstrap.mayBootstrap(a, List.of(), List.of(b))).isFalse();
   }
 }
--- a/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetFailureTest.java
@@ -128,13 +128,13 @@
   @Test
   void a_rolling_restart_under_load_runs_no_request_twice_and_interrupts_none()
       throws IOException, InterruptedException {
-    List<RequestKind> workKinds =
+    List<RequestKind> requestKinds =
         List.of(
             new RequestKind("hold", Workloads.DESK_SERVICE, true, false, 0, 0, 0, 1),
             new RequestKind("charge", Workloads.DESK_SERVICE, true, false, 0, 0, 0, 1));
     try (LoadBalancer balancer = new LoadBalancer(fleet.httpAddresses());
         LoadGenerator load =
-            new LoadGenerator(workKinds, Workloads.serviceClasses(), balancer, runLog)) {
+            new LoadGenerator(requestKinds, Workloads.serviceClasses(), balancer, runLog)) {
       FleetClient.await(() -> balancer.readyHostCount() == 4);
       Thread loadThread =
           Thread.ofPlatform()
--- a/src/test/java/org/curranthaven/internal/host/FleetTest.java
+++ b/src/test/java/org/curranthaven/internal/host/FleetTest.java
@@ -74,18 +74,18 @@
     HttpResponse<String> response =
         client.send(client.callerRequest(0, "/v1/completions", "draft", prompt(nonce, 50, true)));
 
-    GuaranteeViolations tally = new GuaranteeViolations();
-    ResponseChecker responseCheck = new ResponseChecker(tally, nonce);
+    GuaranteeViolations violations = new GuaranteeViolations();
+    ResponseChecker responseChecker = new ResponseChecker(violations, nonce);
     for (String line : response.body().lines().toList()) {
       if (line.startsWith("data: {")) {
-        responseCheck.checkText(
+        responseChecker.checkText(
             Json.LENIENT.readTree(line.substring(6)).at("/choices/0/text").asText());
       }
     }
-    responseCheck.checkCompleteness(50);
+    responseChecker.checkCompleteness(50);
     assertThat(response.body()).endsWith("data: [DONE]\n\n");
-    assertThat(responseCheck.nextTokenIndex()).isEqualTo(50);
-    assertThat(tally.counts().noViolations()).isTrue();
+    assertThat(responseChecker.nextTokenIndex()).isEqualTo(50);
+    assertThat(violations.counts().noViolations()).isTrue();
   }
 
   @Test
@@ -104,7 +104,7 @@
   void a_generation_on_an_unresponsive_connection_is_resumed_without_loss()
       throws IOException, InterruptedException {
     String nonce = nonce();
-    Thread connectionSilencer =
+    Thread connectionStaller =
         Thread.ofVirtual()
             .start(
                 () -> {
@@ -117,19 +117,19 @@
 
     HttpResponse<String> httpResponse =
         client.send(client.callerRequest(0, "/v1/completions", "draft", prompt(nonce, 200, false)));
-    connectionSilencer.interrupt();
+    connectionStaller.interrupt();
 
     JsonNode response = Json.LENIENT.readTree(httpResponse.body());
-    GuaranteeViolations tally = new GuaranteeViolations();
-    ResponseChecker responseCheck = new ResponseChecker(tally, nonce);
-    responseCheck.checkText(response.at("/choices/0/text").asText());
-    responseCheck.checkCompleteness(200);
-    assertThat(tally.counts().noViolations()).isTrue();
+    GuaranteeViolations violations = new GuaranteeViolations();
+    ResponseChecker responseChecker = new ResponseChecker(violations, nonce);
+    responseChecker.checkText(response.at("/choices/0/text").asText());
+    responseChecker.checkCompleteness(200);
+    assertThat(violations.counts().noViolations()).isTrue();
     assertThat(runLog.startCount(nonce)).isEqualTo(1);
   }
 
   @Test
-  void a_request_that_must_not_repeat_runs_once_when_sent_through_several_hosts()
+  void a_request_that_must_not_run_twice_runs_once_when_sent_through_several_hosts()
       throws IOException, InterruptedException {
     String nonce = nonce();
     String idempotencyKey = FleetClient.newIdempotencyKey();
