--- a/src/main/java/org/curranthaven/internal/observe/TargetMonitor.java
+++ b/src/main/java/org/curranthaven/internal/observe/TargetMonitor.java
@@ -15,10 +15,7 @@
   /** Share of first replies, and of gaps, that must meet the target for the class to meet it. */
   public static final double REQUIRED_SHARE = 0.95;
 
-  /** Length of the short window, in milliseconds. */
   static final long SHORT_WINDOW_MILLIS = 60_000;
-
-  /** Length of the long window, in milliseconds. */
   static final long LONG_WINDOW_MILLIS = 900_000;
 
   private static final long BUCKET_MILLIS = 5_000;
@@ -73,20 +70,20 @@
 
   /** Records the first reply of a generation, or the complete response of a plain service. */
   public synchronized void recordFirstReply(
-      String className, long millis, long targetMillis, long nowMillis) {
+      String className, long firstReplyMillis, long targetMillis, long nowMillis) {
     Bucket bucket = bucket(className, nowMillis);
     bucket.replies++;
-    if (millis <= targetMillis) {
+    if (firstReplyMillis <= targetMillis) {
       bucket.repliesInTime++;
     }
   }
 
   /** Records the gap between two tokens of a stream. */
   public synchronized void recordGap(
-      String className, long millis, long targetMillis, long nowMillis) {
+      String className, long gapMillis, long targetMillis, long nowMillis) {
     Bucket bucket = bucket(className, nowMillis);
     bucket.gaps++;
-    if (millis <= targetMillis) {
+    if (gapMillis <= targetMillis) {
       bucket.gapsInTime++;
     }
   }
--- a/src/main/java/org/curranthaven/internal/relay/Attempt.java
+++ b/src/main/java/org/curranthaven/internal/relay/Attempt.java
@@ -12,7 +12,7 @@
  * is complete, and any other response once it is complete. Confined to the event loop.
  */
 final class Attempt implements BackendConnection.ResponseListener {
-  private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
+  private static final int MAX_BUFFERED_BODY_BYTES = 8 * 1024 * 1024;
 
   private final BackendRecord backend;
   private final Listener listener;
@@ -149,8 +149,8 @@
       if (!events.isEmpty()) {
         listener.onEvents(this, streamResponse, events);
       }
-    } else if (body.size() + bytes.length > MAX_BUFFERED_BYTES) {
-      abandon("the response exceeds the limit of " + MAX_BUFFERED_BYTES + " bytes");
+    } else if (body.size() + bytes.length > MAX_BUFFERED_BODY_BYTES) {
+      abandon("the response exceeds the limit of " + MAX_BUFFERED_BODY_BYTES + " bytes");
     } else {
       body.writeBytes(bytes);
     }
--- a/src/main/java/org/curranthaven/internal/relay/AttemptResult.java
+++ b/src/main/java/org/curranthaven/internal/relay/AttemptResult.java
@@ -7,7 +7,7 @@
   /** No connection could be made; no byte of the request was sent. */
   record Unreachable(String reason) implements AttemptResult {}
 
-  /** The backend server stated that the request did not run. */
+  /** The backend server stated that the request did not run, or that it is not the expected one. */
   record NotRun(ResponseHead head) implements AttemptResult {}
 
   /**
--- a/src/main/java/org/curranthaven/internal/relay/BackendPool.java
+++ b/src/main/java/org/curranthaven/internal/relay/BackendPool.java
@@ -92,6 +92,10 @@
         .addListener(future -> consumer.accept(future.isSuccess() ? connection : null));
   }
 
+  /**
+   * Returns the time until which the connection may be reused after the response: some time before
+   * the backend server's own idle timeout, but at least half of it.
+   */
   long idleUntilMillis(ResponseHead responseHead) {
     long keepAliveMillis = responseHead.keepAliveMillis();
     long idleMillis =
--- a/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
+++ b/src/main/java/org/curranthaven/internal/relay/CallerConnection.java
@@ -46,10 +46,16 @@
  * for each, and writes its response. Confined to the event loop.
  */
 final class CallerConnection extends SimpleChannelInboundHandler<HttpObject> {
-  private static final int MAX_QUEUED_REQUESTS = 32;
+  /**
+   * Limit on the requests that wait for the response to an earlier one; the connection is closed
+   * after the present response if the caller sends more.
+   */
+  private static final int MAX_PIPELINED_REQUESTS = 32;
+
   private static final long MILLIS_PER_SECOND = 1_000;
-  private static final long DRAINING_RETRY_MILLIS = 50;
-  private static final long NOT_INITIALIZED_RETRY_MILLIS = 1_000;
+  private static final long MIN_IDLE_CHECK_DELAY_MILLIS = 50;
+  private static final long DRAINING_RETRY_AFTER_MILLIS = 50;
+  private static final long NOT_INITIALIZED_RETRY_AFTER_MILLIS = 1_000;
 
   /**
    * Longest time for which a request waits for the catalog, which a host receives soon after its
@@ -64,7 +70,7 @@
   private static final long MIN_DEADLINE_TO_WAIT_MILLIS = 5 * INITIALIZATION_WAIT_MILLIS;
 
   private final RelayContext context;
-  private final ArrayDeque<FullHttpRequest> queuedRequests = new ArrayDeque<>();
+  private final ArrayDeque<FullHttpRequest> pipelinedRequests = new ArrayDeque<>();
   private @Nullable ChannelHandlerContext channelContext;
   private @Nullable HttpRequest incompleteRequest;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -96,7 +102,12 @@
   }
 
   private void scheduleIdleCheck(long delayMillis) {
-    context.loop().schedule(this::checkIdle, Math.max(50, delayMillis), TimeUnit.MILLISECONDS);
+    context
+        .loop()
+        .schedule(
+            this::checkIdle,
+            Math.max(MIN_IDLE_CHECK_DELAY_MILLIS, delayMillis),
+            TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -134,7 +145,7 @@
     return incompleteRequest == null ? 0 : context.catalog().limits().idleTimeoutMillis();
   }
 
-  /** Records that bytes were received which may be part of a request. */
+  /** Records when the first byte of the next request was received. */
   void onBytesReceived() {
     if (partialRequestSinceMillis < 0) {
       partialRequestSinceMillis = context.clock().nowMillis();
@@ -209,15 +220,15 @@
               Unpooled.wrappedBuffer(body.toByteArray()),
               requestHead.headers(),
               EmptyHttpHeaders.INSTANCE);
-      processOrQueue(completeRequest);
+      processInOrder(completeRequest);
     }
   }
 
-  private void processOrQueue(FullHttpRequest request) {
+  private void processInOrder(FullHttpRequest request) {
     if (!responding) {
       process(request);
-    } else if (queuedRequests.size() < MAX_QUEUED_REQUESTS) {
-      queuedRequests.add(request);
+    } else if (pipelinedRequests.size() < MAX_PIPELINED_REQUESTS) {
+      pipelinedRequests.add(request);
     } else {
       closing = true;
     }
@@ -263,7 +274,7 @@
         Failure.retryLater(
             ResultCode.HOST_NOT_FRESH,
             "this host has not received the catalog yet; retry later or at another host",
-            NOT_INITIALIZED_RETRY_MILLIS));
+            NOT_INITIALIZED_RETRY_AFTER_MILLIS));
   }
 
   private void route(InboundRequest request, long arrivedAtMillis) {
@@ -294,7 +305,7 @@
           Failure.retryLater(
               ResultCode.HOST_DRAINING,
               "this host is shutting down; retry on a new connection",
-              DRAINING_RETRY_MILLIS));
+              DRAINING_RETRY_AFTER_MILLIS));
       return;
     }
     ServiceSpec service = catalog.service(route.serviceFor(context.nextRandom()));
@@ -429,7 +440,7 @@
       }
       return;
     }
-    FullHttpRequest next = queuedRequests.poll();
+    FullHttpRequest next = pipelinedRequests.poll();
     if (next != null) {
       process(next);
     }
--- a/src/main/java/org/curranthaven/internal/relay/DrainRules.java
+++ b/src/main/java/org/curranthaven/internal/relay/DrainRules.java
@@ -5,7 +5,10 @@
  * for a while, and during the whole drain if few other hosts are available.
  */
 final class DrainRules {
-  /** Time after the start of a drain within which load balancers have not detected it yet. */
+  /**
+   * Time after the start of a drain within which load balancers have not detected it yet; every
+   * request is accepted until then.
+   */
   static final long BALANCER_DETECTION_MILLIS = 2_500;
 
   /** Time that must remain between the latest end of a request and the end of the process. */
@@ -14,7 +17,7 @@
   private DrainRules() {}
 
   /**
-   * Returns whether a request is accepted.
+   * Returns whether a draining gateway accepts a request.
    *
    * @param drainingMillis time since the drain began
    * @param leftMillis time until the process ends
--- a/src/main/java/org/curranthaven/internal/relay/EventSplitter.java
+++ b/src/main/java/org/curranthaven/internal/relay/EventSplitter.java
@@ -15,7 +15,7 @@
 
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
   private int length;
-  private int scanned;
+  private int scannedLength;
 
   /**
    * A complete event.
@@ -35,7 +35,7 @@
     length += bytes.length;
     List<Event> events = new ArrayList<>();
     int start = 0;
-    for (int i = Math.max(scanned, 1); i < length; i++) {
+    for (int i = Math.max(scannedLength, 1); i < length; i++) {
       if (i > start && buffer[i] == '\n' && isEmptyLine(i, start)) {
         byte[] event = Arrays.copyOfRange(buffer, start, i + 1);
         events.add(new Event(idOf(event), event));
@@ -44,7 +44,7 @@
     }
     length -= start;
     System.arraycopy(buffer, start, buffer, 0, length);
-    scanned = length;
+    scannedLength = length;
     return events;
   }
 
--- a/src/main/java/org/curranthaven/internal/relay/Gateway.java
+++ b/src/main/java/org/curranthaven/internal/relay/Gateway.java
@@ -158,12 +158,12 @@
         settings.name(),
         openRequestCount,
         endMillis - startMillis);
-    boolean idleClosed = false;
+    boolean idleConnectionsClosed = false;
     while (clock.nowMillis() < endMillis) {
       boolean lateConnectionsOver =
           clock.nowMillis() - startMillis >= LATE_CONNECTION_WINDOW_MILLIS;
-      if (lateConnectionsOver && !idleClosed) {
-        idleClosed = true;
+      if (lateConnectionsOver && !idleConnectionsClosed) {
+        idleConnectionsClosed = true;
         loop.execute(server::closeIdleConnections);
       } else if (lateConnectionsOver && openRequestCount == 0) {
         break;
--- a/src/main/java/org/curranthaven/internal/relay/HopByHopHeaders.java
+++ b/src/main/java/org/curranthaven/internal/relay/HopByHopHeaders.java
@@ -15,7 +15,11 @@
  * }</pre>
  */
 public final class HopByHopHeaders {
-  private static final Set<String> ALWAYS =
+  /**
+   * Headers that are dropped from every message. Content-Length is among them because the forwarded
+   * message gets its own.
+   */
+  private static final Set<String> ALWAYS_DROPPED =
       Set.of(
           "connection",
           "keep-alive",
@@ -32,11 +36,11 @@
   private HopByHopHeaders() {}
 
   /**
-   * Returns the lower-case names of the hop-by-hop headers, including those that the message's
-   * Connection header lists.
+   * Returns the lower-case names of the headers that are not forwarded, including those that the
+   * message's Connection header lists.
    */
   public static Set<String> of(HttpHeaders headers) {
-    Set<String> names = new HashSet<>(ALWAYS);
+    Set<String> names = new HashSet<>(ALWAYS_DROPPED);
     for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
       for (String option : value.split(",")) {
         names.add(option.strip().toLowerCase(Locale.ROOT));
--- a/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
+++ b/src/main/java/org/curranthaven/internal/relay/MigrationCoordinator.java
@@ -34,7 +34,8 @@
     void onMigrationFailed();
 
     /**
-     * Handles a migration: the request continues on the given engine.
+     * Handles a migration, or the recovery from a backup copy: the request continues on the given
+     * engine, which may be the one that it ran on.
      *
      * @param newBackup backend server that keeps its backup copy from now on; empty for none
      */
@@ -64,7 +65,12 @@
     return transfer != null;
   }
 
-  /** Starts the migration of a running request to another engine. */
+  /**
+   * Starts the migration of a running request to another engine.
+   *
+   * @param newBackup backend server that keeps the backup copy after the migration; empty for none
+   * @param backup backend server that keeps the backup copy now; empty for none
+   */
   void migrate(Attempt running, BackendRecord target, String newBackup, String backup) {
     transfer =
         new StateTransfer(
@@ -96,9 +102,9 @@
     }
     boolean wasResuming = resuming;
     resuming = false;
-    boolean targetRejected =
+    boolean notRunAtTarget =
         result instanceof AttemptResult.NotRun || result instanceof AttemptResult.Unreachable;
-    if (wasResuming && targetRejected) {
+    if (wasResuming && notRunAtTarget) {
       resumeAtFallback();
       return true;
     }
@@ -122,8 +128,8 @@
   }
 
   /**
-   * Makes sure that a request whose connection was lost has stopped, and resumes it from the state
-   * that is left.
+   * Has the engine stop a request whose connection was lost, if it can be reached, and resumes the
+   * request from the state that is left.
    */
   private void resumeFromBackup(Attempt interruptedAttempt, String backup) {
     BackendRecord backupBackend = context.backend(backup);
@@ -234,11 +240,11 @@
     fallbackBackend = newFallbackBackend;
     stateReference = newStateReference;
     Logger.info(
-        "request {} on route {}: migrates from backend server {} to {}",
+        "request {} on route {}: resuming at backend server {} (last ran at {})",
         request.id(),
         route.name(),
-        source.backend().getId(),
-        target.getId());
+        target.getId(),
+        source.backend().getId());
     owner.onMigrated(target, newBackup);
     owner.resumeAt(target, newStateReference);
   }
--- a/src/main/java/org/curranthaven/internal/relay/RequestProgress.java
+++ b/src/main/java/org/curranthaven/internal/relay/RequestProgress.java
@@ -13,9 +13,9 @@
   private final int tokensPerEvent;
   private String lastEventId;
   private int eventCount;
-  private long sentAtMillis;
+  private long firstSentAtMillis;
   private long firstReplyAtMillis;
-  private long lastReplyAtMillis;
+  private long pauseStartMillis;
   private long longestPauseMillis;
   private int migrations;
 
@@ -46,10 +46,10 @@
 
   /** Records the transmission of the request to a backend server. */
   void recordSent(long nowMillis) {
-    if (sentAtMillis == 0) {
-      sentAtMillis = nowMillis;
+    if (firstSentAtMillis == 0) {
+      firstSentAtMillis = nowMillis;
     }
-    lastReplyAtMillis = nowMillis;
+    pauseStartMillis = nowMillis;
   }
 
   void recordMigration() {
@@ -61,19 +61,19 @@
     if (firstReplyAtMillis == 0) {
       firstReplyAtMillis = nowMillis;
     } else {
-      longestPauseMillis = Math.max(longestPauseMillis, nowMillis - lastReplyAtMillis);
+      longestPauseMillis = Math.max(longestPauseMillis, nowMillis - pauseStartMillis);
     }
-    lastReplyAtMillis = nowMillis;
+    pauseStartMillis = nowMillis;
   }
 
   /** Returns the time since the last part of the response, or since the last transmission. */
   long pauseMillis(long nowMillis) {
-    return nowMillis - lastReplyAtMillis;
+    return nowMillis - pauseStartMillis;
   }
 
   /**
    * Records an event unless the caller already has it; returns whether the event is new to the
-   * caller.
+   * caller. An event without id is always new, and is not counted.
    */
   boolean recordIfNew(EventSplitter.Event event) {
     if (event.id().isEmpty()) {
@@ -87,6 +87,7 @@
     return !alreadyReceived;
   }
 
+  /** Compares event ids as whole numbers without leading zeros. */
   private static int compareIds(String a, String b) {
     return a.length() == b.length() ? a.compareTo(b) : Integer.compare(a.length(), b.length());
   }
@@ -98,7 +99,7 @@
     return firstReplyAtMillis == 0 ? 0 : firstReplyAtMillis - arrivedAtMillis;
   }
 
-  /** Returns whether the request missed a target of its route. */
+  /** Returns whether the response missed a target of the route; false until its first part. */
   boolean isLate() {
     boolean pauseTooLong =
         route.kind() == Repeatability.STREAM
@@ -109,7 +110,7 @@
 
   /** Returns a summary of the times, for a log line. */
   String timingSummary() {
-    long queuedMillis = sentAtMillis == 0 ? 0 : sentAtMillis - arrivedAtMillis;
+    long queuedMillis = firstSentAtMillis == 0 ? 0 : firstSentAtMillis - arrivedAtMillis;
     return String.format(
         "first reply after %d ms (target %d ms), %d ms of them queued; longest pause %d ms (target"
             + " %d ms); %d migrations; %d output tokens",
--- a/src/main/java/org/curranthaven/internal/relay/ResponseHead.java
+++ b/src/main/java/org/curranthaven/internal/relay/ResponseHead.java
@@ -8,7 +8,7 @@
  * @param sealed whether the response carries the seal header, which proves that it comes from the
  *     backend server itself
  * @param notRun whether the response states that the request did not run and will not run
- * @param misdirected whether the address belongs to another backend server than the expected one
+ * @param misdirected whether the responding backend server is not the one that the request expects
  * @param eventStream whether the body is an event stream
  * @param keepAliveMillis how long the connection may stay idle; 0 if not stated
  * @param closesConnection whether the connection closes after the response
--- a/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
+++ b/src/main/java/org/curranthaven/internal/relay/RoutedRequest.java
@@ -36,7 +36,7 @@
    */
   private static final long UNREPEATABLE_MAX_IDLE_MILLIS = 250;
 
-  /** Shortest time without a response after which an attempt is abandoned. */
+  /** Shortest time without a response after which a repeatable attempt is abandoned. */
   private static final long MIN_RESPONSE_TIMEOUT_MILLIS = 600;
 
   /**
@@ -167,7 +167,7 @@
     if (target == null) {
       attemptCount++;
       handleResult(
-          new AttemptResult.Unreachable("backend server " + backendId + " is no longer known"));
+          new AttemptResult.Unreachable("backend server " + backendId + " is unavailable"));
       return;
     }
     Logger.info(
@@ -208,8 +208,9 @@
 
   /**
    * Schedules the detection of a backend server that fails without closing its connection. An
-   * attempt of a repeatable request is abandoned once the first-reply target is missed; an attempt
-   * of a stream with a backup copy, after a long pause.
+   * attempt that may be repeated is abandoned if no response is received within the first-reply
+   * target or {@link #MIN_RESPONSE_TIMEOUT_MILLIS}, whichever is longer; an attempt with a backup
+   * copy, if its stream pauses for {@link #STREAM_STALL_TIMEOUT_MILLIS}.
    */
   private void scheduleResponseCheck(Attempt watchedAttempt) {
     if (route.isRepeatable() && executionCount + 1 < route.attempts()) {
@@ -345,7 +346,7 @@
           lastFailedResponse = completed;
         }
         excludedBackends.add(backend);
-        // Not a repeat if all backend servers so far were unreachable: none received the request.
+        // Not a repeat if this backend server was unreachable and no earlier attempt may have run.
         requestPlacement(!(result instanceof AttemptResult.Unreachable) || executionCount > 0);
       }
       case RetryDecision.Fail failure -> fail(failure.code(), describe(result), RETRY_AFTER_MILLIS);
--- a/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
+++ b/src/main/java/org/curranthaven/internal/relay/SchedulerLink.java
@@ -383,6 +383,10 @@
     }
   }
 
+  /**
+   * Detects the loss of the scheduler, advances local placement and reports progress. Repeats while
+   * requests are open.
+   */
   private void check() {
     checkScheduled = false;
     if (!scheduler.isEmpty() && !isConnected()) {
--- a/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
+++ b/src/main/java/org/curranthaven/internal/relay/StateTransfer.java
@@ -14,6 +14,11 @@
  */
 final class StateTransfer {
   private static final int OK = 200;
+
+  /**
+   * Longest idle time of a connection that is reused for a copy. A longer idle connection may be
+   * closed already, and the transfer would then fail.
+   */
   private static final long MAX_CONNECTION_IDLE_MILLIS = 250;
 
   /** Timeout of one copy, after which the transfer fails. */
@@ -77,8 +82,8 @@
   }
 
   /**
-   * Starts a transfer whose source stream has ended already; makes sure first that the request has
-   * stopped.
+   * Starts a transfer whose source stream has ended already: has the source stop the request, which
+   * may still run there, and copy its state. Fails if the source does not respond.
    */
   void startWithEndedSource() {
     copyTimeoutMillis = STOP_TIMEOUT_MILLIS;
@@ -121,6 +126,7 @@
       return;
     }
     stateReference = context.protocol().stateReference(source, response.handle());
+    // With another status, the handle refers to the state that the source still holds.
     destination = response.status() == OK ? target : source;
     if (sourceEnded) {
       finishTransferred();
--- a/src/main/java/org/curranthaven/internal/settings/RoutedSettings.java
+++ b/src/main/java/org/curranthaven/internal/settings/RoutedSettings.java
@@ -84,7 +84,7 @@
   private static void requireText(String key, @Nullable String text) {
     if (text == null || text.isBlank()) {
       throw new IllegalArgumentException(
-          "the key " + key + " is missing or empty; set it to a text");
+          "the key " + key + " is missing or empty; set it to a non-empty string");
     }
   }
 
--- a/src/main/java/org/curranthaven/platform/Headers.java
+++ b/src/main/java/org/curranthaven/platform/Headers.java
@@ -48,8 +48,11 @@
   /** Address of the engine that keeps the backup copy of the request. */
   static final String BACKUP_ADDRESS = "Kv-Backup";
 
-  /** Headers that only this system sets; a caller's headers of these names are not forwarded. */
-  static final Set<String> SET_BY_SYSTEM =
+  /**
+   * Lower-case names of headers that are not forwarded from a caller: those that only this system
+   * or a backend server sets, and the key, in whose place the workspace is sent.
+   */
+  static final Set<String> RESERVED =
       Set.of(
           "x-api-key",
           "tenant",
--- a/src/main/java/org/curranthaven/platform/RequestTranslation.java
+++ b/src/main/java/org/curranthaven/platform/RequestTranslation.java
@@ -60,7 +60,7 @@
 
   private static HttpHeaders forwardedHeaders(HttpHeaders headers) {
     Set<String> droppedNames = HopByHopHeaders.of(headers);
-    droppedNames.addAll(Headers.SET_BY_SYSTEM);
+    droppedNames.addAll(Headers.RESERVED);
     droppedNames.remove("host");
     droppedNames.removeAll(ALWAYS_FORWARDED);
     HttpHeaders forwarded = new DefaultHttpHeaders();
--- a/src/test/java/org/curranthaven/internal/relay/DrainRulesTest.java
+++ b/src/test/java/org/curranthaven/internal/relay/DrainRulesTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void a_short_request_is_accepted_while_it_must_end_before_the_process() {
+  void a_short_request_is_accepted_while_its_deadline_is_before_the_end_of_the_process() {
     assertThat(DrainRules.mayAccept(4_000, 3_700, 1_500)).isTrue();
     assertThat(DrainRules.mayAccept(6_100, 1_600, 1_500)).isFalse();
   }
--- a/src/test/java/org/curranthaven/internal/relay/ManualTime.java
+++ b/src/test/java/org/curranthaven/internal/relay/ManualTime.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.curranthaven.internal.supervision.Clock;
 
-/** An event loop and a clock that advance only when a test says so. */
+/** An event loop and a clock whose time only {@link #advance} moves on. */
 public final class ManualTime implements Clock {
   private static final long STEP_MILLIS = 10;
 
--- a/src/test/java/org/curranthaven/platform/HttpRequestFuzzTest.java
+++ b/src/test/java/org/curranthaven/platform/HttpRequestFuzzTest.java
@@ -19,7 +19,7 @@
 @Timeout(180)
 class HttpRequestFuzzTest extends RoutedFleetFixture {
   private static final int CASES = 250;
-  private static final int PROBE_EVERY = 25;
+  private static final int CASES_PER_PROBE = 25;
   private static final int READ_TIMEOUT_MILLIS = 6_000;
 
   private static final String VALID_REQUEST =
@@ -101,7 +101,7 @@
       SplittableRandom random = new SplittableRandom(41);
       for (int i = 0; i < CASES; i++) {
         send(callerAddress, damaged(VALID_REQUEST, random));
-        if (i % PROBE_EVERY == 0) {
+        if (i % CASES_PER_PROBE == 0) {
           assertThat(sendRawRequest("/pages/probe", ""))
               .as("after case %d", i)
               .endsWith("complete");
--- a/src/test/java/org/curranthaven/platform/RequestTranslationTest.java
+++ b/src/test/java/org/curranthaven/platform/RequestTranslationTest.java
@@ -58,9 +58,9 @@
   }
 
   @Test
-  void headers_that_only_the_system_sets_are_not_forwarded_from_a_caller() {
+  void reserved_headers_are_not_forwarded_from_a_caller() {
     FullHttpRequest request = request();
-    for (String name : Headers.SET_BY_SYSTEM) {
+    for (String name : Headers.RESERVED) {
       request.headers().set(name, "forged");
     }
 
