--- a/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
+++ b/src/main/java/org/curranthaven/internal/scheduler/ControlHost.java
@@ -357,7 +357,7 @@
 
   @Override
   public void disconnected(HostRecord host) {
-    Logger.info("disconnected from host {}", host.getName());
+    Logger.info("connection to host {} lost", host.getName());
     if (!host.getControl()) {
       eventLoop.execute(() -> scheduler.gatewayDisconnected(host));
     }
